--- /dev/null
+++ b/tests/compatibility.cpp
@@ -0,0 +1,251 @@
+// What an earlier version has stored or sent, read by this one: a mixed fleet understands itself, and an
+// upgrade keeps its disks. The data is described in tests/data/README.md.
+#include <gtest/gtest.h>
+
+#include <fstream>
+#include <sstream>
+
+#include "lab/world.h"
+#include "src/fleet/memory.h"
+#include "src/fleet/voter_agent.h"
+
+namespace firtide::fleet
+{
+namespace
+{
+
+std::string read_data(const std::string& name)
+{
+    std::ifstream file(FIRTIDE_TEST_DATA "/340428b/" + name, std::ios::binary);
+    std::stringstream text;
+    text << file.rdbuf();
+    return text.str();
+}
+
+// The fleet that the voter's store was written in.
+FleetFile recorded_fleet()
+{
+    FleetFile file;
+    file.name = "edge";
+    file.id = "m-1";
+    file.members.push_back({"m-1", 0, "127.0.0.1:7946", "a", true, 1});
+    file.members.push_back({"m-2", 0, "127.0.0.1:7947", "b", false, 2});
+    file.duties.push_back({"reports", DutyKind::other, "", seconds(1), 3});
+    return file;
+}
+
+class StoredVoter : public ::testing::Test
+{
+  protected:
+    void place(const std::string& name) { ASSERT_FALSE(disk_.replace("voter.log", read_data(name))); }
+
+    lab::Disk disk_;
+};
+
+TEST_F(StoredVoter, HasItsOwnerTermAndSnapshot)
+{
+    place("voter.log");
+    Store store(disk_);
+    ASSERT_EQ(store.open("edge", "m-1", 9), Opened::whole);
+    EXPECT_EQ(store.owner(), (Owner{"edge", "m-1", 12941553096165680594u}));
+    EXPECT_EQ(store.kept().term, 1u);
+    EXPECT_EQ(store.kept().vote, 0u);
+    EXPECT_EQ(store.kept().writes, 604u);
+    EXPECT_EQ(store.written(), 604u);
+    EXPECT_EQ(store.bytes(), 8235u);
+    const Snapshot& snapshot = store.kept().snapshot;
+    EXPECT_EQ(snapshot.index, 512u);
+    EXPECT_EQ(snapshot.term, 1u);
+    EXPECT_EQ(snapshot.voters_index, 1u);
+    EXPECT_EQ(snapshot.voters.size(), 37u);
+}
+
+TEST_F(StoredVoter, HasTheLeasesOfItsSnapshot)
+{
+    place("voter.log");
+    Store store(disk_);
+    ASSERT_EQ(store.open("edge", "m-1", 9), Opened::whole);
+    Table table;
+    ASSERT_TRUE(table.decode(store.kept().snapshot.bytes));
+    EXPECT_EQ(table.version(), 511u);
+    ASSERT_EQ(table.entries().size(), 1u);
+    EXPECT_EQ(table.of("reports"), (Table::Entry{key_of("m-2"), 355, 256, "handed over", true}));
+    EXPECT_EQ(key_of("m-2"), 11121217268466692007u);
+}
+
+TEST_F(StoredVoter, HasTheEntriesThatFollowIt)
+{
+    place("voter.log");
+    Store store(disk_);
+    ASSERT_EQ(store.open("edge", "m-1", 9), Opened::whole);
+    const Kept& kept = store.kept();
+    EXPECT_EQ(kept.first, 449u);
+    EXPECT_EQ(kept.last(), 601u);
+    ASSERT_EQ(kept.entries.size(), 153u);
+    for (const LogEntry& entry : kept.entries) {
+        EXPECT_EQ(entry.term, 1u);
+        EXPECT_EQ(entry.kind, 1u);
+    }
+    const auto last = unpack<std::vector<Command>>(kept.entries.back().bytes);
+    ASSERT_TRUE(last && last->size() == 1);
+    const Command& command = last->front();
+    EXPECT_EQ(command.what, Command::grant);
+    EXPECT_EQ(command.duty, "exports");
+    EXPECT_EQ(command.epoch, 41u);
+    EXPECT_EQ(command.holder, key_of("m-2"));
+    EXPECT_EQ(command.life, 77u);
+    EXPECT_EQ(command.why, "its turn");
+    EXPECT_FALSE(command.placed);
+}
+
+TEST_F(StoredVoter, VotesAgainWithAllThatWasCommitted)
+{
+    place("voter.log");
+    const FleetFile file = recorded_fleet();
+    VoterAgent agent(file, disk_, VoterTimes{}, 3);
+    Point now{5'000'000};
+    std::optional<VoterStatus> status;
+    std::optional<Table> table;
+    const auto take = [&](std::vector<VoterAgentEffect> effects) {
+        for (VoterAgentEffect& effect : effects) {
+            if (auto* said = std::get_if<VoterStatus>(&effect)) status = std::move(*said);
+            if (auto* said = std::get_if<TableIs>(&effect)) table = std::move(said->table);
+        }
+    };
+    take(agent.start(now));
+    for (int tick = 0; tick < 200; ++tick) {
+        now = now + seconds(0.02);
+        take(agent.tick(now));
+    }
+    ASSERT_TRUE(status);
+    EXPECT_EQ(status->stage, Stage::voting);
+    EXPECT_EQ(status->standing.role, Role::leader);
+    EXPECT_EQ(status->disk, 12941553096165680594u);
+    EXPECT_EQ(status->standing.seats, (std::vector<Seat>{{12941553096165680594u, "m-1", true}}));
+    ASSERT_TRUE(table);
+    EXPECT_EQ(table->version(), 600u);
+    EXPECT_EQ(table->of("reports"), (Table::Entry{key_of("m-2"), 399, 300, "nobody held it", false}));
+    EXPECT_EQ(table->of("exports"), (Table::Entry{key_of("m-2"), 77, 42, "its turn", false}));
+}
+
+TEST_F(StoredVoter, HasRecordsOfEveryKind)
+{
+    place("voter-records.log");
+    Store store(disk_);
+    ASSERT_EQ(store.open("edge", "m-1", 8), Opened::whole);
+    const Kept& kept = store.kept();
+    EXPECT_EQ(store.owner().disk, 7u);
+    EXPECT_EQ(kept.term, 3u);
+    EXPECT_EQ(kept.vote, 9u);
+    EXPECT_EQ(kept.writes, 10u);
+    EXPECT_EQ(kept.snapshot, (Snapshot{2, 1, "voters", 1, "table"}));
+    EXPECT_EQ(kept.first, 2u);
+    const std::deque<LogEntry> entries{{1, 1, std::string(60, 'x')}, {3, 1, "two"}, {3, 2, ""}};
+    EXPECT_EQ(kept.entries, entries);
+}
+
+TEST(StoredSnapshot, IsReadFieldByField)
+{
+    const auto decoded = decode_memory(read_data("snapshot"));
+    ASSERT_TRUE(std::holds_alternative<Memory>(decoded));
+    const auto& memory = std::get<Memory>(decoded);
+    EXPECT_EQ(memory.fleet, "edge");
+    EXPECT_EQ(memory.member, "m-1");
+    EXPECT_EQ(memory.incarnation, 12u);
+    EXPECT_EQ(memory.boot, "0b5f6f0e-5f4f-4a53-9a1c-1f6f5a3c2d10");
+    EXPECT_EQ(memory.boot_us, 123456789);
+    EXPECT_EQ(memory.list_version, 41u);
+    EXPECT_EQ(memory.list, R"({"rev":41,"all":true,"targets":[]})");
+    EXPECT_EQ(memory.rate, 153.25);
+    EXPECT_EQ(memory.size, 12.5);
+    EXPECT_EQ(memory.sharers, 3u);
+    ASSERT_EQ(memory.reductions.size(), 2u);
+    EXPECT_EQ(memory.reductions[0].upstream, 0x1122334455667788u);
+    EXPECT_EQ(memory.reductions[0].reduction, 0.25f);
+    EXPECT_EQ(memory.reductions[0].left_us, 1500000);
+    EXPECT_EQ(memory.reductions[1].upstream, 9u);
+    EXPECT_EQ(memory.reductions[1].reduction, 1.0f);
+    EXPECT_EQ(memory.reductions[1].left_us, 40);
+    ASSERT_EQ(memory.epochs.size(), 2u);
+    EXPECT_EQ(memory.epochs[0].duty, "list");
+    EXPECT_EQ(memory.epochs[0].epoch, 7u);
+    EXPECT_EQ(memory.epochs[1].duty, "reports");
+    EXPECT_EQ(memory.epochs[1].epoch, 9u);
+    EXPECT_EQ(memory.open, (std::vector<std::string>{"9b1f03aa5c7e2d41", "b-2"}));
+    EXPECT_EQ(encode_memory(memory), read_data("snapshot"));
+}
+
+// Each message with the values that it was recorded with.
+std::vector<Message> recorded_messages()
+{
+    const auto raft = [](std::string bytes) { return RaftSent{41, 42, 43, std::move(bytes)}; };
+    std::vector<Message> messages;
+    messages.push_back(Hello{"edge", 1, 11, 12, 13});
+    messages.push_back(Ping{1, 2, 3, 4, 5, 1, 6, 7, 8, 9, 10, 120, 0xfedcba9876543210});
+    messages.push_back(Ask{21});
+    messages.push_back(Reached{22, 23});
+    messages.push_back(MembershipUpdates{{{31, 1, 32, 33, 34}, {35, 2, 36, 37, 0}}, true});
+    messages.push_back(raft("\x92\x03\xa7\x96\x33\x34\x35\x36\xc3\xc3"));
+    messages.push_back(DiskReport{61, 2, 62, {{63, 64}, {65, 66}}});
+    messages.push_back(Founded{{{"m-1", 71}, {"m-2", 72}}});
+    messages.push_back(Renew{81, 82, 83, {"drain"}, {{"list", 84}}, true, 85, {{"reports", 86}}});
+    messages.push_back(Renewed{91, 92, 93, true, {{"list", 94, 95, 96}}});
+    messages.push_back(Refer{101, 102});
+    messages.push_back(Revoke{"list", 111});
+    messages.push_back(Released{"list", 121, 122});
+    messages.push_back(Order{131, "hand-over", "list", "m-2"});
+    messages.push_back(Obeyed{141, true, "done"});
+    messages.push_back(News{"list", 151, 152, 153, 154,
+                            "\x93\xae"
+                            "127.0.0.1:8500"
+                            "\x29\xa2{}"});
+    messages.push_back(WantNews{"list"});
+    messages.push_back(Digest{{{161, 162, 163, 164, 165, 166, 167, 168}}});
+    messages.push_back(WantParts{171, 172, 173, 174, {{3, 175, 1.5f, 0.25f}}});
+    messages.push_back(GivenParts{181, 182, 183, {{2, 184, 2.5f}}});
+    messages.push_back(ListDelta{{191, 192},
+                                 {191, 193},
+                                 {"127.0.0.1:8500", 194},
+                                 {{"s-1", "{1}"}},
+                                 {"s-2"},
+                                 195,
+                                 true,
+                                 true,
+                                 true,
+                                 196});
+    messages.push_back(WantListDeltas{{201, 202}, {"127.0.0.1:8500", 203}, 204, true, {205, 206}, 207});
+    messages.push_back(ListSnapshotChunk{
+        {211, 212}, {"127.0.0.1:8500", 213}, 214, true, 1, 2, 215, {{"s-1", "{1}"}, {"s-2", "{2}"}}});
+    return messages;
+}
+
+TEST(RecordedFrames, AreWhatThisVersionSends)
+{
+    const std::string recorded = read_data("frames.bin");
+    std::string sent;
+    uint32_t number = 0;
+    for (const Message& message : recorded_messages()) sent += encode_frame(message, number++);
+    ASSERT_EQ(number, std::variant_size_v<Message>);
+    ASSERT_GT(recorded.size(), sent.size());
+    EXPECT_EQ(recorded.substr(0, sent.size()), sent);
+}
+
+TEST(RecordedFrames, AreReadAndWrittenAgainTheSame)
+{
+    const std::string recorded = read_data("frames.bin");
+    FrameReader reader;
+    reader.take(recorded);
+    std::string again;
+    uint32_t number = 0;
+    while (reader.next() == FrameReader::State::message) {
+        const size_t kind = number < std::variant_size_v<Message> ? number : Message(RaftSent{}).index();
+        EXPECT_EQ(reader.message().index(), kind);
+        again += encode_frame(reader.message(), number++);
+    }
+    EXPECT_STREQ(reader.why(), "");
+    EXPECT_EQ(number, std::variant_size_v<Message> + 5);
+    EXPECT_EQ(again, recorded);
+}
+
+}  // namespace
+}  // namespace firtide::fleet
