--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -25,16 +25,18 @@
 };
 
 // So that walks of a minute meet snapshots of several chunks, and versions of several deltas.
-constexpr DeltasRule small_deltas{8, seconds(0.5), 256};
+constexpr EndpointDeltaConfig small_deltas{8, seconds(0.5), 256};
 
 struct Rules {
     std::string without;
 
     void take_out_of(World::Options& o) const
     {
-        if (without == "office") o.granter = [](Granter& g) { g.leave_out.wait_in_office = true; };
-        if (without == "majority") o.granter = [](Granter& g) { g.leave_out.confirm = true; };
-        if (without == "expiry") o.granter = [](Granter& g) { g.leave_out.expiry = true; };
+        if (without == "office")
+            o.lease_manager = [](LeaseManager& g) { g.disabled_checks.wait_in_office = true; };
+        if (without == "majority")
+            o.lease_manager = [](LeaseManager& g) { g.disabled_checks.confirm = true; };
+        if (without == "expiry") o.lease_manager = [](LeaseManager& g) { g.disabled_checks.expiry = true; };
         if (without == "gate") o.gate = false;
         if (without == "fence") o.fences = false;
     }
@@ -109,7 +111,7 @@
 int rest(World::Options options, uint64_t seed, bool acquainted)
 {
     World w(options, seed);
-    if (acquainted) w.start_all_acquainted();
+    if (acquainted) w.start_all_with_known_members();
     for (size_t i = 0; i < w.size(); ++i) w.start(i);
     w.run(seconds(10));
     const auto before = w.count;
--- a/lab/scale.cpp
+++ b/lab/scale.cpp
@@ -130,7 +130,7 @@
     changed_at_.assign(first_version + 1, world_.now());
     world_.discovery_is(first_version, whole_list_text(first_version, world_.discovery_lines(first_version)));
     world_.on_effect = [this](size_t node, FleetEffect& effect) {
-        if (const auto* use = std::get_if<UseList>(&effect)) list_in_use(node, use->version);
+        if (const auto* use = std::get_if<ApplyEndpointList>(&effect)) list_in_use(node, use->version);
     };
 }
 
@@ -297,7 +297,7 @@
     for (size_t i = 0; i < plan_.members; ++i) {
         if (!world_.up(i)) continue;
         if (!first) first = i;
-        const Members& members = world_.fleet(i).members();
+        const Membership& members = world_.fleet(i).members();
         if (members.alive() != up || members_[i].list < version) return false;
         if (members.digest() != world_.fleet(*first).members().digest()) return false;
     }
@@ -344,7 +344,7 @@
 
 ScaleResult ScaleRun::run()
 {
-    world_.start_all_acquainted();
+    world_.start_all_with_known_members();
     world_.run(warm_up);
     changing_ = plan_.changes_per_second > 0;
     if (changing_) next_change_ = world_.now() + until_next_change();
--- a/lab/service_simulation.cpp
+++ b/lab/service_simulation.cpp
@@ -66,20 +66,21 @@
     for (size_t i = 0; i < options_.balancers; ++i) nodes_.push_back(std::make_unique<Node>());
     since_ = world_.now();
     world_.on_effect = [this](size_t node, FleetEffect& e) {
-        if (auto* uses = std::get_if<UseFleet>(&e)) {
+        if (auto* uses = std::get_if<ApplySubsetPeers>(&e)) {
             tell(node, net::FleetIs{std::move(uses->sharers)});
-        } else if (auto* signals = std::get_if<UseSignals>(&e)) {
+        } else if (auto* signals = std::get_if<ApplyOutlierReports>(&e)) {
             tell(node, net::SignalsUpdate{std::move(signals->results)});
-        } else if (auto* memory = std::get_if<UseMemory>(&e)) {
+        } else if (auto* memory = std::get_if<ApplySnapshot>(&e)) {
             tell(node, net::Remembered{std::move(memory->memory)});
-        } else if (auto* state = std::get_if<UseState>(&e)) {
+        } else if (auto* state = std::get_if<ApplyFleetState>(&e)) {
             tell(node, net::FleetStateIs{state->state});
-        } else if (auto* parts = std::get_if<UseParts>(&e)) {
+        } else if (auto* parts = std::get_if<ApplyQuotas>(&e)) {
             const Span apart = world_.now() - world_.clock_of(node);
-            for (Part& p : parts->parts)
+            for (QuotaLease& p : parts->parts)
                 p.full_until = p.full_until + apart, p.none_from = p.none_from + apart;
             tell(node, net::PartsAre{std::move(parts->parts)});
-        } else if (auto* sends = std::get_if<Send>(&e); sends && std::get_if<Digest>(&sends->message)) {
+        } else if (auto* sends = std::get_if<Send>(&e);
+                   sends && std::get_if<OutlierDigest>(&sends->message)) {
             ++count.digests;
             count.digest_bytes += encode_frame(sends->message, 0).size();
         }
@@ -153,7 +154,7 @@
 
 void ServiceSimulation::tick(size_t b)
 {
-    tell(b, net::Ticked{});
+    tell(b, net::Tick{});
     world_.schedule(ticks, b, [this, b] { tick(b); });
 }
 
@@ -238,12 +239,12 @@
         } else if (auto* wake = std::get_if<net::Wake>(&e)) {
             world_.schedule(wake->at - world_.now(), b,
                             [this, b, name = wake->name] { tell(b, net::Woken{name}); });
-        } else if (auto* observed = std::get_if<net::Observed>(&e)) {
+        } else if (auto* observed = std::get_if<net::LocalObservations>(&e)) {
             count.widened += observed->wider > n.wider, count.narrowed += observed->wider < n.wider;
             n.shown = observed->shown, n.wider = observed->wider;
             for (const size_t u : n.liar_about) {
                 const uint64_t id = net::id_of("u" + std::to_string(u + 1));
-                std::erase_if(observed->evidence, [&](const Evidence& v) { return v.upstream == id; });
+                std::erase_if(observed->evidence, [&](const OutlierEvidence& v) { return v.upstream == id; });
                 observed->evidence.push_back({id, 1, 0, 20, {}, seconds(9), {}});
             }
             world_.tell(b, std::move(*observed));
--- a/lab/service_simulation.h
+++ b/lab/service_simulation.h
@@ -26,11 +26,11 @@
         size_t balancers = 30, upstreams = 20;
         ServerModel upstream;
         double load = 0.6;  // of what all upstreams can do
-        std::optional<SubsetRule> subset;
-        std::optional<SignalRule> signals;
-        std::optional<TurnsRule> turns;
-        std::optional<RecoveryRule> recovery;
-        Lease lease;
+        std::optional<SubsetConfig> subset;
+        std::optional<OutlierGossipConfig> signals;
+        std::optional<QuotaConfig> turns;
+        std::optional<StartupConfig> recovery;
+        LeaseConfig lease;
         Span cold = seconds(20), falls_after = seconds(1);
         double cold_share = 0.1, push = 2;  // what pushes a cold one over: so much more than it can do
         Span objective = seconds(0.25), client_timeout = seconds(1);
--- a/lab/subsets.cpp
+++ b/lab/subsets.cpp
@@ -16,10 +16,10 @@
 using namespace fleet;
 
 struct Fleet {
-    std::vector<Sharer> members;
-    std::vector<Choosable> upstreams;
+    std::vector<SubsetPeer> members;
+    std::vector<SubsetCandidate> upstreams;
 };
-using Way = std::function<Parts(const Fleet&, Key self, uint32_t size)>;
+using Way = std::function<SubsetWeights(const Fleet&, MemberKey self, uint32_t size)>;
 
 uint64_t hash(uint64_t a, uint64_t b)
 {
@@ -28,29 +28,29 @@
 }
 
 // The `size` highest by a hash of both.
-Parts rendezvous(const Fleet& f, Key self, uint32_t size)
+SubsetWeights rendezvous(const Fleet& f, MemberKey self, uint32_t size)
 {
     std::vector<std::pair<uint64_t, size_t>> order;
     for (size_t i = 0; i < f.upstreams.size(); ++i)
         if (f.upstreams[i].size > 0) order.emplace_back(hash(self, f.upstreams[i].id), i);
     std::sort(order.rbegin(), order.rend());
-    Parts parts(f.upstreams.size(), 0);
+    SubsetWeights parts(f.upstreams.size(), 0);
     for (size_t i = 0; i < std::min<size_t>(size, order.size()); ++i) parts[order[i].second] = 1;
     return parts;
 }
 
 // Members in rounds; each round deals one shuffle of the upstreams out.
-Parts rounds(const Fleet& f, Key self, uint32_t size)
+SubsetWeights rounds(const Fleet& f, MemberKey self, uint32_t size)
 {
     std::vector<uint64_t> keys;
-    for (const Sharer& s : f.members) keys.push_back(hash(s.key, 3));
+    for (const SubsetPeer& s : f.members) keys.push_back(hash(s.key, 3));
     std::sort(keys.begin(), keys.end());
     const auto number =
         static_cast<size_t>(std::lower_bound(keys.begin(), keys.end(), hash(self, 3)) - keys.begin());
     std::vector<size_t> there;
     for (size_t i = 0; i < f.upstreams.size(); ++i)
         if (f.upstreams[i].size > 0) there.push_back(i);
-    Parts parts(f.upstreams.size(), 0);
+    SubsetWeights parts(f.upstreams.size(), 0);
     if (there.empty()) return parts;
     const size_t each = std::max<size_t>(1, there.size() / size);
     std::sort(there.begin(), there.end(), [&](size_t a, size_t b) {
@@ -62,13 +62,13 @@
 }
 
 // A ring whose places do not follow from who else is there: by the golden ratio of the member's number.
-Parts golden(const Fleet& f, Key self, uint32_t size)
+SubsetWeights golden(const Fleet& f, MemberKey self, uint32_t size)
 {
     std::vector<std::pair<uint64_t, size_t>> ring;
     for (size_t i = 0; i < f.upstreams.size(); ++i)
         if (f.upstreams[i].size > 0) ring.emplace_back(hash(f.upstreams[i].id, 1), i);
     std::sort(ring.begin(), ring.end());
-    Parts parts(f.upstreams.size(), 0);
+    SubsetWeights parts(f.upstreams.size(), 0);
     const double turn = static_cast<double>(self) * 0.6180339887498949;
     const auto from = static_cast<size_t>((turn - std::floor(turn)) * static_cast<double>(ring.size()));
     for (size_t i = 0; i < std::min<size_t>(size, ring.size()); ++i)
@@ -77,22 +77,22 @@
 }
 
 // Rendezvous where nobody takes an upstream that has its share already: by all, in their order.
-Parts bounded(const Fleet& f, Key self, uint32_t size)
+SubsetWeights bounded(const Fleet& f, MemberKey self, uint32_t size)
 {
     const double n = static_cast<double>(std::max<size_t>(1, f.members.size()));
     const auto there = static_cast<double>(
         std::count_if(f.upstreams.begin(), f.upstreams.end(), [](const auto& u) { return u.size > 0; }));
     const auto most = static_cast<size_t>(1.05 * n * size / std::max(1.0, there)) + 1;
-    std::vector<Key> keys;
-    for (const Sharer& s : f.members) keys.push_back(s.key);
-    std::sort(keys.begin(), keys.end(), [](Key a, Key b) { return hash(a, 5) < hash(b, 5); });
+    std::vector<MemberKey> keys;
+    for (const SubsetPeer& s : f.members) keys.push_back(s.key);
+    std::sort(keys.begin(), keys.end(), [](MemberKey a, MemberKey b) { return hash(a, 5) < hash(b, 5); });
     std::vector<size_t> taken(f.upstreams.size(), 0);
-    for (const Key k : keys) {
+    for (const MemberKey k : keys) {
         std::vector<std::pair<uint64_t, size_t>> order;
         for (size_t i = 0; i < f.upstreams.size(); ++i)
             if (f.upstreams[i].size > 0 && taken[i] < most) order.emplace_back(hash(k, f.upstreams[i].id), i);
         std::sort(order.rbegin(), order.rend());
-        Parts parts(f.upstreams.size(), 0);
+        SubsetWeights parts(f.upstreams.size(), 0);
         for (size_t i = 0; i < std::min<size_t>(size, order.size()); ++i)
             parts[order[i].second] = 1, ++taken[order[i].second];
         if (k == self) return parts;
@@ -100,9 +100,9 @@
     return rendezvous(f, self, size);
 }
 
-Parts ring(const Fleet& f, Key self, uint32_t size)
+SubsetWeights ring(const Fleet& f, MemberKey self, uint32_t size)
 {
-    SubsetRule rule;
+    SubsetConfig rule;
     rule.size = size;
     return choose(rule, f.members, self, f.upstreams, 1);
 }
@@ -118,7 +118,7 @@
 }
 
 // What each upstream is offered for its size: each member's traffic goes by parts and sizes.
-std::vector<double> offered(const Fleet& f, const std::vector<Parts>& all)
+std::vector<double> offered(const Fleet& f, const std::vector<SubsetWeights>& all)
 {
     std::vector<double> load(f.upstreams.size(), 0);
     for (size_t m = 0; m < f.members.size(); ++m) {
@@ -136,14 +136,14 @@
            std::accumulate(load.begin(), load.end(), 0.0);
 }
 
-std::vector<Parts> by_all(const Way& way, const Fleet& f, uint32_t size)
+std::vector<SubsetWeights> by_all(const Way& way, const Fleet& f, uint32_t size)
 {
-    std::vector<Parts> all;
-    for (const Sharer& s : f.members) all.push_back(way(f, s.key, size));
+    std::vector<SubsetWeights> all;
+    for (const SubsetPeer& s : f.members) all.push_back(way(f, s.key, size));
     return all;
 }
 
-size_t taken_up(const Parts& before, const Parts& after)
+size_t taken_up(const SubsetWeights& before, const SubsetWeights& after)
 {
     size_t n = 0;
     for (size_t u = 0; u < after.size(); ++u) n += after[u] > 0 && !(before[u] > 0);
@@ -167,7 +167,7 @@
             std::ranlux24_base chance(static_cast<uint32_t>(seed + 1));
             const Fleet f = make(members, upstreams, false, chance);
             const auto all = by_all(way, f, size);
-            for (const Parts& p : all)
+            for (const SubsetWeights& p : all)
                 c.connections += static_cast<double>(
                     std::count_if(p.begin(), p.end(), [](double part) { return part > 0; }));
             c.one_view += greatest_over_mean(offered(f, all));
@@ -175,14 +175,15 @@
             c.unequal += greatest_over_mean(offered(u, by_all(way, u, size)));
 
             // Each sees a tenth of the others, and of the upstreams a twentieth, not.
-            std::vector<Parts> apart;
+            std::vector<SubsetWeights> apart;
             const auto unseen = [&](double part) {
                 return std::uniform_real_distribution<>(0, 1)(chance) < part;
             };
-            for (const Sharer& s : f.members) {
+            for (const SubsetPeer& s : f.members) {
                 Fleet own = f;
-                std::erase_if(own.members, [&](const Sharer& o) { return o.key != s.key && unseen(0.1); });
-                for (Choosable& o : own.upstreams)
+                std::erase_if(own.members,
+                              [&](const SubsetPeer& o) { return o.key != s.key && unseen(0.1); });
+                for (SubsetCandidate& o : own.upstreams)
                     if (unseen(0.05)) o.size = 0;
                 apart.push_back(way(own, s.key, size));
             }
--- a/lab/walk.cpp
+++ b/lab/walk.cpp
@@ -19,9 +19,9 @@
 {
     const auto holders = w.holders("list");
     if (holders.size() != 1) return "list is held by nobody long after all has healed";
-    const ListReplica& published = *w.fleet(holders[0]).replica();
+    const EndpointReplica& published = *w.fleet(holders[0]).replica();
     for (size_t i = 0; i < w.size(); ++i) {
-        const ListReplica& replica = *w.fleet(i).replica();
+        const EndpointReplica& replica = *w.fleet(i).replica();
         if (replica.revision() != published.revision() || replica.digest() != published.digest() ||
             w.shown_list(i) != published.lines())
             return "m" + std::to_string(i + 1) + " has not the holder's list long after all has healed";
--- a/lab/world.cpp
+++ b/lab/world.cpp
@@ -11,8 +11,8 @@
 
 bool is_of_replicas(const Message& message)
 {
-    return std::get_if<ListDelta>(&message) || std::get_if<WantListDeltas>(&message) ||
-           std::get_if<ListSnapshotChunk>(&message);
+    return std::get_if<EndpointDelta>(&message) || std::get_if<EndpointDeltaRequest>(&message) ||
+           std::get_if<EndpointSnapshotChunk>(&message);
 }
 
 }  // namespace
@@ -65,7 +65,7 @@
 }
 
 struct World::Node {
-    FleetFile file;
+    FleetConfig file;
     Disk disk;
     std::unique_ptr<Fleet> fleet;
     std::unique_ptr<VoterAgent> voter_agent;
@@ -78,14 +78,14 @@
     std::optional<Span> freeze_at_effect;
     std::unordered_map<size_t, Point> arrives;  // of the last message from each: links keep their order
     uint32_t region = 0;
-    Life life = 0;
+    InstanceId instance = 0;
     size_t candidate_of = 0;  // duties
     bool asking = false;
-    std::optional<Memory> memory;
+    std::optional<MemberSnapshot> memory;
     uint64_t list = 0, ticks = 0;
     // With deltas: what its balancer uses, what discovery told last, and the version of its agent.
-    ListLines shown;
-    std::shared_ptr<const ListLines> seen;
+    EndpointTexts shown;
+    std::shared_ptr<const EndpointTexts> seen;
     std::optional<uint64_t> discovery;
     bool list_corrupted = false;
 };
@@ -93,10 +93,10 @@
 World::World(Options options, uint64_t seed)
     : options_(std::move(options)), chance_(static_cast<uint32_t>(seed * 2654435761u + 1))
 {
-    FleetFile file;
+    FleetConfig file;
     file.name = "lab";
     for (size_t i = 0; i < options_.members; ++i) {
-        MemberLine m;
+        MemberConfig m;
         m.id = "m" + std::to_string(i + 1);
         m.key = key_of(m.id);
         m.zone = "z" + std::to_string(i % options_.zones);
@@ -107,17 +107,17 @@
     for (size_t i = 0; i < options_.duties; ++i)
         file.duties.push_back({"d" + std::to_string(i + 1), DutyKind::other, "receiver", seconds(0.1), 0});
     if (options_.list) {
-        file.list = ListDuty{};
+        file.list = EndpointListConfig{};
         file.deltas = options_.deltas;
         file.duties.push_back({"list", DutyKind::list, "", {}, 0});
     }
     if (options_.probe_parts) {
-        file.probe = ProbeDuty{seconds(1), *options_.probe_parts};
+        file.probe = ProbeConfig{seconds(1), *options_.probe_parts};
         for (uint32_t i = 0; i < *options_.probe_parts; ++i)
             file.duties.push_back({"probe." + std::to_string(i), DutyKind::probe, "", {}, 0});
     }
     if (options_.drain_most) {
-        file.drain = DrainDuty{*options_.drain_most};
+        file.drain = DrainConfig{*options_.drain_most};
         for (uint32_t i = 0; i < *options_.drain_most; ++i)
             file.duties.push_back({"drain." + std::to_string(i), DutyKind::drain, "", {}, 0});
     }
@@ -129,7 +129,7 @@
     for (size_t i = 0; i < options_.members; ++i) {
         auto node = std::make_unique<Node>();
         node->file = file;
-        node->file.self = static_cast<Member>(i);
+        node->file.self = static_cast<MemberIndex>(i);
         node->file.id = file.members[i].id;
         node->clock_from = now_;
         node->clock_was = Point{5'000'000} + seconds(100 * roll());
@@ -220,9 +220,10 @@
     n.seen.reset();
     n.list_corrupted = false;
     n.freeze_at_effect.reset();
-    n.life = uint64_t{chance_()} << 24 | chance_();
-    n.fleet = std::make_unique<Fleet>(n.file, n.life, ++n.incarnation, uint64_t{chance_()} << 24 | chance_());
-    if (options_.granter) options_.granter(n.fleet->granter());
+    n.instance = uint64_t{chance_()} << 24 | chance_();
+    n.fleet =
+        std::make_unique<Fleet>(n.file, n.instance, ++n.incarnation, uint64_t{chance_()} << 24 | chance_());
+    if (options_.lease_manager) options_.lease_manager(n.fleet->lease_manager());
     note(n.file.id + " starts");
     if (n.file.members[node].voter) {
         n.voter_agent = std::make_unique<VoterAgent>(n.file, n.disk, options_.voters_times,
@@ -233,20 +234,21 @@
     }
     later({}, node, [this, node] {
         // A power loss: its clock begins anew.
-        if (options_.recovery && nodes_[node]->memory) tell(node, Recalled{*nodes_[node]->memory, {}});
-        tell(node, Begun{});
+        if (options_.recovery && nodes_[node]->memory) tell(node, SnapshotLoaded{*nodes_[node]->memory, {}});
+        tell(node, StartupEvent{});
     });
     later(options_.tick * roll(), node, [this, node] { tick(node); });
 }
 
-void World::start_all_acquainted()
+void World::start_all_with_known_members()
 {
-    auto members = std::make_shared<std::vector<Members::One>>();
+    auto members = std::make_shared<std::vector<Membership::MemberState>>();
     for (size_t i = 0; i < size(); ++i) {
         start(i);
-        members->push_back({nodes_[i]->incarnation, nodes_[i]->life, Health::alive, 0});
+        members->push_back({nodes_[i]->incarnation, nodes_[i]->instance, Health::alive, 0});
     }
-    for (size_t i = 0; i < size(); ++i) later({}, i, [this, i, members] { tell(i, Acquainted{members}); });
+    for (size_t i = 0; i < size(); ++i)
+        later({}, i, [this, i, members] { tell(i, SeedMembership{members}); });
 }
 
 // Another way for a process to go on than to go on.
@@ -271,7 +273,7 @@
 {
     Node& n = *nodes_[node];
     if (options_.fork && ++n.ticks % 10 == 0 && forked_turn(node)) return;
-    tell(node, Ticked{});
+    tell(node, Tick{});
     if (n.voter_agent) call_voter_agent(node, [&n](Point p) { return n.voter_agent->tick(p); });
     later(options_.tick, node, [this, node] { tick(node); });
 }
@@ -295,7 +297,7 @@
 {
     if (!nodes_[node]->up) return;
     note(nodes_[node]->file.id + " stops");
-    tell(node, Stops{});
+    tell(node, ShutdownRequested{});
     later(seconds(0.3), node, [this, node] { crash(node); });
 }
 
@@ -352,7 +354,7 @@
 std::optional<size_t> World::leader() const
 {
     for (size_t i = 0; i < size(); ++i)
-        if (nodes_[i]->up && nodes_[i]->fleet->granter().leads()) return i;
+        if (nodes_[i]->up && nodes_[i]->fleet->lease_manager().is_leader()) return i;
     return {};
 }
 
@@ -415,16 +417,16 @@
         FrameReader reader;
         reader.take(*frame);
         if (reader.next() == FrameReader::State::message)
-            tell(to, Heard{static_cast<Member>(from), std::move(reader.message())});
+            tell(to, MessageReceived{static_cast<MemberIndex>(from), std::move(reader.message())});
     };
     later(at - now_, to, deliver);
     if (l.repeat > 0 && roll() < l.repeat) later(at - now_ + seconds(0.5 * roll()), to, deliver);
 }
 
-void World::act(size_t node, const Act& a, Span travels)
+void World::act(size_t node, const LeasedEffect& a, Span travels)
 {
     Node& n = *nodes_[node];
-    if (options_.gate && !n.fleet->may(clock_of(node), a)) {
+    if (options_.gate && !n.fleet->lease_allows(clock_of(node), a)) {
         ++count.stopped_at_gate;
         return;
     }
@@ -433,14 +435,14 @@
         breaks(n.file.id + " let an effect of " + a.duty + " leave without its lease");
     if (const auto* publish = std::get_if<Publish>(&a.what)) {
         for (const Send& s : publish->sends) send(node, s);
-    } else if (const auto* told = std::get_if<Tell>(&a.what)) {
+    } else if (const auto* told = std::get_if<NotifySubscriber>(&a.what)) {
         // To a receiver outside the fleet, that knows nothing but the epochs that it has met.
         later(travels + seconds(0.0002 + 0.002 * roll()), node,
               [this, node, duty = a.duty, epoch = a.epoch, number = told->number] {
                   auto& taken = taken_[duty];
                   if (options_.fences && epoch < taken.first) {
                       ++count.refused;
-                      tell(node, Refused{duty, epoch});
+                      tell(node, EffectRefused{duty, epoch});
                       return;
                   }
                   if (epoch < taken.first)
@@ -451,7 +453,7 @@
                              " twice at one epoch");
                   taken = std::max(taken, {epoch, number});
               });
-    } else if (std::get_if<ProbeNow>(&a.what)) {
+    } else if (std::get_if<StartProbes>(&a.what)) {
         ++count.probes;
     }
 }
@@ -466,7 +468,7 @@
 }
 
 void World::discovery_of(size_t node, std::optional<uint64_t> version) { nodes_[node]->discovery = version; }
-const ListLines& World::shown_list(size_t node) const { return nodes_[node]->shown; }
+const EndpointTexts& World::shown_list(size_t node) const { return nodes_[node]->shown; }
 
 void World::corrupt_list(size_t node, const std::string& uid, const std::string& text)
 {
@@ -474,9 +476,9 @@
     nodes_[node]->fleet->replica_to_corrupt()->corrupt(uid, text);
 }
 
-ListLines World::discovery_lines(uint64_t version) const
+EndpointTexts World::discovery_lines(uint64_t version) const
 {
-    ListLines lines;
+    EndpointTexts lines;
     const uint64_t entries = options_.list_entries;
     for (uint64_t entry = 0; entry < entries; ++entry) {
         const uint64_t changes = version < entry ? 0 : (version - entry) / entries + 1;
@@ -487,7 +489,7 @@
     return lines;
 }
 
-ListSeen World::discovery_answer(size_t node)
+EndpointListFetched World::discovery_answer(size_t node)
 {
     Node& n = *nodes_[node];
     const uint64_t version = n.discovery.value_or(discovery_);
@@ -495,7 +497,8 @@
         const bool newest = version == discovery_;
         return {"", version, newest ? discovery_list_ : "list " + std::to_string(version), nullptr, {}};
     }
-    const auto before = std::exchange(n.seen, std::make_shared<const ListLines>(discovery_lines(version)));
+    const auto before =
+        std::exchange(n.seen, std::make_shared<const EndpointTexts>(discovery_lines(version)));
     if (!before) return {"", version, "", n.seen, {}};
     std::vector<std::string> uids;
     for (size_t entry = 0; entry < options_.list_entries; ++entry) {
@@ -507,7 +510,7 @@
     return {"", version, "", n.seen, std::move(uids)};
 }
 
-void World::use_list(size_t node, const UseList& use)
+void World::use_list(size_t node, const ApplyEndpointList& use)
 {
     Node& n = *nodes_[node];
     if (use.version < n.list) breaks("an older list was taken");
@@ -529,16 +532,16 @@
             if (!n.voter_agent) continue;
             call_voter_agent(node, [&n, call = std::move(d->call)](Point p) -> std::vector<VoterAgentEffect> {
                 VoterAgent& k = *n.voter_agent;
-                if (const auto* w = std::get_if<std::pair<Member, DiskReport>>(&call))
+                if (const auto* w = std::get_if<std::pair<MemberIndex, DiskReport>>(&call))
                     return k.on_disk_report(p, w->first, w->second);
-                if (const auto* f = std::get_if<std::pair<Member, Founded>>(&call))
+                if (const auto* f = std::get_if<std::pair<MemberIndex, BootstrapConfig>>(&call))
                     return k.founded(p, f->first, f->second);
-                if (const auto* r = std::get_if<RaftSent>(&call)) return k.raft(p, *r);
-                if (const auto* q = std::get_if<Propose>(&call)) return k.propose(p, *q);
-                const auto& o = std::get<Seating>(call);
+                if (const auto* r = std::get_if<RaftMessage>(&call)) return k.raft(p, *r);
+                if (const auto* q = std::get_if<Proposal>(&call)) return k.propose(p, *q);
+                const auto& o = std::get<VoterConfigChange>(call);
                 return o.in ? k.add_voter(p, o.name, o.member) : k.remove_voter(p, o.name, o.member);
             });
-        } else if (auto* a = std::get_if<Act>(&e)) {
+        } else if (auto* a = std::get_if<LeasedEffect>(&e)) {
             const size_t way = options_.fork ? fork(Fork::effect) : 0;
             if (way == 1 || way == 2) n.freeze_at_effect = options_.lease.length * (way == 1 ? 0.7 : 1.4);
             if (n.freeze_at_effect) {
@@ -547,18 +550,18 @@
             } else {
                 act(node, *a, way == 3 ? options_.lease.length * 1.4 : Span{});
             }
-        } else if (auto* q = std::get_if<AskDiscovery>(&e)) {
+        } else if (auto* q = std::get_if<SetDiscoveryPolling>(&e)) {
             const bool was = std::exchange(n.asking, q->on);
             n.seen.reset();
             if (q->on && !was) later(seconds(0.005), node, [this, node] { ask_discovery(node); });
-        } else if (auto* keep = std::get_if<Keep>(&e)) {
+        } else if (auto* keep = std::get_if<WriteSnapshot>(&e)) {
             n.memory = std::move(keep->memory);
-        } else if (auto* u = std::get_if<UseList>(&e)) {
+        } else if (auto* u = std::get_if<ApplyEndpointList>(&e)) {
             use_list(node, *u);
         } else if (auto* r = std::get_if<Reply>(&e)) {
             last_reply = r->text;
             note(n.file.id + " answers " + r->text.substr(0, r->text.find('\n')));
-        } else if (auto* m = std::get_if<Noted>(&e)) {
+        } else if (auto* m = std::get_if<LogEvent>(&e)) {
             holders_changed(node, *m);
             note(n.file.id + " " + m->event + " " + m->subject + " " + m->health +
                  (m->epoch ? " " + std::to_string(m->epoch) : "") + (m->why.empty() ? "" : ": " + m->why));
@@ -571,7 +574,7 @@
 {
     Node& node = *nodes_[at_node];
     if (!node.up || !node.fleet->replica()) return;
-    const ListReplica& replica = *node.fleet->replica();
+    const EndpointReplica& replica = *node.fleet->replica();
     const auto at = digests_.emplace(replica.revision(), replica.digest()).first;
     if (at->second == replica.digest())
         node.list_corrupted = false;
@@ -580,7 +583,7 @@
                std::to_string(replica.revision().epoch) + "." + std::to_string(replica.revision().number));
 }
 
-void World::holders_changed(size_t node, const Noted& noted)
+void World::holders_changed(size_t node, const LogEvent& noted)
 {
     if (noted.event != "gained" && noted.event != "lost") return;
     check_due_ = true;
--- a/lab/world.h
+++ b/lab/world.h
@@ -20,7 +20,7 @@
 using namespace fleet;
 
 // A disk in memory, whose next calls can be made to fail, and that can forget what was not synced.
-class Disk : public Files
+class Disk : public FileSystem
 {
   public:
     std::error_code read(const std::string& name, std::optional<std::string>& into) override;
@@ -62,21 +62,21 @@
   public:
     struct Options {
         size_t members = 5, voters = 3, duties = 4, zones = 3;
-        Lease lease;
+        LeaseConfig lease;
         bool list = false;
-        std::optional<DeltasRule> deltas;
+        std::optional<EndpointDeltaConfig> deltas;
         size_t list_entries = 12;  // that discovery may know
         std::optional<uint32_t> probe_parts, drain_most;
-        std::optional<SubsetRule> subset;
-        std::optional<SignalRule> signals;
-        std::optional<TurnsRule> turns;
-        std::optional<RecoveryRule> recovery;
+        std::optional<SubsetConfig> subset;
+        std::optional<OutlierGossipConfig> signals;
+        std::optional<QuotaConfig> turns;
+        std::optional<StartupConfig> recovery;
         Span tick = seconds(0.02);
         VoterTimes voters_times;
-        bool fences = true;                     // receivers refuse lower epochs
-        bool gate = true;                       // the check before each effect
-        std::function<void(Granter&)> granter;  // a safety rule taken out
-        std::function<size_t(Fork)> fork;       // which way; absent: the first
+        bool fences = true;                                // receivers refuse lower epochs
+        bool gate = true;                                  // the check before each effect
+        std::function<void(LeaseManager&)> lease_manager;  // a safety rule taken out
+        std::function<size_t(Fork)> fork;                  // which way; absent: the first
     };
     World(Options options, uint64_t seed);
     ~World();
@@ -103,7 +103,7 @@
 
     void start(size_t node);
     // All members, each of which already knows all others to be alive: a fleet that has long been up.
-    void start_all_acquainted();
+    void start_all_with_known_members();
     void crash(size_t node, bool power = false);  // power: what was not synced is lost
     void stop(size_t node);                       // as by SIGTERM
     void freeze(size_t node, Span span);
@@ -131,7 +131,7 @@
     // The agent of one member is behind the others; nothing: it is not.
     void discovery_of(size_t node, std::optional<uint64_t> version);
     // The list as discovery has it at a version: each version changes one entry, some are gone.
-    ListLines discovery_lines(uint64_t version) const;
+    EndpointTexts discovery_lines(uint64_t version) const;
 
     // Who may act for it now, by its own clock.
     std::vector<size_t> holders(const std::string& duty) const;
@@ -140,7 +140,7 @@
     uint64_t list_of(size_t node) const;
     // An entry of its replica changes as no delta did. It may differ from others until that is repaired.
     void corrupt_list(size_t node, const std::string& uid, const std::string& text);
-    const ListLines& shown_list(size_t node) const;  // as its balancer uses it, with deltas
+    const EndpointTexts& shown_list(size_t node) const;  // as its balancer uses it, with deltas
     std::string show(size_t node);
 
     const std::vector<Broken>& broken() const { return broken_; }
@@ -175,18 +175,18 @@
 
     void later(Span after, size_t node, std::function<void()> what, bool checked = true);
     void carry_out(size_t node, std::vector<FleetEffect> effects);
-    void act(size_t node, const Act& act, Span travels = {});
+    void act(size_t node, const LeasedEffect& act, Span travels = {});
     void send(size_t from, const Send& send);
     void call_voter_agent(size_t node, const std::function<std::vector<VoterAgentEffect>(Point)>& call);
     void tick(size_t node);
     void ask_discovery(size_t node);
-    ListSeen discovery_answer(size_t node);
-    void use_list(size_t node, const UseList& use);
+    EndpointListFetched discovery_answer(size_t node);
+    void use_list(size_t node, const ApplyEndpointList& use);
     void check_replica(size_t at_node);
     size_t fork(Fork at) { return options_.fork ? options_.fork(at) : 0; }
     bool forked_turn(size_t node);
     const Link& link_between(size_t from, size_t to) const;
-    void holders_changed(size_t node, const Noted& noted);
+    void holders_changed(size_t node, const LogEvent& noted);
     void check();
     Point lease_ends(size_t node) const;
     void breaks(const std::string& rule);
@@ -214,7 +214,7 @@
     Point check_at_;         // the first time at which a lease may end
     uint64_t discovery_ = 1;
     std::string discovery_list_ = "list 1";
-    std::map<ListRevision, uint64_t> digests_;  // of the states that replicas have had
+    std::map<EndpointRevision, uint64_t> digests_;  // of the states that replicas have had
 };
 
 }  // namespace firtide::lab
--- a/scale/hollow_process.cpp
+++ b/scale/hollow_process.cpp
@@ -29,7 +29,7 @@
   public:
     using Report = std::function<void(const HollowReport&)>;
 
-    HollowMember(event_base* base, const net::Config& config, fleet::FleetFile file, std::string path,
+    HollowMember(event_base* base, const net::Config& config, fleet::FleetConfig file, std::string path,
                  Report report)
         : base_(base),
           config_(config),
@@ -46,7 +46,7 @@
     {
         if (host_) end();
         fleet::Host::Hooks hooks;
-        hooks.use_list = [this](const fleet::UseList& list) {
+        hooks.use_list = [this](const fleet::ApplyEndpointList& list) {
             report_(ListInForce{file_.self, list.version, fleet::fleet_now()});
         };
         hooks.ask_discovery = [this](bool on) { ask_discovery(on); };
@@ -57,7 +57,7 @@
     void leave()
     {
         if (!host_) return;
-        host_->tell(fleet::Stops{});
+        host_->tell(fleet::ShutdownRequested{});
         const auto wait = net::to_timeval(leaves_within);
         event_add(leaving_.get(), &wait);
     }
@@ -103,16 +103,17 @@
         const auto source = net::text_of(config_.discovery);
         if (file_.deltas)
             return discovery_->tell_lines([this, source](uint64_t version, auto lines, auto uids) {
-                host_->tell(fleet::ListSeen{source, version, "", std::move(lines), std::move(uids)});
+                host_->tell(
+                    fleet::EndpointListFetched{source, version, "", std::move(lines), std::move(uids)});
             });
         discovery_->tell_whole([this, source](uint64_t version, std::string text) {
-            host_->tell(fleet::ListSeen{source, version, std::move(text), nullptr, {}});
+            host_->tell(fleet::EndpointListFetched{source, version, std::move(text), nullptr, {}});
         });
     }
 
     event_base* base_;
     const net::Config& config_;
-    const fleet::FleetFile file_;
+    const fleet::FleetConfig file_;
     const std::string path_;
     const Report report_;
     fleet::TrafficCounts earlier_;  // of its lives before this one
@@ -134,10 +135,10 @@
               [this] { event_base_loopbreak(base_.get()); })
     {
         // Read once; the members' own copies differ in who they are.
-        const auto file = fleet::read_fleet_file(spec.fleet_path);
+        const auto file = fleet::read_fleet_config(spec.fleet_path);
         for (size_t place = 0; place < spec.data_folders.size(); ++place) {
-            fleet::FleetFile own = file;
-            own.self = spec.first + static_cast<fleet::Member>(place);
+            fleet::FleetConfig own = file;
+            own.self = spec.first + static_cast<fleet::MemberIndex>(place);
             own.id = own.members[own.self].id;
             own.listen = own.members[own.self].address;
             own.data = spec.data_folders[place];
--- a/scale/stand_ins.cpp
+++ b/scale/stand_ins.cpp
@@ -107,7 +107,7 @@
 class ListChanger
 {
   public:
-    ListChanger(event_base* base, rig::DiscoveryStandIn& discovery, ListChanges changes,
+    ListChanger(event_base* base, rig::DiscoveryStandIn& discovery, EndpointChanges changes,
                 double changes_per_second, std::atomic<uint64_t>& count)
         : base_(base),
           discovery_(discovery),
@@ -130,7 +130,7 @@
 
     event_base* base_;
     rig::DiscoveryStandIn& discovery_;
-    ListChanges changes_;
+    EndpointChanges changes_;
     double changes_per_second_;
     std::atomic<uint64_t>& count_;
 };
@@ -150,8 +150,9 @@
     }
     std::unique_ptr<ListChanger> changer;
     if (changes_per_second > 0)
-        changer = std::make_unique<ListChanger>(
-            base.get(), *servers.back(), ListChanges(lists.back().size(), seed), changes_per_second, changes);
+        changer = std::make_unique<ListChanger>(base.get(), *servers.back(),
+                                                EndpointChanges(lists.back().size(), seed),
+                                                changes_per_second, changes);
     tell_ports(pipe, ports);
     event_base_dispatch(base.get());
 }
@@ -175,9 +176,9 @@
 
 }  // namespace
 
-ListChanges::ListChanges(size_t upstreams, uint64_t seed) : random_(seed), upstreams_(upstreams) {}
+EndpointChanges::EndpointChanges(size_t upstreams, uint64_t seed) : random_(seed), upstreams_(upstreams) {}
 
-ListChange ListChanges::next()
+ListChange EndpointChanges::next()
 {
     const size_t upstream = random_() % upstreams_;
     if (random_() % 2 == 0) return {upstream, ListChange::Kind::restarted};
@@ -192,7 +193,7 @@
     return {back, ListChange::Kind::ready};
 }
 
-Span ListChanges::next_gap(double changes_per_second)
+Span EndpointChanges::next_gap(double changes_per_second)
 {
     const double uniform = static_cast<double>(random_() >> 11) * 0x1p-53;
     return seconds(-std::log1p(-uniform) / changes_per_second);
--- a/scale/stand_ins.h
+++ b/scale/stand_ins.h
@@ -26,10 +26,10 @@
 
 // Half of the changes restart an upstream, which then is cold; the others drain one or take it back. No more
 // than a quarter drain at a time. The same seed gives the same changes.
-class ListChanges
+class EndpointChanges
 {
   public:
-    ListChanges(size_t upstreams, uint64_t seed);
+    EndpointChanges(size_t upstreams, uint64_t seed);
     ListChange next();
     // Until the next change; the mean is one second through the rate.
     Span next_gap(double changes_per_second);
--- a/src/fleet/commands.cpp
+++ b/src/fleet/commands.cpp
@@ -11,22 +11,22 @@
 namespace firtide::fleet
 {
 
-FleetFile read_fleet_file(const std::string& path)
+FleetConfig read_fleet_config(const std::string& path)
 {
     std::ifstream file(path);
     std::stringstream text;
     if (!file || !(text << file.rdbuf())) throw CannotStart(path + ": cannot be read");
-    auto decoded = decode_fleet_file(text.str());
+    auto decoded = decode_fleet_config(text.str());
     if (const auto* fault = std::get_if<Fault>(&decoded))
         throw CannotStart(path + ":" + std::to_string(fault->at.line) + ": " + fault->at.key + ": " +
                           fault->what);
-    FleetFile fleet_file = std::move(std::get<FleetFile>(decoded));
+    FleetConfig fleet_file = std::move(std::get<FleetConfig>(decoded));
     return fleet_file;
 }
 
 int check_file(const std::string& path)
 {
-    const auto file = read_fleet_file(path);
+    const auto file = read_fleet_config(path);
     Host::check(file, path);
     std::printf("the fleet file is well-formed: %zu members, %zu of them vote, %zu duties\n",
                 file.members.size(), file.voters(), file.duties.size());
@@ -38,9 +38,9 @@
     std::ifstream file(path, std::ios::binary);
     std::stringstream text;
     if (!file || !(text << file.rdbuf())) throw CannotStart(path + ": cannot be read");
-    const auto decoded = decode_memory(text.str());
+    const auto decoded = decode_member_snapshot(text.str());
     if (const auto* why = std::get_if<std::string>(&decoded)) throw CannotStart(path + ": " + *why);
-    const auto& m = std::get<Memory>(decoded);
+    const auto& m = std::get<MemberSnapshot>(decoded);
     std::printf("the snapshot is whole: member %s of fleet %s, incarnation %llu\n", m.member.c_str(),
                 m.fleet.c_str(), static_cast<unsigned long long>(m.incarnation));
     if (!dump) return 0;
--- a/src/fleet/commands.h
+++ b/src/fleet/commands.h
@@ -9,7 +9,7 @@
 {
 
 // Throws CannotStart with one line: file, line and key.
-FleetFile read_fleet_file(const std::string& path);
+FleetConfig read_fleet_config(const std::string& path);
 
 // Both return the exit status.
 int check_file(const std::string& path);
--- a/src/fleet/config.cpp
+++ b/src/fleet/config.cpp
@@ -24,14 +24,14 @@
     return said;
 }
 
-void read_members(const TomlTable& top, FleetFile& file)
+void read_members(const TomlTable& top, FleetConfig& file)
 {
     std::set<std::string> ids, addresses;
-    std::set<Key> keys;
+    std::set<MemberKey> keys;
     top.each("member", [&](const toml::table& one, const std::string& where) {
         const TomlTable table(one, where, {"id", "address", "zone", "voter"});
-        MemberLine m{word(table, "id"), 0, table.endpoint("address"), "", table.flag("voter", false),
-                     table.place().line};
+        MemberConfig m{word(table, "id"), 0, table.endpoint("address"), "", table.flag("voter", false),
+                       table.place().line};
         if (table.has("zone")) m.zone = word(table, "zone");
         m.key = key_of(m.id);
         if (!ids.insert(m.id).second)
@@ -56,7 +56,7 @@
               "3, 5 or 7 members vote, not " + std::to_string(voters));
 }
 
-void read_duties(const TomlTable& top, FleetFile& file)
+void read_duties(const TomlTable& top, FleetConfig& file)
 {
     std::set<std::string> names;
     top.each("duty", [&](const toml::table& one, const std::string& where) {
@@ -76,7 +76,7 @@
         wrong("duty", file.duties.back().line, "more than " + std::to_string(most_duties) + " duties");
     if (const auto* t = top.table("list")) {
         const TomlTable table(*t, "list", {"stale"});
-        ListDuty list;
+        EndpointListConfig list;
         list.stale = table.span("stale", list.stale, seconds(0.5), seconds(300));
         file.list = list;
         file.duties.push_back({"list", DutyKind::list, "", {}, table.place().line});
@@ -84,7 +84,7 @@
     if (const auto* t = top.table("deltas")) {
         const TomlTable table(*t, "deltas", {"history", "repair", "chunk"});
         if (!file.list) wrong("deltas", table.place().line, "says nothing without [list]");
-        DeltasRule deltas;
+        EndpointDeltaConfig deltas;
         deltas.history = table.count("history", deltas.history, 1, 1'000'000);
         deltas.repair = table.span("repair", deltas.repair, seconds(0.05), seconds(60));
         deltas.chunk = table.bytes("chunk", deltas.chunk, least_chunk, most_chunk);
@@ -92,7 +92,7 @@
     }
     if (const auto* t = top.table("probe")) {
         const TomlTable table(*t, "probe", {"every", "parts"});
-        ProbeDuty probe;
+        ProbeConfig probe;
         probe.every = table.span("every", probe.every, seconds(0.05), seconds(60));
         probe.parts = table.count("parts", probe.parts, 1, 64);
         for (uint32_t i = 0; i < probe.parts; ++i)
@@ -102,7 +102,7 @@
     }
     if (const auto* t = top.table("drain")) {
         const TomlTable table(*t, "drain", {"most"});
-        DrainDuty drain;
+        DrainConfig drain;
         drain.most = table.count("most", drain.most, 1, 64);
         for (uint32_t i = 0; i < drain.most; ++i)
             file.duties.push_back(
@@ -112,7 +112,7 @@
 }
 
 // Guards against floors that are more than what is kept for them.
-void check_floor(const TomlTable& turns, const TurnsRule& rule, size_t members, const std::string& budget,
+void check_floor(const TomlTable& turns, const QuotaConfig& rule, size_t members, const std::string& budget,
                  double whole)
 {
     if (rule.floor && *rule.floor * static_cast<double>(members) > whole * kept_for_floors)
@@ -121,10 +121,10 @@
                   budget + " that is kept for floors");
 }
 
-void read_turns(const toml::table& t, FleetFile& file)
+void read_turns(const toml::table& t, FleetConfig& file)
 {
     const TomlTable table(t, "turns", {"length", "floor", "retries", "probes", "cold", "tenant"});
-    TurnsRule turns;
+    QuotaConfig turns;
     turns.length = table.span("length", turns.length, seconds(0.2), seconds(60));
     if (table.has("floor")) turns.floor = table.number("floor", 0, 0, 1e6);
     for (const char* budget : {"retries", "probes", "cold"}) {
@@ -144,11 +144,11 @@
     file.duties.push_back({"parts", DutyKind::parts, "", {}, table.place().line});
 }
 
-void read_choices(const TomlTable& top, FleetFile& file)
+void read_choices(const TomlTable& top, FleetConfig& file)
 {
     if (const auto* t = top.table("subset")) {
         const TomlTable table(*t, "subset", {"size", "zones", "beyond", "narrow"});
-        SubsetRule subset;
+        SubsetConfig subset;
         subset.size = table.count("size", subset.size, 2, 5000);
         subset.zones = table.flag("zones", subset.zones);
         subset.beyond = table.count("beyond", subset.beyond, 1, 5000);
@@ -159,7 +159,7 @@
     }
     if (const auto* t = top.table("signals")) {
         const TomlTable table(*t, "signals", {"alone", "validity", "bytes"});
-        SignalRule signals;
+        OutlierGossipConfig signals;
         signals.alone = table.number("alone", signals.alone, 0, 0.9);
         signals.validity = table.span("validity", signals.validity, seconds(0.2), seconds(60));
         signals.bytes = table.count("bytes", signals.bytes, 200, 1'000'000);
@@ -168,7 +168,7 @@
     if (const auto* t = top.table("turns")) read_turns(*t, file);
     if (const auto* t = top.table("recovery")) {
         const TomlTable table(*t, "recovery", {"every", "wait", "warm"});
-        RecoveryRule recovery;
+        StartupConfig recovery;
         recovery.every = table.span("every", recovery.every, seconds(0.1), seconds(600));
         recovery.wait = table.span("wait", recovery.wait, seconds(0.5), seconds(600));
         recovery.warm = table.span("warm", recovery.warm, seconds(1), seconds(3600));
@@ -176,9 +176,9 @@
     }
 }
 
-FleetFile read(const toml::table& from)
+FleetConfig read(const toml::table& from)
 {
-    FleetFile file;
+    FleetConfig file;
     const TomlTable top(from, "",
                         {"fleet", "member", "lease", "duty", "list", "probe", "drain", "subset", "signals",
                          "turns", "recovery", "deltas"});
@@ -207,14 +207,14 @@
 
 }  // namespace
 
-std::optional<DutyIndex> FleetFile::duty_of(std::string_view named) const
+std::optional<DutyIndex> FleetConfig::duty_of(std::string_view named) const
 {
     for (DutyIndex d = 0; d < duties.size(); ++d)
         if (duties[d].name == named) return d;
     return {};
 }
 
-std::variant<FleetFile, Fault> decode_fleet_file(std::string_view text)
+std::variant<FleetConfig, Fault> decode_fleet_config(std::string_view text)
 {
     try {
         return read(toml::parse(text));
--- a/src/fleet/config.h
+++ b/src/fleet/config.h
@@ -17,7 +17,7 @@
 
 using DutyIndex = uint32_t;  // place among the duties
 
-struct Lease {
+struct LeaseConfig {
     Span length = seconds(3);
     double drift = 0.02;  // clocks' rates differ by this part at the most
 
@@ -41,44 +41,44 @@
     uint32_t line = 0;
 };
 
-struct ListDuty {
+struct EndpointListConfig {
     Span stale = seconds(4);  // older than that, and each asks discovery itself
 };
 // The list goes round as deltas, and members repair each other's replicas.
-struct DeltasRule {
+struct EndpointDeltaConfig {
     uint32_t history = 1000;     // changes that a member keeps to repair others
     Span repair = seconds(1);    // a member that finds itself behind asks again after so long
     uint32_t chunk = 64 * 1024;  // bytes of entries in one message
 };
-struct ProbeDuty {
+struct ProbeConfig {
     Span every = seconds(1);
     uint32_t parts = 4;
 };
-struct DrainDuty {
+struct DrainConfig {
     uint32_t most = 1;  // balancers drained at a time
 };
 
-struct FleetFile {
+struct FleetConfig {
     std::string name, id, listen, data;
     Roster members;  // held once by all copies
-    Member self = 0;
-    Lease lease;
+    MemberIndex self = 0;
+    LeaseConfig lease;
     std::vector<Duty> duties;
-    std::optional<ListDuty> list;
-    std::optional<DeltasRule> deltas;
-    std::optional<ProbeDuty> probe;
-    std::optional<DrainDuty> drain;
-    std::optional<SubsetRule> subset;
-    std::optional<SignalRule> signals;
-    std::optional<TurnsRule> turns;
-    std::optional<RecoveryRule> recovery;
+    std::optional<EndpointListConfig> list;
+    std::optional<EndpointDeltaConfig> deltas;
+    std::optional<ProbeConfig> probe;
+    std::optional<DrainConfig> drain;
+    std::optional<SubsetConfig> subset;
+    std::optional<OutlierGossipConfig> signals;
+    std::optional<QuotaConfig> turns;
+    std::optional<StartupConfig> recovery;
 
     size_t voters() const { return members.voters(); }
-    std::optional<Member> member_of(Key key) const { return members.member_of(key); }
-    std::optional<Member> member_of(std::string_view named) const { return members.member_of(named); }
+    std::optional<MemberIndex> member_of(MemberKey key) const { return members.member_of(key); }
+    std::optional<MemberIndex> member_of(std::string_view named) const { return members.member_of(named); }
     std::optional<DutyIndex> duty_of(std::string_view name) const;
 };
 
-std::variant<FleetFile, Fault> decode_fleet_file(std::string_view text);
+std::variant<FleetConfig, Fault> decode_fleet_config(std::string_view text);
 
 }  // namespace firtide::fleet
--- a/src/fleet/files.cpp
+++ b/src/fleet/files.cpp
@@ -43,7 +43,7 @@
 
 }  // namespace
 
-std::error_code Folder::open(const std::string& path, std::optional<Folder>& into)
+std::error_code Directory::open(const std::string& path, std::optional<Directory>& into)
 {
     if (::mkdir(path.c_str(), 0700) != 0 && errno != EEXIST) return last_error();
     const int lock = ::open((path + "/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
@@ -53,16 +53,16 @@
         ::close(lock);
         return error;
     }
-    into.emplace(Folder(path, lock));
+    into.emplace(Directory(path, lock));
     return {};
 }
 
-Folder::~Folder()
+Directory::~Directory()
 {
     if (lock_ >= 0) ::close(lock_);
 }
 
-std::error_code Folder::read(const std::string& name, std::optional<std::string>& into)
+std::error_code Directory::read(const std::string& name, std::optional<std::string>& into)
 {
     into.reset();
     const Descriptor file{::open(at(name).c_str(), O_RDONLY | O_CLOEXEC)};
@@ -80,15 +80,15 @@
     return {};
 }
 
-std::error_code Folder::append(const std::string& name, std::string_view bytes)
+std::error_code Directory::append(const std::string& name, std::string_view bytes)
 {
     const Descriptor file{::open(at(name).c_str(), O_WRONLY | O_APPEND | O_CREAT | O_CLOEXEC, 0600)};
     return file.fd < 0 ? last_error() : write_all(file.fd, bytes);
 }
 
-std::error_code Folder::sync(const std::string& name) { return sync_path(at(name), O_RDONLY); }
+std::error_code Directory::sync(const std::string& name) { return sync_path(at(name), O_RDONLY); }
 
-std::error_code Folder::replace(const std::string& name, std::string_view bytes)
+std::error_code Directory::replace(const std::string& name, std::string_view bytes)
 {
     const std::string fresh = at(name) + ".new";
     {
--- a/src/fleet/files.h
+++ b/src/fleet/files.h
@@ -10,10 +10,10 @@
 namespace firtide::fleet
 {
 
-class Files
+class FileSystem
 {
   public:
-    virtual ~Files() = default;
+    virtual ~FileSystem() = default;
     // The whole file; nothing where there is none.
     virtual std::error_code read(const std::string& name, std::optional<std::string>& into) = 0;
     // Behind what is there. After an error a part of the bytes may stand there.
@@ -25,14 +25,17 @@
 };
 
 // A folder of the file system, locked for this process as long as it lives.
-class Folder : public Files
+class Directory : public FileSystem
 {
   public:
     // Makes the folder where there is none. Fails where it can't be written, or another process has it.
-    static std::error_code open(const std::string& path, std::optional<Folder>& into);
-    Folder(Folder&& other) noexcept : path_(std::move(other.path_)), lock_(std::exchange(other.lock_, -1)) {}
-    Folder& operator=(Folder&&) = delete;
-    ~Folder() override;
+    static std::error_code open(const std::string& path, std::optional<Directory>& into);
+    Directory(Directory&& other) noexcept
+        : path_(std::move(other.path_)), lock_(std::exchange(other.lock_, -1))
+    {
+    }
+    Directory& operator=(Directory&&) = delete;
+    ~Directory() override;
 
     std::error_code read(const std::string& name, std::optional<std::string>& into) override;
     std::error_code append(const std::string& name, std::string_view bytes) override;
@@ -40,7 +43,7 @@
     std::error_code replace(const std::string& name, std::string_view bytes) override;
 
   private:
-    Folder(std::string path, int lock) : path_(std::move(path)), lock_(lock) {}
+    Directory(std::string path, int lock) : path_(std::move(path)), lock_(lock) {}
     std::string at(const std::string& name) const { return path_ + "/" + name; }
 
     std::string path_;
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -10,7 +10,7 @@
 
 constexpr Span order_waits = seconds(10);  // for the leader, beyond three leases
 constexpr Span first_list = seconds(1.5);  // after the start, before discovery is asked all the same
-constexpr Member nobody = UINT32_MAX;
+constexpr MemberIndex nobody = UINT32_MAX;
 constexpr Span weigh_every = seconds(10), sharers_every = seconds(0.2);
 constexpr double most_off = 1.5;  // steps of a weight
 
@@ -18,7 +18,7 @@
 double weight_steps(double rate) { return std::clamp(100 + 4 * std::log2(std::max(rate, 1e-6)), 1.0, 255.0); }
 double weight_of(uint8_t steps) { return std::exp2((steps - 100) / 4.0); }
 
-Span period_of(const FleetFile& file)
+Span period_of(const FleetConfig& file)
 {
     return std::clamp(file.lease.length * 0.125, seconds(0.1), seconds(2));
 }
@@ -30,19 +30,19 @@
 
 }  // namespace
 
-Fleet::Fleet(const FleetFile& file, Life life, Incarnation incarnation, uint64_t seed)
+Fleet::Fleet(const FleetConfig& file, InstanceId instance, Incarnation incarnation, uint64_t seed)
     : file_(file),
       self_(file.self),
       chance_(static_cast<uint32_t>(seed ^ seed >> 32)),
-      members_(file, life, incarnation, period_of(file), seed + 1),
-      holder_(file, life, seed + 2),
-      granter_(file, seed + 3)
+      members_(file, instance, incarnation, period_of(file), seed + 1),
+      lease_client_(file, instance, seed + 2),
+      lease_manager_(file, seed + 3)
 {
-    granter_.table_is(table_);
+    lease_manager_.table_is(table_);
     if (file_.deltas) distribution_.emplace(*file_.deltas);
-    if (file_.signals) signals_.emplace(*file_.signals, file_.members[self_].key, life);
+    if (file_.signals) signals_.emplace(*file_.signals, file_.members[self_].key, instance);
     if (file_.turns) {
-        shares_.emplace(*file_.turns, file_.members.size(), life);
+        shares_.emplace(*file_.turns, file_.members.size(), instance);
         allocator_.emplace(*file_.turns, file_.lease.drift);
     }
 }
@@ -55,12 +55,15 @@
     return std::exchange(effects_, {});
 }
 
-bool Fleet::may(Point now, const Act& act) const { return holder_.may(now + act.lasts, act.duty, act.epoch); }
+bool Fleet::lease_allows(Point now, const LeasedEffect& act) const
+{
+    return lease_client_.holds(now + act.lasts, act.duty, act.epoch);
+}
 
-Key Fleet::leader_key() const
+MemberKey Fleet::leader_key() const
 {
-    if (!standing_ || standing_->stage != Stage::voting || !standing_->standing.leader) return 0;
-    for (const Seat& s : standing_->standing.seats)
+    if (!standing_ || standing_->stage != VoterStage::voting || !standing_->standing.leader) return 0;
+    for (const VoterConfig& s : standing_->standing.seats)
         if (s.disk == standing_->standing.leader) return key_of(s.member);
     return 0;
 }
@@ -71,12 +74,12 @@
     for (bool more = true; more;) {
         more = false;
         std::vector<Send> sends = members_.take_sends();
-        for (auto* part : {&holder_}) {
+        for (auto* part : {&lease_client_}) {
             auto some = part->take_sends();
             sends.insert(sends.end(), std::make_move_iterator(some.begin()),
                          std::make_move_iterator(some.end()));
         }
-        auto some = granter_.take_sends();
+        auto some = lease_manager_.take_sends();
         sends.insert(sends.end(), std::make_move_iterator(some.begin()), std::make_move_iterator(some.end()));
         for (Send& s : sends) {
             if (s.to != self_) {
@@ -84,21 +87,21 @@
                 continue;
             }
             more = true;
-            Heard own{self_, std::move(s.message)};
+            MessageReceived own{self_, std::move(s.message)};
             on(own);
         }
-        for (Propose& p : granter_.take_proposals()) effects_.push_back(CallVoterAgent{std::move(p)});
-        for (const Change& c : holder_.take_changes()) changed(c), more = true;
+        for (Proposal& p : lease_manager_.take_proposals()) effects_.push_back(CallVoterAgent{std::move(p)});
+        for (const LeaseChange& c : lease_client_.take_changes()) changed(c), more = true;
         for (const HealthChange& h : members_.take_changes())
             effects_.push_back(
-                Noted{"member", file_.members[h.member].id, "", h.incarnation, text_of(h.health), {}});
+                LogEvent{"member", file_.members[h.member].id, "", h.incarnation, text_of(h.health), {}});
     }
 }
 
-void Fleet::on(const Begun&)
+void Fleet::on(const StartupEvent&)
 {
     members_.start(now_);
-    holder_.start(now_);
+    lease_client_.start(now_);
     begun_ = kept_at_ = now_;
     began_as_ = members_.incarnation();
     list_fresh_ = now_;
@@ -107,21 +110,21 @@
     if (file_.list) list_fresh_ = now_ - file_.list->stale + first_list;
 }
 
-void Fleet::on(Heard& heard)
+void Fleet::on(MessageReceived& heard)
 {
-    const Member from = heard.from;
+    const MemberIndex from = heard.from;
     if (from != self_) members_.heard(now_, from);
     std::visit(Cases{
                    [&](const Hello&) {},
                    [&](const Ping& p) {
                        members_.on(now_, from, p);
-                       holder_.leader_is(p.leader, p.term);
+                       lease_client_.leader_is(p.leader, p.term);
                        hear_list(from, p);
                    },
-                   [&](const Ask& a) { members_.on(now_, from, a); },
-                   [&](const Reached& r) { members_.on(now_, from, r); },
+                   [&](const IndirectProbeRequest& a) { members_.on(now_, from, a); },
+                   [&](const IndirectProbeAck& r) { members_.on(now_, from, r); },
                    [&](const MembershipUpdates& r) { members_.on(now_, from, r); },
-                   [&](RaftSent& r) {
+                   [&](RaftMessage& r) {
                        disks_[r.from] = from;
                        effects_.push_back(CallVoterAgent{std::move(r)});
                    },
@@ -129,95 +132,100 @@
                        disks_[w.disk] = from;
                        effects_.push_back(CallVoterAgent{std::pair{from, std::move(w)}});
                    },
-                   [&](Founded& f) {
+                   [&](BootstrapConfig& f) {
                        effects_.push_back(CallVoterAgent{std::pair{from, std::move(f)}});
                    },
-                   [&](const Renew& r) {
-                       if (granter_.leads()) return granter_.on(now_, from, r);
-                       const Refer refer{leader_key(), standing_ ? standing_->standing.term : 0};
+                   [&](const LeaseRenewRequest& r) {
+                       if (lease_manager_.is_leader()) return lease_manager_.on(now_, from, r);
+                       const LeaderRedirect refer{leader_key(), standing_ ? standing_->standing.term : 0};
                        if (from != self_) return effects_.push_back(Send{from, refer});
-                       if (refer.leader != file_.members[self_].key) holder_.on(now_, self_, refer);
+                       if (refer.leader != file_.members[self_].key) lease_client_.on(now_, self_, refer);
                    },
-                   [&](const Renewed& r) { holder_.on(now_, from, r); },
-                   [&](const Refer& r) { holder_.on(now_, from, r); },
-                   [&](const Revoke& r) { holder_.on(now_, from, r); },
-                   [&](const Released& r) { granter_.on(now_, from, r); },
-                   [&](const Order& o) { hear(from, o); },
-                   [&](const Obeyed& o) { hear(from, o); },
-                   [&](News& n) { hear(from, n); },
-                   [&](const WantNews& w) {
+                   [&](const LeaseRenewResponse& r) { lease_client_.on(now_, from, r); },
+                   [&](const LeaderRedirect& r) { lease_client_.on(now_, from, r); },
+                   [&](const LeaseRevoke& r) { lease_client_.on(now_, from, r); },
+                   [&](const LeaseRelease& r) { lease_manager_.on(now_, from, r); },
+                   [&](const AdminCommand& o) { hear(from, o); },
+                   [&](const AdminCommandResult& o) { hear(from, o); },
+                   [&](Broadcast& n) { hear(from, n); },
+                   [&](const BroadcastRequest& w) {
                        if (const auto at = newest_.find(w.duty); at != newest_.end())
                            effects_.push_back(Send{from, at->second});
                    },
-                   [&](const Digest& d) {
+                   [&](const OutlierDigest& d) {
                        if (signals_) signals_->heard(now_, d);
                    },
-                   [&](const WantParts& w) { hear(from, w); },
-                   [&](const GivenParts& g) {
+                   [&](const QuotaRequest& w) { hear(from, w); },
+                   [&](const QuotaResponse& g) {
                        if (shares_) shares_->given_to(now_, g);
                    },
-                   [&](ListDelta& d) { hear(from, d); },
-                   [&](const WantListDeltas& w) { hear(from, w); },
-                   [&](const ListSnapshotChunk& c) { hear(from, c); },
+                   [&](EndpointDelta& d) { hear(from, d); },
+                   [&](const EndpointDeltaRequest& w) { hear(from, w); },
+                   [&](const EndpointSnapshotChunk& c) { hear(from, c); },
                },
                heard.message);
 }
 
 void Fleet::on(VoterAgentReported& said)
 {
-    std::visit(Cases{
-                   [&](SendRaft& s) {
-                       // Whoever is being let in knows nobody but those that it has heard of.
-                       if (const auto at = disks_.find(s.to); standing_ && at != disks_.end())
-                           effects_.push_back(Send{
-                               at->second, RaftSent{standing_->disk, s.to, s.writes, std::move(s.bytes)}});
-                   },
-                   [&](BroadcastDiskReport& s) {
-                       for (Member m = 0; m < file_.members.size(); ++m)
-                           if (m != self_ && file_.members[m].voter) effects_.push_back(Send{m, s.report});
-                   },
-                   [&](BroadcastFounded& s) {
-                       for (Member m = 0; m < file_.members.size(); ++m)
-                           if (m != self_ && file_.members[m].voter) effects_.push_back(Send{m, s.founded});
-                   },
-                   [&](TableIs& t) { table_ = std::move(t.table); },
-                   [&](const Proposed& p) {
-                       if (const auto at = voter_orders_.find(p.name); at != voter_orders_.end()) {
-                           const auto [member, number] = at->second;
-                           voter_orders_.erase(at);
-                           const Obeyed obeyed{number, p.well, p.well ? "done" : p.why};
-                           if (member == self_)
-                               hear(self_, obeyed);
-                           else
-                               effects_.push_back(Send{member, obeyed});
-                           return;
-                       }
-                       granter_.proposed(now_, table_, p.name, p.well);
-                   },
-                   [&](VoterStatus& s) {
-                       const bool led = granter_.leads();
-                       const Term before = standing_ ? standing_->standing.term : 0;
-                       const std::string trouble = standing_ ? standing_->trouble : "";
-                       if (s.trouble != trouble)
-                           effects_.push_back(Noted{"voter", text_of(s.stage), s.trouble, 0, "", {}});
-                       standing_ = std::move(s);
-                       const auto& st = standing_->standing;
-                       if (st.role != Role::leader) {
-                           granter_.out_of_office();
-                       } else if (!led || st.term != before) {
-                           granter_.out_of_office();
-                           granter_.office(now_, st.term);
-                       }
-                       if (led != granter_.leads())
-                           effects_.push_back(Noted{
-                               granter_.leads() ? "office" : "out of office", file_.id, "", st.term, "", {}});
-                       holder_.leader_is(leader_key(), st.term);
-                   },
-               },
-               said.effect);
+    std::visit(
+        Cases{
+            [&](SendRaft& s) {
+                // Whoever is being let in knows nobody but those that it has heard of.
+                if (const auto at = disks_.find(s.to); standing_ && at != disks_.end())
+                    effects_.push_back(
+                        Send{at->second, RaftMessage{standing_->disk, s.to, s.writes, std::move(s.bytes)}});
+            },
+            [&](BroadcastDiskReport& s) {
+                for (MemberIndex m = 0; m < file_.members.size(); ++m)
+                    if (m != self_ && file_.members[m].voter) effects_.push_back(Send{m, s.report});
+            },
+            [&](BroadcastBootstrapConfig& s) {
+                for (MemberIndex m = 0; m < file_.members.size(); ++m)
+                    if (m != self_ && file_.members[m].voter) effects_.push_back(Send{m, s.founded});
+            },
+            [&](TableUpdated& t) { table_ = std::move(t.table); },
+            [&](const ProposalResult& p) {
+                if (const auto at = voter_orders_.find(p.name); at != voter_orders_.end()) {
+                    const auto [member, number] = at->second;
+                    voter_orders_.erase(at);
+                    const AdminCommandResult obeyed{number, p.well, p.well ? "done" : p.why};
+                    if (member == self_)
+                        hear(self_, obeyed);
+                    else
+                        effects_.push_back(Send{member, obeyed});
+                    return;
+                }
+                lease_manager_.proposed(now_, table_, p.name, p.well);
+            },
+            [&](VoterStatus& s) {
+                const bool led = lease_manager_.is_leader();
+                const Term before = standing_ ? standing_->standing.term : 0;
+                const std::string trouble = standing_ ? standing_->trouble : "";
+                if (s.trouble != trouble)
+                    effects_.push_back(LogEvent{"voter", text_of(s.stage), s.trouble, 0, "", {}});
+                standing_ = std::move(s);
+                const auto& st = standing_->standing;
+                if (st.role != RaftRole::leader) {
+                    lease_manager_.on_stepped_down();
+                } else if (!led || st.term != before) {
+                    lease_manager_.on_stepped_down();
+                    lease_manager_.on_elected(now_, st.term);
+                }
+                if (led != lease_manager_.is_leader())
+                    effects_.push_back(LogEvent{lease_manager_.is_leader() ? "office" : "out of office",
+                                                file_.id,
+                                                "",
+                                                st.term,
+                                                "",
+                                                {}});
+                lease_client_.leader_is(leader_key(), st.term);
+            },
+        },
+        said.effect);
 }
 
-void Fleet::on(const Ticked&)
+void Fleet::on(const Tick&)
 {
     members_.carried.leader = leader_key();
     members_.carried.term = standing_ ? standing_->standing.term : 0;
@@ -231,15 +239,15 @@
         members_.carried.list_digest = distribution_->replica().digest();
     }
     members_.tick(now_);
-    holder_.tick(now_);
-    granter_.tick(now_);
+    lease_client_.tick(now_);
+    lease_manager_.tick(now_);
     list_tick();
     choices_tick();
     recovery_tick();
     beat();
     if (members_.twin() && !std::exchange(twin_told_, true))
         effects_.push_back(
-            Noted{"trouble", file_.id, "another process has been seen under this id", 0, "", {}});
+            LogEvent{"trouble", file_.id, "another process has been seen under this id", 0, "", {}});
     for (auto at = callers_.begin(); at != callers_.end();) {
         if (now_ < at->second.until) {
             ++at;
@@ -261,21 +269,24 @@
             // In step, though ticks come between its times.
             const Span slice = file_.probe->every * (1.0 / probe_slices);
             b.next = std::max(b.next, now_ - slice) + slice;
-            effects_.push_back(
-                Act{name, b.epoch, probe_lasts,
-                    ProbeNow{static_cast<uint32_t>(std::stoul(name.substr(name.find('.') + 1))), b.slice}});
+            effects_.push_back(LeasedEffect{
+                name, b.epoch, probe_lasts,
+                StartProbes{static_cast<uint32_t>(std::stoul(name.substr(name.find('.') + 1))), b.slice}});
             b.slice = (b.slice + 1) % probe_slices;
         } else if (duty.kind == DutyKind::other && !duty.tell.empty()) {
             b.next = now_ + duty.every;
             effects_.push_back(
-                Act{name, b.epoch, {}, Tell{duty.tell, ++b.number, holder_.left(now_).us / 1000}});
+                LeasedEffect{name,
+                             b.epoch,
+                             {},
+                             NotifySubscriber{duty.tell, ++b.number, lease_client_.left(now_).us / 1000}});
         }
     }
 }
 
-void Fleet::changed(const Change& c)
+void Fleet::changed(const LeaseChange& c)
 {
-    effects_.push_back(Noted{c.gained ? "gained" : "lost", c.duty, c.why, c.epoch, "", c.until});
+    effects_.push_back(LogEvent{c.gained ? "gained" : "lost", c.duty, c.why, c.epoch, "", c.until});
     const auto d = file_.duty_of(c.duty);
     if (!d) return;
     const DutyKind kind = file_.duties[*d].kind;
@@ -288,78 +299,78 @@
         list_published_.clear();
         numbers_[c.duty] = 0;
         list_gained_ = now_;
-        if (asking_ != c.gained) effects_.push_back(AskDiscovery{asking_ = c.gained});
+        if (asking_ != c.gained) effects_.push_back(SetDiscoveryPolling{asking_ = c.gained});
         list_fresh_ = std::max(list_fresh_, now_ - file_.list->stale * 0.5);
     } else if (kind == DutyKind::parts) {
         if (c.gained) allocator_->begin(now_, c.epoch);
     } else if (kind == DutyKind::drain && c.gained) {
         if (wants_turn_) {
-            effects_.push_back(Act{c.duty, c.epoch, {}, DrainNow{}});
+            effects_.push_back(LeasedEffect{c.duty, c.epoch, {}, StartDrain{}});
             if (turn_)
                 reply(*std::exchange(turn_, std::nullopt),
                       "SUCCESS draining at epoch " + std::to_string(c.epoch) + "\n");
         } else {
-            holder_.release(now_, c.duty, "nobody waits for it any more");
+            lease_client_.release(now_, c.duty, "nobody waits for it any more");
         }
     } else if (kind == DutyKind::drain && wants_turn_) {
         // Guards against more being drained than may be: another may have this turn before long.
         wants_turn_ = false;
-        holder_.want("drain", false);
-        effects_.push_back(ResumeNow{});
+        lease_client_.want("drain", false);
+        effects_.push_back(EndDrain{});
     }
 }
 
 void Fleet::publish(const std::string& duty, Epoch epoch, std::string bytes)
 {
-    News n{duty, epoch, ++numbers_[duty], 0, 0, std::move(bytes)};
+    Broadcast n{duty, epoch, ++numbers_[duty], 0, 0, std::move(bytes)};
     n.base = n.bytes.empty() ? list_base_ : n.number;
-    fence_.accept(duty, epoch, n.number);
+    fencing_.accept(duty, epoch, n.number);
     if (duty == "list" && !n.bytes.empty()) {
         list_base_ = n.number;
         newest_[duty] = n;
     }
     Publish p;
-    for (const Member m : members_.successors()) p.sends.push_back({m, n});
-    effects_.push_back(Act{duty, epoch, {}, std::move(p)});
+    for (const MemberIndex m : members_.successors()) p.sends.push_back({m, n});
+    effects_.push_back(LeasedEffect{duty, epoch, {}, std::move(p)});
 }
 
-void Fleet::pass_on(const News& news, Member not_to)
+void Fleet::pass_on(const Broadcast& news, MemberIndex not_to)
 {
-    for (const Member m : members_.successors())
+    for (const MemberIndex m : members_.successors())
         if (m != not_to) effects_.push_back(Send{m, news});
 }
 
-void Fleet::hear(Member from, News& news)
+void Fleet::hear(MemberIndex from, Broadcast& news)
 {
     const auto d = file_.duty_of(news.duty);
     if (!d) return;
-    if (!fence_.accept(news.duty, news.epoch, news.number)) {
-        refused_ += news.epoch < fence_.epoch(news.duty);
+    if (!fencing_.accept(news.duty, news.epoch, news.number)) {
+        refused_ += news.epoch < fencing_.epoch(news.duty);
         return;
     }
     pass_on(news, from);
     const Span age{std::max<int64_t>(0, news.age_us)};
     if (file_.duties[*d].kind == DutyKind::probe)
-        return effects_.push_back(UseReports{news.duty, std::move(news.bytes), age});
+        return effects_.push_back(ApplyProbeReports{news.duty, std::move(news.bytes), age});
     if (file_.duties[*d].kind == DutyKind::list) hear_list(from, news);
 }
 
-void Fleet::on(ProbesSeen& seen)
+void Fleet::on(ProbesCompleted& seen)
 {
-    if (holder_.mine(now_, seen.duty) != seen.epoch) return;
+    if (lease_client_.mine(now_, seen.duty) != seen.epoch) return;
     publish(seen.duty, seen.epoch, std::move(seen.bytes));
 }
 
-void Fleet::on(const Refused& refused)
+void Fleet::on(const EffectRefused& refused)
 {
-    if (holder_.mine(now_, refused.duty) == refused.epoch)
-        holder_.release(now_, refused.duty, "a receiver has met a higher epoch");
+    if (lease_client_.mine(now_, refused.duty) == refused.epoch)
+        lease_client_.release(now_, refused.duty, "a receiver has met a higher epoch");
 }
 
-void Fleet::on(const Stops&)
+void Fleet::on(const ShutdownRequested&)
 {
     stopping_ = true;
-    holder_.leave(now_);
+    lease_client_.leave(now_);
     members_.leave(now_);
 }
 
@@ -370,7 +381,7 @@
     if (turn_ == left.caller) {
         turn_.reset();
         wants_turn_ = false;
-        holder_.want("drain", false);
+        lease_client_.want("drain", false);
     }
 }
 
@@ -384,14 +395,14 @@
             return reply(asked.caller, "FAILURE a turn is asked for, or taken, already\n");
         turn_ = asked.caller;
         wants_turn_ = true;
-        return holder_.want("drain", true);
+        return lease_client_.want("drain", true);
     }
     if (asked.what == "turn-over") {
         wants_turn_ = false;
-        holder_.want("drain", false);
+        lease_client_.want("drain", false);
         if (turn_) reply(*std::exchange(turn_, std::nullopt), "FAILURE called off\n");
-        for (const auto& [duty, epoch] : holder_.held(now_))
-            if (duty.starts_with("drain.")) holder_.release(now_, duty, "its turn is over");
+        for (const auto& [duty, epoch] : lease_client_.held(now_))
+            if (duty.starts_with("drain.")) lease_client_.release(now_, duty, "its turn is over");
         return;
     }
     if (asked.what == "let-in" && !file_.member_of(std::string_view(asked.first)))
@@ -404,37 +415,37 @@
 void Fleet::order(uint64_t caller, const std::string& what, const std::string& first,
                   const std::string& second)
 {
-    const Order o{next_order_++, what, first, second};
+    const AdminCommand o{next_order_++, what, first, second};
     callers_[o.number] = {caller, now_ + file_.lease.length * 3 + order_waits};
-    if (granter_.leads()) return hear(self_, o);
-    Key leader = leader_key();
-    if (!leader) leader = holder_.leader() ? file_.members[*holder_.leader()].key : 0;
+    if (lease_manager_.is_leader()) return hear(self_, o);
+    MemberKey leader = leader_key();
+    if (!leader) leader = lease_client_.leader() ? file_.members[*lease_client_.leader()].key : 0;
     const auto m = leader ? file_.member_of(leader) : std::nullopt;
     if (m && *m != self_) return effects_.push_back(Send{*m, o});
     callers_.erase(o.number);
     reply(caller, "FAILURE no leader is known\n");
 }
 
-void Fleet::hear(Member from, const Order& o)
+void Fleet::hear(MemberIndex from, const AdminCommand& o)
 {
-    if (o.what == "hand-over") return granter_.hand_over(now_, from, o);
+    if (o.what == "hand-over") return lease_manager_.hand_over(now_, from, o);
     // A vote can be taken from whoever has one, also from who has left the fleet file.
     const auto m = file_.member_of(std::string_view(o.first));
     const bool in = o.what == "let-in";
-    const char* why = !granter_.leads()                        ? "this member does not lead"
+    const char* why = !lease_manager_.is_leader()              ? "this member does not lead"
                       : in && (!m || !file_.members[*m].voter) ? "the leader's fleet file has no such voter"
                                                                : nullptr;
     if (why) {
-        const Obeyed no{o.number, false, why};
+        const AdminCommandResult no{o.number, false, why};
         if (from == self_) return hear(self_, no);
         return effects_.push_back(Send{from, no});
     }
     const auto name = next_voter_order_++;
     voter_orders_[name] = {from, o.number};
-    effects_.push_back(CallVoterAgent{Seating{name, in, o.first}});
+    effects_.push_back(CallVoterAgent{VoterConfigChange{name, in, o.first}});
 }
 
-void Fleet::hear(Member, const Obeyed& o)
+void Fleet::hear(MemberIndex, const AdminCommandResult& o)
 {
     const auto at = callers_.find(o.number);
     if (at == callers_.end()) return;
@@ -444,7 +455,7 @@
 
 // ---- choices that add up ----
 
-void Fleet::on(Observed& observed)
+void Fleet::on(LocalObservations& observed)
 {
     if (signals_) signals_->seen(now_, observed.evidence);
     if (shares_) shares_->asked(now_, observed.asked);
@@ -467,20 +478,20 @@
     sharers_at_ = now_;
     if (sharers_version_ == members_.version()) return;
     sharers_version_ = members_.version();
-    std::vector<Sharer> now;
+    std::vector<SubsetPeer> now;
     double sum = 0, known = 0;
-    for (Member m = 0; m < file_.members.size(); ++m) {
+    for (MemberIndex m = 0; m < file_.members.size(); ++m) {
         const auto& one = members_.of(m);
         if (m != self_ && one.health == Health::gone) continue;
         now.push_back({file_.members[m].key, file_.members[m].zone == file_.members[self_].zone,
                        one.weight ? weight_of(one.weight) : 0});
         if (one.weight) sum += weight_of(one.weight), ++known;
     }
-    for (Sharer& s : now)
+    for (SubsetPeer& s : now)
         if (s.weight <= 0) s.weight = known > 0 ? sum / known : 1;
     if (now == sharers_) return;
     sharers_ = now;
-    effects_.push_back(UseFleet{std::move(now)});
+    effects_.push_back(ApplySubsetPeers{std::move(now)});
 }
 
 void Fleet::choices_tick()
@@ -488,18 +499,18 @@
     tell_sharers();
     if (signals_) {
         const auto& to = members_.successors();
-        const Digest digest = signals_->take(now_, to.size());
+        const OutlierDigest digest = signals_->take(now_, to.size());
         if (!digest.all.empty())
-            for (const Member m : to) effects_.push_back(Send{m, digest});
+            for (const MemberIndex m : to) effects_.push_back(Send{m, digest});
         auto results = signals_->results(now_);
         if (std::exchange(signalled_, !results.empty()) || signalled_)
-            effects_.push_back(UseSignals{std::move(results)});
+            effects_.push_back(ApplyOutlierReports{std::move(results)});
     }
     if (!shares_) return;
     if (now_ - wanted_parts_ >= file_.turns->length * 0.25 && !stopping_) {
         wanted_parts_ = now_;
-        const auto own = holder_.mine(now_, "parts");
-        const auto entry = holder_.table().of("parts");
+        const auto own = lease_client_.mine(now_, "parts");
+        const auto entry = lease_client_.table().of("parts");
         const auto holder = own            ? std::optional(self_)
                             : entry.holder ? file_.member_of(entry.holder)
                                            : std::nullopt;
@@ -511,19 +522,19 @@
                 effects_.push_back(Send{*holder, std::move(want)});
         }
     }
-    effects_.push_back(UseParts{shares_->parts(now_)});
+    effects_.push_back(ApplyQuotas{shares_->parts(now_)});
 }
 
-void Fleet::hear(Member from, const WantParts& want)
+void Fleet::hear(MemberIndex from, const QuotaRequest& want)
 {
-    const auto epoch = holder_.mine(now_, "parts");
+    const auto epoch = lease_client_.mine(now_, "parts");
     if (!allocator_ || !epoch || *epoch != allocator_->epoch()) return;
     auto parts = allocator_->answer(now_, file_.members[from].key, want);
     if (parts.all.empty()) return;
     if (from == self_) return shares_->given_to(now_, parts);
     Publish p;
     p.sends.push_back({from, std::move(parts)});
-    effects_.push_back(Act{"parts", *epoch, {}, std::move(p)});
+    effects_.push_back(LeasedEffect{"parts", *epoch, {}, std::move(p)});
 }
 
 std::string Fleet::show_choices() const
@@ -552,7 +563,7 @@
         }
     }
     if (shares_)
-        for (const Part& p : shares_->parts(now_)) {
+        for (const QuotaLease& p : shares_->parts(now_)) {
             std::string which = text_of(p.name.of);
             if (const auto at = observed_.names.find(p.name.which); p.name.of == Budget::cold)
                 which += "." + (at == observed_.names.end() ? "-" : at->second);
@@ -568,27 +579,27 @@
 
 // ---- its return, and what it remembers ----
 
-void Fleet::on(Recalled& recalled)
+void Fleet::on(SnapshotLoaded& recalled)
 {
     if (const auto* why = std::get_if<std::string>(&recalled.memory)) {
         recalled_.push_back("refused snapshot: " + *why);
-        effects_.push_back(Noted{"trouble", file_.id, "the snapshot is refused: " + *why, 0, "", {}});
+        effects_.push_back(LogEvent{"trouble", file_.id, "the snapshot is refused: " + *why, 0, "", {}});
         return;
     }
-    auto* memory = std::get_if<Memory>(&recalled.memory);
+    auto* memory = std::get_if<MemberSnapshot>(&recalled.memory);
     if (!memory) return recalled_.push_back("no snapshot");
     if (const auto why = not_of(*memory, file_.name, file_.id); !why.empty()) {
         recalled.memory = why;
         return on(recalled);
     }
-    holder_.recall(memory->epochs);
-    for (const SeenEpoch& e : memory->epochs) fence_.accept(e.duty, e.epoch, 0);
+    lease_client_.recall(memory->epochs);
+    for (const SeenEpoch& e : memory->epochs) fencing_.accept(e.duty, e.epoch, 0);
     recalled_.push_back("trusted epochs of " + std::to_string(memory->epochs.size()) + " duties");
     recalled_.push_back("hint list version " + std::to_string(memory->list_version) + ", " +
                         std::to_string(memory->list.size()) + " bytes");
     recalled_.push_back("trusted " + std::to_string(memory->open.size()) + " ids of what may have run");
     // Reductions count from when they were written, by a clock that has gone on since.
-    std::erase_if(memory->reductions, [&](RememberedReduction& r) {
+    std::erase_if(memory->reductions, [&](PersistedReduction& r) {
         if (!recalled.ago) return true;
         r.left_us -= recalled.ago->us;
         return r.left_us <= 0;
@@ -597,7 +608,7 @@
                                      : "refused reductions: the machine was started anew");
     hint_version_ = memory->list_version;
     last_list_ = memory->list;
-    effects_.push_back(UseMemory{std::move(*memory)});
+    effects_.push_back(ApplySnapshot{std::move(*memory)});
 }
 
 void Fleet::recovery_tick()
@@ -609,20 +620,20 @@
         recalled_.push_back("older than others have seen this member: as incarnation " +
                             std::to_string(members_.incarnation()));
         effects_.push_back(
-            Noted{"trouble", file_.id, "its disk is older than others have seen this member", 0, "", {}});
+            LogEvent{"trouble", file_.id, "its disk is older than others have seen this member", 0, "", {}});
     }
     FleetState state;
     state.members = file_.members.size(), state.alive = members_.alive();
-    state.majority = holder_.confirmed(now_);
+    state.majority = lease_client_.confirmed(now_);
     for (const Duty& d : file_.duties) {
         if (d.kind == DutyKind::drain) continue;
         ++state.duties;
-        state.held += holder_.table().of(d.name).holder != 0 || holder_.mine(now_, d.name);
+        state.held += lease_client_.table().of(d.name).holder != 0 || lease_client_.mine(now_, d.name);
     }
-    effects_.push_back(UseState{state});
+    effects_.push_back(ApplyFleetState{state});
     if (now_ - kept_at_ < file_.recovery->every || stopping_) return;
     kept_at_ = now_;
-    Memory m;
+    MemberSnapshot m;
     m.fleet = file_.name, m.member = file_.id, m.incarnation = members_.incarnation();
     m.boot_us = now_.us;
     m.list_version = std::max(list_version_, hint_version_), m.list = list_to_remember();
@@ -630,9 +641,9 @@
     m.sharers = observed_.sharers ? observed_.sharers : static_cast<uint32_t>(members_.alive());
     m.reductions = observed_.reductions, m.open = observed_.open;
     for (const Duty& d : file_.duties)
-        if (const Epoch e = std::max(holder_.table().of(d.name).epoch, fence_.epoch(d.name)))
+        if (const Epoch e = std::max(lease_client_.table().of(d.name).epoch, fencing_.epoch(d.name)))
             m.epochs.push_back({d.name, e});
-    effects_.push_back(Keep{std::move(m)});
+    effects_.push_back(WriteSnapshot{std::move(m)});
 }
 
 std::string Fleet::show_recovery() const
@@ -646,21 +657,22 @@
 
 std::string Fleet::show(const std::optional<TrafficCounts>& traffic) const
 {
-    const Term term = std::max(holder_.term(), standing_ ? standing_->standing.term : 0);
-    Key leader = leader_key();
-    if (!leader && holder_.confirmed(now_) && holder_.leader()) leader = file_.members[*holder_.leader()].key;
+    const Term term = std::max(lease_client_.term(), standing_ ? standing_->standing.term : 0);
+    MemberKey leader = leader_key();
+    if (!leader && lease_client_.confirmed(now_) && lease_client_.leader())
+        leader = file_.members[*lease_client_.leader()].key;
     const auto leader_at = leader ? file_.member_of(leader) : std::nullopt;
     std::string out = "me " + file_.id + " incarnation " + std::to_string(members_.incarnation()) + " term " +
                       std::to_string(term) + " leader " +
                       (leader_at ? file_.members[*leader_at].id : "none") + " majority " +
-                      (holder_.confirmed(now_) ? "yes" : "no");
+                      (lease_client_.confirmed(now_) ? "yes" : "no");
     if (standing_) {
         out += std::string(" voter ") + text_of(standing_->stage);
         if (!standing_->trouble.empty()) out += " trouble: " + standing_->trouble;
     }
     out += "\n";
     if (traffic) out += text_of(*traffic);
-    for (Member m = 0; m < file_.members.size(); ++m) {
+    for (MemberIndex m = 0; m < file_.members.size(); ++m) {
         const auto& one = members_.of(m);
         // Whoever was never heard of is not there, whatever becomes of it later.
         const Health health = one.incarnation || m == self_ ? one.health : Health::gone;
@@ -668,10 +680,10 @@
                (file_.members[m].zone.empty() ? "-" : file_.members[m].zone) + " incarnation " +
                std::to_string(one.incarnation) + (file_.members[m].voter ? " votes" : "") + "\n";
     }
-    const Table& table = holder_.table();
+    const LeaseTable& table = lease_client_.table();
     for (const Duty& d : file_.duties) {
         const auto e = table.of(d.name);
-        const auto own = holder_.mine(now_, d.name);
+        const auto own = lease_client_.mine(now_, d.name);
         const auto holder = e.holder ? file_.member_of(e.holder) : std::nullopt;
         const Epoch epoch = own ? *own : e.epoch;
         out += "duty " + d.name + " holder " +
@@ -679,7 +691,7 @@
                 : holder ? file_.members[*holder].id
                          : "none") +
                " epoch " + std::to_string(epoch) + " left_ms " +
-               std::to_string(own ? holder_.left(now_).us / 1000 : 0) + (own ? " mine" : "") + "\n";
+               std::to_string(own ? lease_client_.left(now_).us / 1000 : 0) + (own ? " mine" : "") + "\n";
     }
     return out + show_list() + show_choices() + "EOT\n";
 }
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -1,4 +1,4 @@
-// One member of the fleet: a typed event in, effects out. Members, leases and duties are parts of it; the
+// One member of the fleet: a typed event in, effects out. Membership, leases and duties are parts of it; the
 // voter agent stands beside it, for it may wait for the disk. No I/O and no clock of its own: real
 // processes, virtual time and the model checker drive the same code.
 #pragma once
@@ -22,13 +22,13 @@
 {
 
 // Events.
-struct Begun {
+struct StartupEvent {
 };
-struct Heard {
-    Member from = 0;
+struct MessageReceived {
+    MemberIndex from = 0;
     Message message;
 };
-struct Ticked {  // every 20 to 50 ms
+struct Tick {  // every 20 to 50 ms
 };
 struct VoterAgentReported {
     VoterAgentEffect effect;
@@ -42,107 +42,112 @@
 struct AdminDisconnected {
     uint64_t caller = 0;
 };
-struct ListSeen {        // own discovery has answered
-    std::string source;  // its address: versions of another say nothing of this one's
+struct EndpointListFetched {  // own discovery has answered
+    std::string source;       // its address: versions of another say nothing of this one's
     uint64_t version = 0;
-    std::string whole;                                 // without [deltas]
-    std::shared_ptr<const ListLines> lines = nullptr;  // with [deltas]
+    std::string whole;                                     // without [deltas]
+    std::shared_ptr<const EndpointTexts> lines = nullptr;  // with [deltas]
     // With [deltas]: all uids that can differ from the last answer; nothing: any.
     std::optional<std::vector<std::string>> changed = std::nullopt;
 };
-struct ProbesSeen {
+struct ProbesCompleted {
     std::string duty;
     Epoch epoch = 0;
     std::string bytes;
 };
-struct Refused {  // by a receiver that has met a higher epoch
+struct EffectRefused {  // by a receiver that has met a higher epoch
     std::string duty;
     Epoch epoch = 0;
 };
-struct Stops {
+struct ShutdownRequested {
 };
 // What this member remembers, or why that is refused; nothing: there was none. Before it has begun.
-struct Recalled {
-    std::variant<std::monostate, Memory, std::string> memory;
+struct SnapshotLoaded {
+    std::variant<std::monostate, MemberSnapshot, std::string> memory;
     std::optional<Span> ago;  // by a clock that is trusted: the machine has not been started anew
 };
 // The members as a fleet at rest holds them, of a simulation that does not begin with all unknown.
-struct Acquainted {
-    std::shared_ptr<const std::vector<Members::One>> members;
+struct SeedMembership {
+    std::shared_ptr<const std::vector<Membership::MemberState>> members;
 };
-using FleetEvent = std::variant<Begun, Heard, Ticked, VoterAgentReported, AdminRequest, AdminDisconnected,
-                                ListSeen, ProbesSeen, Refused, Stops, Observed, Recalled, Acquainted>;
+using FleetEvent = std::variant<StartupEvent, MessageReceived, Tick, VoterAgentReported, AdminRequest,
+                                AdminDisconnected, EndpointListFetched, ProbesCompleted, EffectRefused,
+                                ShutdownRequested, LocalObservations, SnapshotLoaded, SeedMembership>;
 
 // Effects. Send is one of them.
-struct Seating {  // of a member among the voters
+struct VoterConfigChange {  // of a member among the voters
     uint64_t name = 0;
     bool in = false;  // or out
     std::string member;
 };
 struct CallVoterAgent {
-    std::variant<std::pair<Member, DiskReport>, std::pair<Member, Founded>, RaftSent, Propose, Seating> call;
+    std::variant<std::pair<MemberIndex, DiskReport>, std::pair<MemberIndex, BootstrapConfig>, RaftMessage,
+                 Proposal, VoterConfigChange>
+        call;
 };
 struct Publish {
     std::vector<Send> sends;
 };
-struct Tell {  // the program beside this balancer
+struct NotifySubscriber {  // the program beside this balancer
     std::string address;
     uint64_t number = 0;
     int64_t left_ms = 0;
 };
-struct ProbeNow {  // those of the upstreams of this part whose turn is this slice of the period
+struct StartProbes {  // those of the upstreams of this part whose turn is this slice of the period
     uint32_t part = 0, slice = 0;
 };
-struct DrainNow {
+struct StartDrain {
 };
-// An effect of a duty. The host passes it through Fleet::may with a clock read for it, and only then carries
-// it out.
-struct Act {
+// An effect of a duty. The host passes it through Fleet::lease_allows with a clock read for it, and only then
+// carries it out.
+struct LeasedEffect {
     std::string duty;
     Epoch epoch = 0;
     Span lasts;  // the lease has to hold for so long
-    std::variant<Publish, Tell, ProbeNow, DrainNow> what;
+    std::variant<Publish, NotifySubscriber, StartProbes, StartDrain> what;
 };
-struct ResumeNow {  // the turn to drain is over
+struct EndDrain {  // the turn to drain is over
 };
-struct AskDiscovery {
+struct SetDiscoveryPolling {
     bool on = false;
 };
-struct UseReports {
+struct ApplyProbeReports {
     std::string duty;
     std::string bytes;
     Span age;
 };
-struct UseFleet {  // who shares the upstreams
-    std::vector<Sharer> sharers;
+struct ApplySubsetPeers {  // who shares the upstreams
+    std::vector<SubsetPeer> sharers;
 };
-struct UseSignals {
-    std::map<uint64_t, Signals::Result> results;  // by upstream
+struct ApplyOutlierReports {
+    std::map<uint64_t, OutlierGossip::Result> results;  // by upstream
 };
-struct UseParts {
-    std::vector<Part> parts;
+struct ApplyQuotas {
+    std::vector<QuotaLease> parts;
 };
-struct UseMemory {  // and its list as a hint
-    Memory memory;
+struct ApplySnapshot {  // and its list as a hint
+    MemberSnapshot memory;
 };
-struct UseState {
+struct ApplyFleetState {
     FleetState state;
 };
-struct Keep {       // on the disk, in the place of the last one
-    Memory memory;  // but for the machine's part of it
+struct WriteSnapshot {      // on the disk, in the place of the last one
+    MemberSnapshot memory;  // but for the machine's part of it
 };
 struct Reply {
     uint64_t caller = 0;
     std::string text;
 };
-struct Noted {  // for the log; a line of JSON
+struct LogEvent {  // for the log; a line of JSON
     std::string event, subject, why;
     Epoch epoch = 0;
     std::string health;
     Point until;  // of a duty that was lost: when its lease ended, at the latest
 };
-using FleetEffect = std::variant<Send, CallVoterAgent, Act, ResumeNow, AskDiscovery, UseList, UseReports,
-                                 Reply, Noted, UseFleet, UseSignals, UseParts, UseMemory, UseState, Keep>;
+using FleetEffect =
+    std::variant<Send, CallVoterAgent, LeasedEffect, EndDrain, SetDiscoveryPolling, ApplyEndpointList,
+                 ApplyProbeReports, Reply, LogEvent, ApplySubsetPeers, ApplyOutlierReports, ApplyQuotas,
+                 ApplySnapshot, ApplyFleetState, WriteSnapshot>;
 
 inline constexpr uint32_t probe_slices = 10;
 inline constexpr Span probe_lasts = seconds(0.3);  // until its answer, or its being given up
@@ -159,21 +164,21 @@
 {
   public:
     // incarnation: higher than any that this id was before, as far as its disk remembers.
-    Fleet(const FleetFile& file, Life life, Incarnation incarnation, uint64_t seed);
+    Fleet(const FleetConfig& file, InstanceId instance, Incarnation incarnation, uint64_t seed);
 
     std::vector<FleetEffect> reduce(Point now, FleetEvent event);
 
     // The gate. The one place where it is decided whether an effect of a duty may leave.
-    bool may(Point now, const Act& act) const;
-    bool mine(Point now, const std::string& duty) const { return holder_.mine(now, duty).has_value(); }
+    bool lease_allows(Point now, const LeasedEffect& act) const;
+    bool mine(Point now, const std::string& duty) const { return lease_client_.mine(now, duty).has_value(); }
 
     Incarnation incarnation() const { return members_.incarnation(); }
-    const Holder& holder() const { return holder_; }
-    const Members& members() const { return members_; }
+    const LeaseClient& holder() const { return lease_client_; }
+    const Membership& members() const { return members_; }
     // Of the list; nothing without [deltas].
-    const ListReplica* replica() const { return distribution_ ? &distribution_->replica() : nullptr; }
-    ListReplica* replica_to_corrupt() { return distribution_ ? &distribution_->replica() : nullptr; }
-    Granter& granter() { return granter_; }
+    const EndpointReplica* replica() const { return distribution_ ? &distribution_->replica() : nullptr; }
+    EndpointReplica* replica_to_corrupt() { return distribution_ ? &distribution_->replica() : nullptr; }
+    LeaseManager& lease_manager() { return lease_manager_; }
     uint64_t refused() const { return refused_; }  // effects of others, for their epoch
 
   private:
@@ -188,44 +193,44 @@
         uint32_t slice = 0;
     };
 
-    void on(const Begun&);
-    void on(Heard& heard);
-    void on(const Ticked&);
+    void on(const StartupEvent&);
+    void on(MessageReceived& heard);
+    void on(const Tick&);
     void on(VoterAgentReported& said);
     void on(const AdminRequest& asked);
     void on(const AdminDisconnected& left);
-    void on(ListSeen& seen);
-    void on(ProbesSeen& seen);
-    void on(const Refused& refused);
-    void on(const Stops&);
-    void on(Observed& observed);
-    void on(Recalled& recalled);
-    void on(const Acquainted& acquainted) { members_.acquaint(*acquainted.members); }
+    void on(EndpointListFetched& seen);
+    void on(ProbesCompleted& seen);
+    void on(const EffectRefused& refused);
+    void on(const ShutdownRequested&);
+    void on(LocalObservations& observed);
+    void on(SnapshotLoaded& recalled);
+    void on(const SeedMembership& acquainted) { members_.seed_members(*acquainted.members); }
     void recovery_tick();
     std::string show_recovery() const;
 
-    void hear(Member from, const Order& order);
-    void hear(Member from, const Obeyed& obeyed);
-    void hear(Member from, News& news);
+    void hear(MemberIndex from, const AdminCommand& order);
+    void hear(MemberIndex from, const AdminCommandResult& obeyed);
+    void hear(MemberIndex from, Broadcast& news);
     void settle();
-    void changed(const Change& change);
+    void changed(const LeaseChange& change);
     void publish(const std::string& duty, Epoch epoch, std::string bytes);
     void choices_tick();
     void tell_sharers();
-    void hear(Member from, const WantParts& want);
+    void hear(MemberIndex from, const QuotaRequest& want);
     std::string show_choices() const;
     void beat();
-    void pass_on(const News& news, Member not_to);
+    void pass_on(const Broadcast& news, MemberIndex not_to);
     // Of the duty `list`: fleet_list.cpp.
-    void hear_list(Member from, News& news);
-    void hear_list(Member from, const Ping& ping);
-    void hear(Member from, ListDelta& delta);
-    void hear(Member from, const WantListDeltas& want);
-    void hear(Member from, const ListSnapshotChunk& chunk);
-    bool accepts(const ListVersion& version) const;
+    void hear_list(MemberIndex from, Broadcast& news);
+    void hear_list(MemberIndex from, const Ping& ping);
+    void hear(MemberIndex from, EndpointDelta& delta);
+    void hear(MemberIndex from, const EndpointDeltaRequest& want);
+    void hear(MemberIndex from, const EndpointSnapshotChunk& chunk);
+    bool accepts(const EndpointListVersion& version) const;
     bool use_list(const std::string& source, uint64_t version, const std::string& whole);
-    void replicate(const ListSeen& seen);
-    void push(Epoch epoch, const std::vector<ListDelta>& deltas);
+    void replicate(const EndpointListFetched& seen);
+    void push(Epoch epoch, const std::vector<EndpointDelta>& deltas);
     void use_replica();
     void list_confirmed(Span age);
     void list_tick();
@@ -236,25 +241,25 @@
     void reply(uint64_t caller, std::string text) { effects_.push_back(Reply{caller, std::move(text)}); }
     void order(uint64_t caller, const std::string& what, const std::string& first, const std::string& second);
     std::string show(const std::optional<TrafficCounts>& traffic) const;
-    Key leader_key() const;
+    MemberKey leader_key() const;
 
-    const FleetFile& file_;
-    const Member self_;
+    const FleetConfig& file_;
+    const MemberIndex self_;
     std::ranlux24_base chance_;
     Point now_;
-    Members members_;
-    Holder holder_;
-    Granter granter_;
-    Table table_;  // as committed, at a voter
+    Membership members_;
+    LeaseClient lease_client_;
+    LeaseManager lease_manager_;
+    LeaseTable table_;  // as committed, at a voter
     std::optional<VoterStatus> standing_;
-    std::map<DiskId, Member> disks_;  // of voters, as heard of
+    std::map<DiskId, MemberIndex> disks_;  // of voters, as heard of
     std::vector<FleetEffect> effects_;
-    std::vector<std::pair<Member, Message>> to_self_;
+    std::vector<std::pair<MemberIndex, Message>> to_self_;
 
-    Fence fence_;
+    FencingGuard fencing_;
     uint64_t refused_ = 0;
-    std::map<std::string, News> newest_;  // of duties whose last word stays true
-    std::map<std::string, Beat> beats_;   // of what is held
+    std::map<std::string, Broadcast> newest_;  // of duties whose last word stays true
+    std::map<std::string, Beat> beats_;        // of what is held
     std::map<std::string, uint64_t> numbers_;
     uint64_t list_version_ = 0, list_base_ = 0;
     Point list_fresh_;
@@ -262,17 +267,17 @@
     std::string list_published_, list_source_;
     bool asking_ = false;
     Point wanted_news_;
-    std::optional<ListDistribution> distribution_;  // where the fleet file has [deltas]
+    std::optional<EndpointDistribution> distribution_;  // where the fleet file has [deltas]
     Point list_gained_;
-    std::optional<ListSeen> unpublished_list_;  // by a holder that is being repaired first
-    bool list_changed_ = false;                 // since it was last written down to be remembered
+    std::optional<EndpointListFetched> unpublished_list_;  // by a holder that is being repaired first
+    bool list_changed_ = false;                            // since it was last written down to be remembered
 
     // Choices that add up, where the fleet file has them.
-    std::optional<Signals> signals_;
-    std::optional<Shares> shares_;
-    std::optional<Allocator> allocator_;
-    Observed observed_;
-    std::vector<Sharer> sharers_;
+    std::optional<OutlierGossip> signals_;
+    std::optional<QuotaClient> shares_;
+    std::optional<QuotaAllocator> allocator_;
+    LocalObservations observed_;
+    std::vector<SubsetPeer> sharers_;
     std::optional<uint64_t> sharers_version_;  // of the members, as they were told last
     Point weighed_, sharers_at_, wanted_parts_;
     bool signalled_ = false;
@@ -286,7 +291,7 @@
     bool older_told_ = false;
 
     std::map<uint64_t, Caller> callers_;  // of orders on their way to the leader
-    std::map<uint64_t, std::pair<Member, uint64_t>> voter_orders_;
+    std::map<uint64_t, std::pair<MemberIndex, uint64_t>> voter_orders_;
     uint64_t next_order_ = 1, next_voter_order_ = uint64_t{1} << 63;
     std::optional<uint64_t> turn_;  // the caller who waits for it
     bool wants_turn_ = false, twin_told_ = false, stopping_ = false;
--- a/src/fleet/fleet_list.cpp
+++ b/src/fleet/fleet_list.cpp
@@ -1,5 +1,6 @@
 // The duty `list`: its holder asks discovery and publishes the list; members use it while it is fresh, and
-// ask discovery themselves otherwise. The list goes round whole, as News, or with [deltas] as ListDelta.
+// ask discovery themselves otherwise. The list goes round whole, as Broadcast, or with [deltas] as
+// EndpointDelta.
 #include <algorithm>
 
 #include "fleet.h"
@@ -11,7 +12,7 @@
 
 constexpr Span want_again = seconds(0.2);
 
-struct ListNews {
+struct EndpointListBroadcast {
     std::string source;
     uint64_t version = 0;
     std::string whole;
@@ -22,7 +23,7 @@
 
 // ---- from the fleet, as news ----
 
-void Fleet::hear_list(Member from, const Ping& ping)
+void Fleet::hear_list(MemberIndex from, const Ping& ping)
 {
     if (!file_.list) return;
     if (distribution_) {
@@ -37,11 +38,11 @@
         own == newest_.end() ? std::pair<Epoch, uint64_t>{} : std::pair{own->second.epoch, own->second.base};
     if (std::pair{ping.list_epoch, ping.list} > have && now_ - wanted_news_ > want_again) {
         wanted_news_ = now_;
-        effects_.push_back(Send{from, WantNews{"list"}});
+        effects_.push_back(Send{from, BroadcastRequest{"list"}});
     }
 }
 
-void Fleet::hear_list(Member from, News& news)
+void Fleet::hear_list(MemberIndex from, Broadcast& news)
 {
     const Span age{std::max<int64_t>(0, news.age_us)};
     if (distribution_) {
@@ -55,19 +56,20 @@
     if (!have) {
         if (now_ - wanted_news_ > want_again) {
             wanted_news_ = now_;
-            effects_.push_back(Send{from, WantNews{news.duty}});
+            effects_.push_back(Send{from, BroadcastRequest{news.duty}});
         }
         return;
     }
     if (!news.bytes.empty()) {
-        auto list = unpack<ListNews>(news.bytes);
+        auto list = unpack<EndpointListBroadcast>(news.bytes);
         if (!list) return;
         // Guards against a holder whose discovery has fallen behind: an older list would bring back what
         // drains.
         if (list->version < list_version_) return;
         newest_[news.duty] = news;
         if (file_.recovery) last_list_ = list->whole;
-        if (list->version > list_version_) effects_.push_back(UseList{list->version, std::move(list->whole)});
+        if (list->version > list_version_)
+            effects_.push_back(ApplyEndpointList{list->version, std::move(list->whole)});
         list_version_ = list->version;
     }
     list_confirmed(age);
@@ -76,36 +78,37 @@
 void Fleet::list_confirmed(Span age)
 {
     list_fresh_ = std::max(list_fresh_, now_ - age);
-    if (asking_ && !holder_.mine(now_, "list")) effects_.push_back(AskDiscovery{asking_ = false});
+    if (asking_ && !lease_client_.mine(now_, "list"))
+        effects_.push_back(SetDiscoveryPolling{asking_ = false});
 }
 
 // ---- from the fleet, as deltas ----
 
-void Fleet::hear(Member from, ListDelta& delta)
+void Fleet::hear(MemberIndex from, EndpointDelta& delta)
 {
     if (!distribution_) return;
     // Answers may hold deltas of earlier epochs, which lead up to the present one.
-    if (!delta.answer && delta.to.epoch < fence_.epoch("list")) {
+    if (!delta.answer && delta.to.epoch < fencing_.epoch("list")) {
         ++refused_;
         return;
     }
-    fence_.accept("list", delta.to.epoch, 0);
+    fencing_.accept("list", delta.to.epoch, 0);
     const auto heard = distribution_->hear(now_, from, delta);
     if (heard.pass_on)
-        for (const Member m : members_.successors())
+        for (const MemberIndex m : members_.successors())
             if (m != from) effects_.push_back(Send{m, delta});
     if (heard.confirmed) list_confirmed({std::max<int64_t>(0, delta.age_us)});
     use_replica();
 }
 
-void Fleet::hear(Member from, const WantListDeltas& want)
+void Fleet::hear(MemberIndex from, const EndpointDeltaRequest& want)
 {
     if (!distribution_) return;
     distribution_->hear(now_, from, want, now_ - list_fresh_);
     use_replica();
 }
 
-void Fleet::hear(Member from, const ListSnapshotChunk& chunk)
+void Fleet::hear(MemberIndex from, const EndpointSnapshotChunk& chunk)
 {
     if (!distribution_) return;
     const auto heard = distribution_->hear(now_, from, chunk);
@@ -135,7 +138,7 @@
     if (version < hint_version_ && file_.recovery && now_ - begun_ < file_.recovery->wait * 4) return false;
     hint_version_ = 0;
     if (file_.recovery) last_list_ = whole;
-    if (!same || version > list_version_) effects_.push_back(UseList{version, whole});
+    if (!same || version > list_version_) effects_.push_back(ApplyEndpointList{version, whole});
     list_source_ = source;
     list_version_ = version;
     return true;
@@ -143,37 +146,37 @@
 
 // The same guards. Another agent with a lower number is behind, or numbers anew: the latter is believed once
 // the list in use is stale, or where this member's own agent was moved.
-bool Fleet::accepts(const ListVersion& version) const
+bool Fleet::accepts(const EndpointListVersion& version) const
 {
-    const ListVersion& used = distribution_->version();
+    const EndpointListVersion& used = distribution_->version();
     if (version.older_than(used)) return false;
     const bool moved = !list_source_.empty() && list_source_ != version.source;
     if (version.number < used.number && !moved && now_ - list_fresh_ <= file_.list->stale) return false;
     return version.number >= hint_version_ || !file_.recovery || now_ - begun_ >= file_.recovery->wait * 4;
 }
 
-void Fleet::on(ListSeen& seen)
+void Fleet::on(EndpointListFetched& seen)
 {
     if (!file_.list) return;
     if (distribution_) return replicate(seen);
     if (!use_list(seen.source, seen.version, seen.whole)) return;
     list_fresh_ = now_;
-    const auto epoch = holder_.mine(now_, "list");
+    const auto epoch = lease_client_.mine(now_, "list");
     if (!epoch) return;
-    auto bytes = pack(ListNews{seen.source, seen.version, std::move(seen.whole)});
+    auto bytes = pack(EndpointListBroadcast{seen.source, seen.version, std::move(seen.whole)});
     if (bytes == list_published_) return publish("list", *epoch, {});
     list_published_ = bytes;
     publish("list", *epoch, std::move(bytes));
 }
 
-void Fleet::replicate(const ListSeen& seen)
+void Fleet::replicate(const EndpointListFetched& seen)
 {
-    const ListVersion version{seen.source, seen.version};
+    const EndpointListVersion version{seen.source, seen.version};
     if (!seen.lines || !accepts(version)) return distribution_->skip();
     hint_version_ = 0;
     list_source_ = seen.source;
     list_fresh_ = now_;
-    const auto epoch = holder_.mine(now_, "list");
+    const auto epoch = lease_client_.mine(now_, "list");
     const bool waits = epoch && distribution_->must_wait_to_publish(now_, *epoch, list_gained_);
     unpublished_list_ = waits ? std::optional(seen) : std::nullopt;
     if (!epoch || waits) {
@@ -187,26 +190,26 @@
 
 // The first deltas of a large change are pushed; the others are asked for by whoever has those, so that no
 // queue of messages overflows.
-void Fleet::push(Epoch epoch, const std::vector<ListDelta>& deltas)
+void Fleet::push(Epoch epoch, const std::vector<EndpointDelta>& deltas)
 {
     constexpr size_t most_pushed = 4;
     list_base_ = distribution_->replica().revision().number;
-    fence_.accept("list", epoch, 0);
+    fencing_.accept("list", epoch, 0);
     Publish pushed;
     for (size_t i = 0; i < deltas.size() && i < most_pushed; ++i)
-        for (const Member m : members_.successors()) pushed.sends.push_back({m, deltas[i]});
-    if (!pushed.sends.empty()) effects_.push_back(Act{"list", epoch, {}, std::move(pushed)});
+        for (const MemberIndex m : members_.successors()) pushed.sends.push_back({m, deltas[i]});
+    if (!pushed.sends.empty()) effects_.push_back(LeasedEffect{"list", epoch, {}, std::move(pushed)});
     if (deltas.empty() || deltas.size() > most_pushed) publish("list", epoch, {});
 }
 
 void Fleet::list_tick()
 {
     if (distribution_) replica_tick();
-    if (!file_.list || asking_ || stopping_ || holder_.mine(now_, "list")) return;
+    if (!file_.list || asking_ || stopping_ || lease_client_.mine(now_, "list")) return;
     if (now_ - list_fresh_ <= file_.list->stale + list_spread_) return;
-    effects_.push_back(AskDiscovery{asking_ = true});
+    effects_.push_back(SetDiscoveryPolling{asking_ = true});
     effects_.push_back(
-        Noted{"list", "", "it is older than stated: discovery is asked by this member itself", 0, "", {}});
+        LogEvent{"list", "", "it is older than stated: discovery is asked by this member itself", 0, "", {}});
 }
 
 void Fleet::replica_tick()
@@ -214,7 +217,7 @@
     distribution_->tick(now_);
     use_replica();
     if (!unpublished_list_) return;
-    const auto epoch = holder_.mine(now_, "list");
+    const auto epoch = lease_client_.mine(now_, "list");
     if (!epoch) return unpublished_list_.reset();
     if (distribution_->must_wait_to_publish(now_, *epoch, list_gained_)) return;
     replicate(*std::exchange(unpublished_list_, std::nullopt));
@@ -231,7 +234,7 @@
 std::string Fleet::show_list() const
 {
     if (!distribution_) return "";
-    const ListReplica& replica = distribution_->replica();
+    const EndpointReplica& replica = distribution_->replica();
     return "list revision " + std::to_string(replica.revision().epoch) + "." +
            std::to_string(replica.revision().number) + " entries " + std::to_string(replica.lines().size()) +
            " behind " + (distribution_->behind() ? "yes" : "no") + "\n";
--- a/src/fleet/host.cpp
+++ b/src/fleet/host.cpp
@@ -49,8 +49,8 @@
     return {int64_t{at.tv_sec} * 1'000'000 + at.tv_nsec / 1000};
 }
 
-VoterAgentThread::VoterAgentThread(event_base* base, const FleetFile& file, Files& files, uint64_t seed,
-                                   std::function<void(VoterAgentEffect)> said)
+VoterAgentThread::VoterAgentThread(event_base* base, const FleetConfig& file, FileSystem& files,
+                                   uint64_t seed, std::function<void(VoterAgentEffect)> said)
     : file_(file), files_(files), said_(std::move(said)), wakes_loop_(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC))
 {
     waking_.reset(event_new(
@@ -119,15 +119,15 @@
         lock.unlock();
         for (CallVoterAgent& c : calls) {
             const Point now = fleet_now();
-            if (auto* w = std::get_if<std::pair<Member, DiskReport>>(&c.call))
+            if (auto* w = std::get_if<std::pair<MemberIndex, DiskReport>>(&c.call))
                 out(voter_agent.on_disk_report(now, w->first, w->second));
-            else if (auto* f = std::get_if<std::pair<Member, Founded>>(&c.call))
+            else if (auto* f = std::get_if<std::pair<MemberIndex, BootstrapConfig>>(&c.call))
                 out(voter_agent.founded(now, f->first, f->second));
-            else if (auto* r = std::get_if<RaftSent>(&c.call))
+            else if (auto* r = std::get_if<RaftMessage>(&c.call))
                 out(voter_agent.raft(now, *r));
-            else if (auto* p = std::get_if<Propose>(&c.call))
+            else if (auto* p = std::get_if<Proposal>(&c.call))
                 out(voter_agent.propose(now, *p));
-            else if (auto* o = std::get_if<Seating>(&c.call))
+            else if (auto* o = std::get_if<VoterConfigChange>(&c.call))
                 out(o->in ? voter_agent.add_voter(now, o->name, o->member)
                           : voter_agent.remove_voter(now, o->name, o->member));
         }
@@ -139,12 +139,12 @@
     }
 }
 
-Keeper::Keeper(Files& files, std::string boot) : files_(files), boot_(std::move(boot))
+SnapshotWriter::SnapshotWriter(FileSystem& files, std::string boot) : files_(files), boot_(std::move(boot))
 {
     thread_ = std::thread([this] { run(); });
 }
 
-Keeper::~Keeper()
+SnapshotWriter::~SnapshotWriter()
 {
     {
         const std::lock_guard lock(mutex_);
@@ -154,7 +154,7 @@
     thread_.join();
 }
 
-void Keeper::keep(Memory memory)
+void SnapshotWriter::keep(MemberSnapshot memory)
 {
     {
         const std::lock_guard lock(mutex_);
@@ -163,32 +163,32 @@
     more_.notify_one();
 }
 
-std::string Keeper::trouble()
+std::string SnapshotWriter::trouble()
 {
     const std::lock_guard lock(mutex_);
     return trouble_;
 }
 
-void Keeper::run()
+void SnapshotWriter::run()
 {
     std::unique_lock lock(mutex_);
     for (;;) {
         more_.wait(lock, [this] { return stop_ || next_; });
         if (stop_) return;
-        Memory memory = std::move(*std::exchange(next_, std::nullopt));
+        MemberSnapshot memory = std::move(*std::exchange(next_, std::nullopt));
         lock.unlock();
         memory.boot = boot_;
-        const auto error = files_.replace(snapshot_file, encode_memory(memory));
+        const auto error = files_.replace(snapshot_file, encode_member_snapshot(memory));
         lock.lock();
         trouble_ = error ? error.message() : "";
     }
 }
 
-Folder Host::open(const FleetFile& file, const std::string& path)
+Directory Host::open(const FleetConfig& file, const std::string& path)
 {
     const std::string where = path + ": fleet.data: " + file.data + ": ";
-    std::optional<Folder> folder;
-    if (const auto error = Folder::open(file.data, folder))
+    std::optional<Directory> folder;
+    if (const auto error = Directory::open(file.data, folder))
         throw CannotStart(
             where + (error == std::errc::operation_would_block ? "another process has it" : error.message()));
     std::optional<std::string> text;
@@ -203,7 +203,7 @@
     return std::move(*folder);
 }
 
-void Host::check(const FleetFile& file, const std::string& path) { (void)open(file, path); }
+void Host::check(const FleetConfig& file, const std::string& path) { (void)open(file, path); }
 
 Incarnation Host::next_incarnation()
 {
@@ -222,19 +222,19 @@
         note({"trouble", file_.id, "the incarnation is not kept: " + error.message(), 0, "", {}});
 }
 
-Host::Host(event_base* base, FleetFile file, const std::string& path, Hooks hooks)
+Host::Host(event_base* base, FleetConfig file, const std::string& path, Hooks hooks)
     : base_(base),
       file_(std::move(file)),
       hooks_(std::move(hooks)),
       folder_(open(file_, path)),
-      life_(draw() | 1),
-      fleet_(file_, life_, next_incarnation(), draw()),
-      peers_(base, file_, life_, draw(),
-             [this](Member from, Message m) {
-                 tell(Heard{from, std::move(m)});
+      instance_(draw() | 1),
+      fleet_(file_, instance_, next_incarnation(), draw()),
+      peers_(base, file_, instance_, draw(),
+             [this](MemberIndex from, Message m) {
+                 tell(MessageReceived{from, std::move(m)});
              }),
       duty_notifier_(base, [this](const std::string& duty, Epoch epoch) {
-          tell(Refused{duty, epoch});
+          tell(EffectRefused{duty, epoch});
       })
 {
     keep_incarnation();
@@ -253,22 +253,22 @@
             [this](VoterAgentEffect e) { tell(VoterAgentReported{std::move(e)}); });
     if (file_.recovery) {
         tell(recall());
-        keeper_ = std::make_unique<Keeper>(folder_, boot_id());
+        keeper_ = std::make_unique<SnapshotWriter>(folder_, boot_id());
     }
-    tell(Begun{});
+    tell(StartupEvent{});
     const auto every = to_timeval(tick_every);
     event_add(ticking_.get(), &every);
 }
 
-Recalled Host::recall()
+SnapshotLoaded Host::recall()
 {
     std::optional<std::string> bytes;
     if (const auto error = folder_.read(snapshot_file, bytes))
         return {"it cannot be read: " + error.message(), {}};
     if (!bytes) return {};
-    auto decoded = decode_memory(*bytes);
+    auto decoded = decode_member_snapshot(*bytes);
     if (auto* why = std::get_if<std::string>(&decoded)) return {std::move(*why), {}};
-    auto& memory = std::get<Memory>(decoded);
+    auto& memory = std::get<MemberSnapshot>(decoded);
     // The boot clock goes on as long as the machine does; wall clocks are not asked.
     std::optional<Span> ago;
     if (const Span since{fleet_now().us - memory.boot_us}; memory.boot == boot_id() && since >= Span{})
@@ -278,7 +278,7 @@
 
 void Host::tick()
 {
-    tell(Ticked{});
+    tell(Tick{});
     keep_incarnation();
     if (!keeper_) return;
     if (auto trouble = keeper_->trouble(); trouble != kept_trouble_) {
@@ -309,25 +309,25 @@
     reducing_ = false;
 }
 
-bool Host::passes(const std::string& duty, Epoch epoch, Span lasts)
+bool Host::authorize(const std::string& duty, Epoch epoch, Span lasts)
 {
-    Act act;
+    LeasedEffect act;
     act.duty = duty, act.epoch = epoch, act.lasts = lasts;
-    const bool well = fleet_.may(fleet_now(), act);
+    const bool well = fleet_.lease_allows(fleet_now(), act);
     stopped_at_gate_ += !well;
     return well;
 }
 
-void Host::act(const Act& a)
+void Host::act(const LeasedEffect& a)
 {
-    const auto gate = [&] { return passes(a.duty, a.epoch, a.lasts); };
-    if (const auto* told = std::get_if<fleet::Tell>(&a.what))
+    const auto gate = [&] { return authorize(a.duty, a.epoch, a.lasts); };
+    if (const auto* told = std::get_if<fleet::NotifySubscriber>(&a.what))
         return duty_notifier_.tell(told->address, {a.duty, file_.id, a.epoch, told->number, told->left_ms},
                                    gate);
     if (!gate()) return;
     if (const auto* publish = std::get_if<Publish>(&a.what)) {
         for (const Send& s : publish->sends) peers_.send(s.to, s.message);
-    } else if (const auto* probe = std::get_if<ProbeNow>(&a.what)) {
+    } else if (const auto* probe = std::get_if<StartProbes>(&a.what)) {
         if (hooks_.probe) hooks_.probe(*probe, a.duty, a.epoch);
     } else if (hooks_.drain) {
         hooks_.drain();
@@ -341,35 +341,35 @@
         if (voter_agent_) voter_agent_->call(std::move(*call));
         return;
     }
-    if (auto* a = std::get_if<Act>(&effect)) return act(*a);
-    if (auto* noted = std::get_if<Noted>(&effect)) return note(*noted);
+    if (auto* a = std::get_if<LeasedEffect>(&effect)) return act(*a);
+    if (auto* noted = std::get_if<LogEvent>(&effect)) return note(*noted);
     if (auto* reply = std::get_if<Reply>(&effect)) {
         if (hooks_.reply) hooks_.reply(reply->caller, reply->text);
-    } else if (auto* ask = std::get_if<AskDiscovery>(&effect)) {
+    } else if (auto* ask = std::get_if<SetDiscoveryPolling>(&effect)) {
         if (hooks_.ask_discovery) hooks_.ask_discovery(ask->on);
-    } else if (auto* list = std::get_if<UseList>(&effect)) {
+    } else if (auto* list = std::get_if<ApplyEndpointList>(&effect)) {
         if (hooks_.use_list) hooks_.use_list(*list);
-    } else if (auto* reports = std::get_if<UseReports>(&effect)) {
+    } else if (auto* reports = std::get_if<ApplyProbeReports>(&effect)) {
         if (hooks_.use_reports) hooks_.use_reports(*reports);
-    } else if (auto* uses = std::get_if<UseFleet>(&effect)) {
+    } else if (auto* uses = std::get_if<ApplySubsetPeers>(&effect)) {
         if (hooks_.use_fleet) hooks_.use_fleet(*uses);
-    } else if (auto* signals = std::get_if<UseSignals>(&effect)) {
+    } else if (auto* signals = std::get_if<ApplyOutlierReports>(&effect)) {
         if (hooks_.use_signals) hooks_.use_signals(*signals);
-    } else if (auto* parts = std::get_if<UseParts>(&effect)) {
+    } else if (auto* parts = std::get_if<ApplyQuotas>(&effect)) {
         if (hooks_.use_parts) hooks_.use_parts(*parts);
-    } else if (auto* memory = std::get_if<UseMemory>(&effect)) {
+    } else if (auto* memory = std::get_if<ApplySnapshot>(&effect)) {
         if (hooks_.use_memory) hooks_.use_memory(*memory);
-    } else if (auto* state = std::get_if<UseState>(&effect)) {
+    } else if (auto* state = std::get_if<ApplyFleetState>(&effect)) {
         if (hooks_.use_state) hooks_.use_state(*state);
-    } else if (auto* keep = std::get_if<Keep>(&effect)) {
+    } else if (auto* keep = std::get_if<WriteSnapshot>(&effect)) {
         if (keeper_) keeper_->keep(std::move(keep->memory));
-    } else if (std::get_if<ResumeNow>(&effect)) {
+    } else if (std::get_if<EndDrain>(&effect)) {
         if (hooks_.resume) hooks_.resume();
     }
 }
 
 // One line of JSON for each change that somebody may have to trace.
-void Host::note(const Noted& n)
+void Host::note(const LogEvent& n)
 {
     if (!spdlog::should_log(spdlog::level::info)) return;
     nlohmann::ordered_json line{
--- a/src/fleet/host.h
+++ b/src/fleet/host.h
@@ -1,5 +1,5 @@
 // A member on a real loop: hands the fleet its events and carries out its effects. All that it does for a
-// duty passes one gate here, with the clock read right before it.
+// duty authorize one gate here, with the clock read right before it.
 #pragma once
 
 #include <condition_variable>
@@ -24,7 +24,7 @@
 {
   public:
     // said: called on the loop.
-    VoterAgentThread(event_base* base, const FleetFile& file, Files& files, uint64_t seed,
+    VoterAgentThread(event_base* base, const FleetConfig& file, FileSystem& files, uint64_t seed,
                      std::function<void(VoterAgentEffect)> said);
     ~VoterAgentThread();
 
@@ -35,8 +35,8 @@
     void out(std::vector<VoterAgentEffect> effects);
     void heard();
 
-    const FleetFile& file_;
-    Files& files_;
+    const FleetConfig& file_;
+    FileSystem& files_;
     std::function<void(VoterAgentEffect)> said_;
     net::Descriptor wakes_loop_;
     net::Timer waking_;
@@ -50,22 +50,22 @@
 
 // Writes snapshots, the newest at a time, on a thread of its own: encoding and the disk cost the loop
 // nothing.
-class Keeper
+class SnapshotWriter
 {
   public:
-    Keeper(Files& files, std::string boot);
-    ~Keeper();
-    void keep(Memory memory);
+    SnapshotWriter(FileSystem& files, std::string boot);
+    ~SnapshotWriter();
+    void keep(MemberSnapshot memory);
     std::string trouble();  // of the last write; empty: none
 
   private:
     void run();
 
-    Files& files_;
+    FileSystem& files_;
     const std::string boot_;
     std::mutex mutex_;
     std::condition_variable more_;
-    std::optional<Memory> next_;
+    std::optional<MemberSnapshot> next_;
     std::string trouble_;
     bool stop_ = false;
     std::thread thread_;
@@ -78,53 +78,53 @@
     struct Hooks {
         std::function<void(uint64_t caller, const std::string& text)> reply;
         std::function<void(bool on)> ask_discovery;
-        std::function<void(const UseList&)> use_list;
-        std::function<void(const ProbeNow&, const std::string& duty, Epoch epoch)> probe;
-        std::function<void(const UseReports&)> use_reports;
+        std::function<void(const ApplyEndpointList&)> use_list;
+        std::function<void(const StartProbes&, const std::string& duty, Epoch epoch)> probe;
+        std::function<void(const ApplyProbeReports&)> use_reports;
         std::function<void()> drain, resume;
-        std::function<void(UseFleet&)> use_fleet;
-        std::function<void(UseSignals&)> use_signals;
-        std::function<void(UseMemory&)> use_memory;
-        std::function<void(const UseState&)> use_state;
-        std::function<void(UseParts&)> use_parts;  // its points are of fleet_now()
+        std::function<void(ApplySubsetPeers&)> use_fleet;
+        std::function<void(ApplyOutlierReports&)> use_signals;
+        std::function<void(ApplySnapshot&)> use_memory;
+        std::function<void(const ApplyFleetState&)> use_state;
+        std::function<void(ApplyQuotas&)> use_parts;  // its points are of fleet_now()
     };
 
     // Makes or opens the member's folder; throws CannotStart where that, or the address, cannot be had.
-    Host(event_base* base, FleetFile file, const std::string& path, Hooks hooks);
+    Host(event_base* base, FleetConfig file, const std::string& path, Hooks hooks);
     ~Host();
 
     void start();
     void tell(FleetEvent event);
     // The gate, for what leaves later than it was ordered.
-    bool passes(const std::string& duty, Epoch epoch, Span lasts = {});
-    const FleetFile& file() const { return file_; }
+    bool authorize(const std::string& duty, Epoch epoch, Span lasts = {});
+    const FleetConfig& file() const { return file_; }
     const Fleet& fleet() const { return fleet_; }
     const TrafficCounts& traffic() const { return peers_.counts(); }
 
     // Checks the folder of a fleet file as a start would, and lets go of it.
-    static void check(const FleetFile& file, const std::string& path);
+    static void check(const FleetConfig& file, const std::string& path);
 
   private:
-    static Folder open(const FleetFile& file, const std::string& path);
+    static Directory open(const FleetConfig& file, const std::string& path);
     Incarnation next_incarnation();
     void keep_incarnation();
-    Recalled recall();
+    SnapshotLoaded recall();
     void carry_out(FleetEffect& effect);
-    void act(const Act& act);
-    void note(const Noted& noted);
+    void act(const LeasedEffect& act);
+    void note(const LogEvent& noted);
     void tick();
 
     event_base* base_;
-    const FleetFile file_;
+    const FleetConfig file_;
     Hooks hooks_;
-    Folder folder_;
-    const Life life_;
+    Directory folder_;
+    const InstanceId instance_;
     Incarnation kept_ = 0;
     Fleet fleet_;
     Peers peers_;
     DutyNotifier duty_notifier_;
     std::unique_ptr<VoterAgentThread> voter_agent_;
-    std::unique_ptr<Keeper> keeper_;
+    std::unique_ptr<SnapshotWriter> keeper_;
     std::string kept_trouble_;
     net::Timer ticking_;
     std::deque<FleetEvent> events_;
--- a/src/fleet/leases.cpp
+++ b/src/fleet/leases.cpp
@@ -16,14 +16,14 @@
 
 std::string family_of(const std::string& duty) { return duty.substr(0, duty.find('.')); }
 
-uint64_t rank(const std::string& duty, Key member)
+uint64_t rank(const std::string& duty, MemberKey member)
 {
     return XXH3_64bits_withSeed(duty.data(), duty.size(), member);
 }
 
 }  // namespace
 
-bool Fence::accept(const std::string& duty, Epoch epoch, uint64_t number)
+bool FencingGuard::accept(const std::string& duty, Epoch epoch, uint64_t number)
 {
     auto& newest = newest_[duty];
     if (std::pair(epoch, number) <= newest) return false;
@@ -31,31 +31,31 @@
     return true;
 }
 
-Epoch Fence::epoch(const std::string& duty) const
+Epoch FencingGuard::epoch(const std::string& duty) const
 {
     const auto at = newest_.find(duty);
     return at == newest_.end() ? 0 : at->second.first;
 }
 
-Holder::Holder(const FleetFile& file, Life life, uint64_t seed)
+LeaseClient::LeaseClient(const FleetConfig& file, InstanceId instance, uint64_t seed)
     : file_(file),
       own_(file.members[file.self].key),
-      life_(life),
+      instance_(instance),
       chance_(static_cast<uint32_t>(seed ^ seed >> 32))
 {
-    for (Member m = 0; m < file.members.size(); ++m)
+    for (MemberIndex m = 0; m < file.members.size(); ++m)
         if (file.members[m].voter) voters_.push_back(m);
     std::shuffle(voters_.begin(), voters_.end(), chance_);
 }
 
-void Holder::start(Point now) { next_ = until_ = now; }
+void LeaseClient::start(Point now) { next_ = until_ = now; }
 
-void Holder::recall(const std::vector<SeenEpoch>& epochs)
+void LeaseClient::recall(const std::vector<SeenEpoch>& epochs)
 {
     for (const SeenEpoch& e : epochs) done_[e.duty] = std::max(done_[e.duty], e.epoch);
 }
 
-void Holder::leader_is(Key leader, Term term)
+void LeaseClient::leader_is(MemberKey leader, Term term)
 {
     if (!leader || term < leader_term_) return;
     leader_term_ = term;
@@ -65,11 +65,12 @@
     }
 }
 
-void Holder::renew(Point now)
+void LeaseClient::renew(Point now)
 {
     if (!answered_) leader_.reset();  // it does not answer: another voter may know better
-    const Member to = leader_ ? *leader_ : voters_[next_voter_++ % voters_.size()];
-    Renew r{life_, ++nonce_, table_.version(), {wants_.begin(), wants_.end()}, {}, leaving_, heard_, {}};
+    const MemberIndex to = leader_ ? *leader_ : voters_[next_voter_++ % voters_.size()];
+    LeaseRenewRequest r{instance_, ++nonce_, table_.version(), {wants_.begin(), wants_.end()},
+                        {},        leaving_, heard_,           {}};
     for (const auto& [duty, epoch] : owed_) r.done.push_back({duty, epoch});
     for (const auto& [duty, epoch] : done_)
         if (epoch > table_.of(duty).epoch) r.seen.push_back({duty, epoch});
@@ -82,7 +83,7 @@
     next_ = now + file_.lease.length * (try_again * spread);
 }
 
-void Holder::tick(Point now)
+void LeaseClient::tick(Point now)
 {
     now_ = now;
     if (now >= until_ && !held_.empty())
@@ -90,7 +91,7 @@
     if (now >= next_) renew(now);
 }
 
-void Holder::lose(const std::string& duty, const std::string& why)
+void LeaseClient::lose(const std::string& duty, const std::string& why)
 {
     const auto at = held_.find(duty);
     if (at == held_.end()) return;
@@ -101,12 +102,12 @@
     held_.erase(at);
 }
 
-void Holder::send_released(const std::string& duty, Epoch epoch)
+void LeaseClient::send_released(const std::string& duty, Epoch epoch)
 {
-    if (leader_) sends_.push_back({*leader_, Released{duty, epoch, life_}});
+    if (leader_) sends_.push_back({*leader_, LeaseRelease{duty, epoch, instance_}});
 }
 
-void Holder::release(Point now, const std::string& duty, const std::string& why)
+void LeaseClient::release(Point now, const std::string& duty, const std::string& why)
 {
     now_ = now;
     const auto at = held_.find(duty);
@@ -116,7 +117,7 @@
     send_released(duty, epoch);
 }
 
-void Holder::leave(Point now)
+void LeaseClient::leave(Point now)
 {
     now_ = now;
     leaving_ = true;
@@ -125,7 +126,7 @@
     renew(now);
 }
 
-void Holder::want(const std::string& family, bool wanted)
+void LeaseClient::want(const std::string& family, bool wanted)
 {
     if (wanted)
         wants_.insert(family);
@@ -134,7 +135,7 @@
     next_ = Point{};
 }
 
-void Holder::on(Point now, Member from, const Renewed& renewed)
+void LeaseClient::on(Point now, MemberIndex from, const LeaseRenewResponse& renewed)
 {
     now_ = now;
     if (renewed.term < term_) return;
@@ -155,15 +156,15 @@
     }
     if (now >= until_ || renewed.table < table_.version()) return;
     if (renewed.whole) {
-        std::vector<Row> rows = renewed.rows;
-        Table fresh;
+        std::vector<LeaseRecord> rows = renewed.rows;
+        LeaseTable fresh;
         fresh.take(rows, renewed.table);
         table_ = std::move(fresh);
     }
     std::set<std::string> listed;
-    for (const Row& row : renewed.rows) {
+    for (const LeaseRecord& row : renewed.rows) {
         if (row.holder != own_) continue;
-        if (row.life != life_) continue;  // of a process before this one: its lease has to run out
+        if (row.instance != instance_) continue;  // of a process before this one: its lease has to run out
         listed.insert(row.duty);
         if (held_.count(row.duty) && held_[row.duty] == row.epoch) continue;
         const auto done = done_.find(row.duty);
@@ -184,7 +185,7 @@
         if (!listed.count(duty)) lose(duty, "it is not this member's any more");
 }
 
-void Holder::on(Point now, Member from, const Refer& refer)
+void LeaseClient::on(Point now, MemberIndex from, const LeaderRedirect& refer)
 {
     const auto leader = refer.leader ? file_.member_of(refer.leader) : std::nullopt;
     if (leader && *leader != from) {
@@ -198,7 +199,7 @@
     }
 }
 
-void Holder::on(Point now, Member from, const Revoke& revoke)
+void LeaseClient::on(Point now, MemberIndex from, const LeaseRevoke& revoke)
 {
     now_ = now;
     const auto at = held_.find(revoke.duty);
@@ -207,37 +208,37 @@
         return release(now, revoke.duty, "the leader asked for it");
     }
     if (const auto done = done_.find(revoke.duty); done != done_.end() && revoke.epoch <= done->second)
-        sends_.push_back({from, Released{revoke.duty, revoke.epoch, life_}});
+        sends_.push_back({from, LeaseRelease{revoke.duty, revoke.epoch, instance_}});
 }
 
-bool Holder::may(Point now, const std::string& duty, Epoch epoch) const
+bool LeaseClient::holds(Point now, const std::string& duty, Epoch epoch) const
 {
     const auto at = held_.find(duty);
     return at != held_.end() && at->second == epoch && now < until_;
 }
 
-std::optional<Epoch> Holder::mine(Point now, const std::string& duty) const
+std::optional<Epoch> LeaseClient::mine(Point now, const std::string& duty) const
 {
     const auto at = held_.find(duty);
     if (at == held_.end() || now >= until_) return {};
     return at->second;
 }
 
-std::map<std::string, Epoch> Holder::held(Point now) const
+std::map<std::string, Epoch> LeaseClient::held(Point now) const
 {
     return now < until_ ? held_ : std::map<std::string, Epoch>{};
 }
 
-Granter::Granter(const FleetFile& file, uint64_t seed)
+LeaseManager::LeaseManager(const FleetConfig& file, uint64_t seed)
     : file_(file), chance_(static_cast<uint32_t>(seed ^ seed >> 32))
 {
     name_ = uint64_t{chance_()} << 32;
 }
 
 // Whoever led before may have let others renew until just now.
-void Granter::office(Point now, Term term)
+void LeaseManager::on_elected(Point now, Term term)
 {
-    in_office_ = true;
+    is_leader_ = true;
     term_ = term;
     since_ = balanced_ = now;
     proposed_at_ = now - longest_batch;
@@ -249,9 +250,9 @@
     moving_.clear();
 }
 
-void Granter::out_of_office()
+void LeaseManager::on_stepped_down()
 {
-    if (!std::exchange(in_office_, false)) return;
+    if (!std::exchange(is_leader_, false)) return;
     for (const auto& [duty, m] : moving_) obey(m.order, false, "the leader lost its office");
     moving_.clear();
     waiting_.clear();
@@ -259,7 +260,7 @@
     in_log_.clear();
 }
 
-bool Granter::fresh(Point now, Member m) const
+bool LeaseManager::fresh(Point now, MemberIndex m) const
 {
     const auto at = sessions_.find(m);
     return at != sessions_.end() && !at->second.leaving && at->second.heard_at &&
@@ -268,20 +269,20 @@
 }
 
 // Nobody can hold it any more, at whatever clock within the drift.
-bool Granter::over(Point now, const Table::Entry& e) const
+bool LeaseManager::over(Point now, const LeaseTable::Entry& e) const
 {
-    const auto at = received_.find({e.holder, e.life});
+    const auto at = received_.find({e.holder, e.instance});
     Point last = at == received_.end() ? since_ : std::max(since_, at->second);
-    if (leave_out.wait_in_office && at == received_.end()) last = since_ - file_.lease.length;
-    const Span wait = file_.lease.length * (leave_out.expiry ? 0.3 : 1);
+    if (disabled_checks.wait_in_office && at == received_.end()) last = since_ - file_.lease.length;
+    const Span wait = file_.lease.length * (disabled_checks.expiry ? 0.3 : 1);
     return now - last > wait;
 }
 
-void Granter::on(Point now, Member from, const Renew& renew)
+void LeaseManager::on(Point now, MemberIndex from, const LeaseRenewRequest& renew)
 {
-    if (!in_office_) return;
+    if (!is_leader_) return;
     Session& s = sessions_[from];
-    if (s.life != renew.life) s = {renew.life, now, now, renew.heard, {}, false, {}};
+    if (s.instance != renew.instance) s = {renew.instance, now, now, renew.heard, {}, false, {}};
     if (renew.heard > s.heard || (renew.heard && renew.heard + 1 == renew.nonce))
         s.heard = renew.heard, s.heard_at = now;
     s.received = now;
@@ -292,20 +293,21 @@
         wants[w] = at == s.wants.end() ? now : at->second;
     }
     s.wants = std::move(wants);
-    received_[{file_.members[from].key, renew.life}] = now;
+    received_[{file_.members[from].key, renew.instance}] = now;
     for (const SeenEpoch& seen : renew.seen) floors_[seen.duty] = std::max(floors_[seen.duty], seen.epoch);
-    for (const SeenEpoch& done : renew.done) take_back(now, from, renew.life, done.duty, done.epoch);
-    std::erase_if(waiting_, [&](const Waiting& w) { return w.from == from && w.renew.life == renew.life; });
+    for (const SeenEpoch& done : renew.done) take_back(now, from, renew.instance, done.duty, done.epoch);
+    std::erase_if(waiting_,
+                  [&](const Waiting& w) { return w.from == from && w.renew.instance == renew.instance; });
     waiting_.push_back({from, renew});
-    if (leave_out.confirm && table_) {
+    if (disabled_checks.confirm && table_) {
         answer(waiting_.back(), *table_);
         waiting_.pop_back();
     }
 }
 
-std::map<Member, size_t> Granter::loads(Point now) const
+std::map<MemberIndex, size_t> LeaseManager::loads(Point now) const
 {
-    std::map<Member, size_t> loads;
+    std::map<MemberIndex, size_t> loads;
     for (const auto& [m, s] : sessions_)
         if (fresh(now, m)) loads[m] = 0;
     for (const auto& [duty, e] : table_->entries())
@@ -315,13 +317,14 @@
 }
 
 // Of those with the fewest, where all are brought to the same, the one that ranks highest for this duty.
-std::optional<Member> Granter::choose(const std::string& duty, const std::map<Member, size_t>& loads) const
+std::optional<MemberIndex> LeaseManager::choose(const std::string& duty,
+                                                const std::map<MemberIndex, size_t>& loads) const
 {
     if (loads.empty()) return {};
     size_t spread = 0;
     for (const Duty& d : file_.duties) spread += d.kind != DutyKind::drain;
     const size_t most = (spread + loads.size() - 1) / loads.size();
-    std::optional<Member> best;
+    std::optional<MemberIndex> best;
     for (const auto& [m, load] : loads) {
         if (load >= most) continue;
         if (!best || rank(duty, file_.members[m].key) > rank(duty, file_.members[*best].key)) best = m;
@@ -329,20 +332,20 @@
     return best;
 }
 
-void Granter::grant(Point, std::vector<Command>& commands, const std::string& duty, Member to,
-                    const std::string& why)
+void LeaseManager::grant(Point, std::vector<LeaseCommand>& commands, const std::string& duty, MemberIndex to,
+                         const std::string& why)
 {
     const auto floor = floors_.find(duty);
     const auto moving = moving_.find(duty);
     const bool placed = moving != moving_.end() && moving->second.order && moving->second.to == to;
-    commands.push_back({Command::grant, duty, floor == floors_.end() ? 0 : floor->second,
-                        file_.members[to].key, sessions_.at(to).life, why, placed});
+    commands.push_back({LeaseCommand::grant, duty, floor == floors_.end() ? 0 : floor->second,
+                        file_.members[to].key, sessions_.at(to).instance, why, placed});
     in_log_.insert(duty);
 }
 
-void Granter::assign(Point now)
+void LeaseManager::assign(Point now)
 {
-    std::vector<Command> commands;
+    std::vector<LeaseCommand> commands;
     // Guards against giving all to the first that ask: who is there shows within one renewal.
     const bool settled = now - since_ > file_.lease.length * (renew_every * 1.2);
     auto load = loads(now);
@@ -351,7 +354,7 @@
         const auto e = table_->of(d.name);
         if (e.holder) {
             if (!over(now, e)) continue;
-            commands.push_back({Command::release, d.name, e.epoch, 0, 0, "its lease ran out", false});
+            commands.push_back({LeaseCommand::release, d.name, e.epoch, 0, 0, "its lease ran out", false});
             in_log_.insert(d.name);
             // Guards against renewing what is being taken away.
             const auto m = file_.member_of(e.holder);
@@ -361,25 +364,25 @@
         }
         const auto moving = moving_.find(d.name);
         if (d.kind == DutyKind::drain) {
-            std::optional<Member> first;
+            std::optional<MemberIndex> first;
             const auto family = family_of(d.name);
             for (const auto& [m, s] : sessions_) {
                 if (!fresh(now, m) || !s.wants.count(family)) continue;
                 bool has = false;
                 for (const auto& [duty, held] : table_->entries())
                     has |= family_of(duty) == family && held.holder == file_.members[m].key &&
-                           held.life == s.life;
-                for (const Command& c : commands)
+                           held.instance == s.instance;
+                for (const LeaseCommand& c : commands)
                     has |= family_of(c.duty) == family && c.holder == file_.members[m].key;
                 for (const auto& [name, out] : out_)
-                    for (const Command& c : out.commands)
+                    for (const LeaseCommand& c : out.commands)
                         has |= family_of(c.duty) == family && c.holder == file_.members[m].key;
                 if (!has && (!first || s.wants.at(family) < sessions_.at(*first).wants.at(family))) first = m;
             }
             if (first) grant(now, commands, d.name, *first, "its turn");
             continue;
         }
-        std::optional<Member> to =
+        std::optional<MemberIndex> to =
             moving != moving_.end() && moving->second.to && fresh(now, *moving->second.to)
                 ? moving->second.to
                 : choose(d.name, load);
@@ -391,7 +394,7 @@
 }
 
 // One duty at a time goes from who has the most to who has the fewest, while they are two apart.
-void Granter::balance(Point now)
+void LeaseManager::balance(Point now)
 {
     if (now - balanced_ < file_.lease.length * (renew_every / 4) || !moving_.empty()) return;
     balanced_ = now;
@@ -402,7 +405,7 @@
     const auto most = *std::max_element(load.begin(), load.end(), by_load);
     if (most.second < least.second + 2) return;
     const Duty* best = nullptr;
-    const Key to = file_.members[least.first].key;
+    const MemberKey to = file_.members[least.first].key;
     for (const Duty& d : file_.duties) {
         if (d.kind == DutyKind::drain || in_log_.count(d.name) ||
             table_->of(d.name).holder != file_.members[most.first].key || table_->of(d.name).placed)
@@ -412,21 +415,21 @@
     if (best) moving_[best->name] = {least.first, table_->of(best->name).epoch, now, {}, {}};
 }
 
-void Granter::hand_over(Point now, Member from, const Order& order)
+void LeaseManager::hand_over(Point now, MemberIndex from, const AdminCommand& order)
 {
-    const std::pair<Member, uint64_t> who{from, order.number};
-    if (!in_office_ || !table_) return obey(who, false, "this member does not lead");
+    const std::pair<MemberIndex, uint64_t> who{from, order.number};
+    if (!is_leader_ || !table_) return obey(who, false, "this member does not lead");
     const auto duty = file_.duty_of(order.first);
     if (!duty || file_.duties[*duty].kind == DutyKind::drain)
         return obey(who, false, "no such duty to hand over");
-    std::optional<Member> to;
+    std::optional<MemberIndex> to;
     if (!order.second.empty()) {
         to = file_.member_of(std::string_view(order.second));
         if (!to) return obey(who, false, "no such member");
         if (!fresh(now, *to)) return obey(who, false, "that member renews no lease");
     }
     const auto e = table_->of(order.first);
-    if (to && e.holder == file_.members[*to].key && sessions_.at(*to).life == e.life)
+    if (to && e.holder == file_.members[*to].key && sessions_.at(*to).instance == e.instance)
         return obey(who, true, "it holds it already");
     if (!to) {
         auto load = loads(now);
@@ -441,26 +444,28 @@
     moving_[order.first] = {to, e.epoch, now, {}, who};
 }
 
-void Granter::on(Point now, Member from, const Released& released)
+void LeaseManager::on(Point now, MemberIndex from, const LeaseRelease& released)
 {
-    if (in_office_) take_back(now, from, released.life, released.duty, released.epoch);
+    if (is_leader_) take_back(now, from, released.instance, released.duty, released.epoch);
 }
 
 // Its holder says that it does not hold it any more.
-void Granter::take_back(Point now, Member from, Life life, const std::string& name, Epoch epoch)
+void LeaseManager::take_back(Point now, MemberIndex from, InstanceId instance, const std::string& name,
+                             Epoch epoch)
 {
     if (!table_) return;
     const auto e = table_->of(name);
-    if (e.holder != file_.members[from].key || e.life != life || e.epoch != epoch || in_log_.count(name))
+    if (e.holder != file_.members[from].key || e.instance != instance || e.epoch != epoch ||
+        in_log_.count(name))
         return;
-    std::vector<Command> commands{{Command::release, name, epoch, 0, 0, "released", false}};
+    std::vector<LeaseCommand> commands{{LeaseCommand::release, name, epoch, 0, 0, "released", false}};
     in_log_.insert(name);
     // Guards against a gap: who comes next is in the same entry of the log.
     const auto duty = file_.duty_of(name);
     if (duty && file_.duties[*duty].kind != DutyKind::drain) {
         auto load = loads(now);
         const auto moving = moving_.find(name);
-        std::optional<Member> to;
+        std::optional<MemberIndex> to;
         if (moving != moving_.end() && moving->second.to && fresh(now, *moving->second.to))
             to = moving->second.to;
         load.erase(from);
@@ -472,7 +477,7 @@
 }
 
 // Renewals that wait are confirmed by whatever is committed next.
-void Granter::propose(Point now, std::vector<Command> commands)
+void LeaseManager::propose(Point now, std::vector<LeaseCommand> commands)
 {
     if (commands.empty()) commands.push_back({});
     const uint64_t name = ++name_;
@@ -481,41 +486,41 @@
     proposals_.push_back({name, std::move(commands)});
 }
 
-void Granter::answer(const Waiting& w, const Table& table)
+void LeaseManager::answer(const Waiting& w, const LeaseTable& table)
 {
-    Renewed r{term_, w.renew.nonce, table.version(), w.renew.table != table.version(), {}};
+    LeaseRenewResponse r{term_, w.renew.nonce, table.version(), w.renew.table != table.version(), {}};
     for (const auto& [duty, e] : table.entries())
-        if (r.whole || (e.holder == file_.members[w.from].key && e.life == w.renew.life))
-            r.rows.push_back({duty, e.holder, e.life, e.epoch});
+        if (r.whole || (e.holder == file_.members[w.from].key && e.instance == w.renew.instance))
+            r.rows.push_back({duty, e.holder, e.instance, e.epoch});
     sends_.push_back({w.from, std::move(r)});
 }
 
-void Granter::proposed(Point now, const Table& table, uint64_t name, bool well)
+void LeaseManager::proposed(Point now, const LeaseTable& table, uint64_t name, bool well)
 {
     const auto at = out_.find(name);
     if (at == out_.end()) return;
     const Out out = std::move(at->second);
     out_.erase(at);
-    for (const Command& c : out.commands) in_log_.erase(c.duty);
-    if (!in_office_) return;
+    for (const LeaseCommand& c : out.commands) in_log_.erase(c.duty);
+    if (!is_leader_) return;
     if (!well) return;
     for (const Waiting& w : out.waiting) answer(w, table);
     // Who was granted something hears of it at once; that renews nothing.
-    std::set<Member> told;
-    for (const Command& c : out.commands) {
-        if (c.what != Command::grant) continue;
+    std::set<MemberIndex> told;
+    for (const LeaseCommand& c : out.commands) {
+        if (c.what != LeaseCommand::grant) continue;
         const auto e = table.of(c.duty);
         const auto m = file_.member_of(c.holder);
-        if (!m || e.holder != c.holder || e.life != c.life || !told.insert(*m).second) continue;
-        Renewed r{term_, 0, table.version(), false, {}};
+        if (!m || e.holder != c.holder || e.instance != c.instance || !told.insert(*m).second) continue;
+        LeaseRenewResponse r{term_, 0, table.version(), false, {}};
         for (const auto& [duty, held] : table.entries())
-            if (held.holder == c.holder && held.life == c.life)
-                r.rows.push_back({duty, held.holder, held.life, held.epoch});
+            if (held.holder == c.holder && held.instance == c.instance)
+                r.rows.push_back({duty, held.holder, held.instance, held.epoch});
         sends_.push_back({*m, std::move(r)});
     }
-    for (const Command& c : out.commands) {
+    for (const LeaseCommand& c : out.commands) {
         const auto moving = moving_.find(c.duty);
-        if (c.what != Command::grant || moving == moving_.end()) continue;
+        if (c.what != LeaseCommand::grant || moving == moving_.end()) continue;
         const auto e = table.of(c.duty);
         const auto m = file_.member_of(e.holder);
         obey(moving->second.order, m == moving->second.to,
@@ -526,15 +531,15 @@
     (void)now;
 }
 
-void Granter::obey(const std::optional<std::pair<Member, uint64_t>>& order, bool well,
-                   const std::string& text)
+void LeaseManager::obey(const std::optional<std::pair<MemberIndex, uint64_t>>& order, bool well,
+                        const std::string& text)
 {
-    if (order) sends_.push_back({order->first, Obeyed{order->second, well, text}});
+    if (order) sends_.push_back({order->first, AdminCommandResult{order->second, well, text}});
 }
 
-void Granter::tick(Point now)
+void LeaseManager::tick(Point now)
 {
-    if (!in_office_ || !table_) return;
+    if (!is_leader_ || !table_) return;
     for (auto at = moving_.begin(); at != moving_.end();) {
         Moving& m = at->second;
         const auto e = table_->of(at->first);
@@ -546,7 +551,7 @@
         }
         if (holder && e.epoch == m.epoch && now - m.asked >= ask_again) {
             m.asked = now;
-            sends_.push_back({*holder, Revoke{at->first, e.epoch}});
+            sends_.push_back({*holder, LeaseRevoke{at->first, e.epoch}});
         }
         ++at;
     }
--- a/src/fleet/leases.h
+++ b/src/fleet/leases.h
@@ -5,7 +5,7 @@
 // confirmed that it still leads. The holder counts from its asking, by its own clock, drift taken off; the
 // leader from the last asking that reached it, or from its coming into office. So a duty is held by nobody
 // any more before it can be granted again, whoever stalls or is cut off, as long as clocks keep to the stated
-// drift; where they do not, receivers refuse by epoch (Fence).
+// drift; where they do not, receivers refuse by epoch (FencingGuard).
 #pragma once
 
 #include <deque>
@@ -22,7 +22,7 @@
 {
 
 // At a receiver of a duty's effects: none of a lower epoch, and none twice.
-class Fence
+class FencingGuard
 {
   public:
     bool accept(const std::string& duty, Epoch epoch, uint64_t number);
@@ -32,7 +32,7 @@
     std::map<std::string, std::pair<Epoch, uint64_t>> newest_;
 };
 
-struct Change {  // of what this member holds
+struct LeaseChange {  // of what this member holds
     std::string duty;
     Epoch epoch = 0;
     bool gained = false;
@@ -40,48 +40,48 @@
     Point until;  // lost: no later than this, by this member's clock, it was not held any more
 };
 
-class Holder
+class LeaseClient
 {
   public:
-    Holder(const FleetFile& file, Life life, uint64_t seed);
+    LeaseClient(const FleetConfig& file, InstanceId instance, uint64_t seed);
 
     void start(Point now);
     // Epochs from before this start: granted anew, a duty has a higher one.
     void recall(const std::vector<SeenEpoch>& epochs);
     void tick(Point now);
-    void on(Point now, Member from, const Renewed& renewed);
-    void on(Point now, Member from, const Refer& refer);
-    void on(Point now, Member from, const Revoke& revoke);
-    void leader_is(Key leader, Term term);
+    void on(Point now, MemberIndex from, const LeaseRenewResponse& renewed);
+    void on(Point now, MemberIndex from, const LeaderRedirect& refer);
+    void on(Point now, MemberIndex from, const LeaseRevoke& revoke);
+    void leader_is(MemberKey leader, Term term);
     void want(const std::string& family, bool wanted);
     void release(Point now, const std::string& duty, const std::string& why);
     void leave(Point now);
 
     // The check that stands before each effect of a duty, with a clock read for it.
-    bool may(Point now, const std::string& duty, Epoch epoch) const;
+    bool holds(Point now, const std::string& duty, Epoch epoch) const;
     std::optional<Epoch> mine(Point now, const std::string& duty) const;
     Span left(Point now) const { return now < until_ ? until_ - now : Span{}; }
     // A majority has confirmed it lately.
     bool confirmed(Point now) const { return now < until_; }
     std::map<std::string, Epoch> held(Point now) const;
-    const Table& table() const { return table_; }
+    const LeaseTable& table() const { return table_; }
     Term term() const { return term_; }
-    std::optional<Member> leader() const { return leader_; }  // as it takes it to be
+    std::optional<MemberIndex> leader() const { return leader_; }  // as it takes it to be
 
     std::vector<Send> take_sends() { return std::exchange(sends_, {}); }
-    std::vector<Change> take_changes() { return std::exchange(changes_, {}); }
+    std::vector<LeaseChange> take_changes() { return std::exchange(changes_, {}); }
 
   private:
     void renew(Point now);
     void lose(const std::string& duty, const std::string& why);
     void send_released(const std::string& duty, Epoch epoch);
 
-    const FleetFile& file_;
-    const Key own_;
-    const Life life_;
+    const FleetConfig& file_;
+    const MemberKey own_;
+    const InstanceId instance_;
     std::ranlux24_base chance_;
-    std::vector<Member> voters_;
-    std::optional<Member> leader_;
+    std::vector<MemberIndex> voters_;
+    std::optional<MemberIndex> leader_;
     Term leader_term_ = 0, term_ = 0;
     size_t next_voter_ = 0;
     uint64_t nonce_ = 0;
@@ -93,40 +93,40 @@
     std::map<std::string, Epoch> owed_;  // of these, what the leader may not know
     uint64_t heard_ = 0;
     std::set<std::string> wants_;
-    Table table_;
+    LeaseTable table_;
     std::vector<Send> sends_;
-    std::vector<Change> changes_;
+    std::vector<LeaseChange> changes_;
 };
 
-class Granter
+class LeaseManager
 {
   public:
-    Granter(const FleetFile& file, uint64_t seed);
+    LeaseManager(const FleetConfig& file, uint64_t seed);
 
-    void office(Point now, Term term);
-    void out_of_office();
-    bool leads() const { return in_office_; }
+    void on_elected(Point now, Term term);
+    void on_stepped_down();
+    bool is_leader() const { return is_leader_; }
     void tick(Point now);
-    void on(Point now, Member from, const Renew& renew);
-    void on(Point now, Member from, const Released& released);
+    void on(Point now, MemberIndex from, const LeaseRenewRequest& renew);
+    void on(Point now, MemberIndex from, const LeaseRelease& released);
     // The table as committed so far is read where it stands.
-    void proposed(Point now, const Table& table, uint64_t name, bool well);
-    void table_is(const Table& table) { table_ = &table; }
-    void hand_over(Point now, Member from, const Order& order);
+    void proposed(Point now, const LeaseTable& table, uint64_t name, bool well);
+    void table_is(const LeaseTable& table) { table_ = &table; }
+    void hand_over(Point now, MemberIndex from, const AdminCommand& order);
 
     std::vector<Send> take_sends() { return std::exchange(sends_, {}); }
-    std::vector<Propose> take_proposals() { return std::exchange(proposals_, {}); }
+    std::vector<Proposal> take_proposals() { return std::exchange(proposals_, {}); }
 
     // Of the test that shows that each is needed: safety rules that can be left out.
-    struct LeaveOut {
+    struct DisabledChecks {
         bool wait_in_office = false;  // grants what others granted without waiting
         bool confirm = false;         // answers renewals without a majority
         bool expiry = false;          // grants again after half of the lease
-    } leave_out;
+    } disabled_checks;
 
   private:
     struct Session {
-        Life life = 0;
+        InstanceId instance = 0;
         Point received, since;
         uint64_t heard = 0;
         std::optional<Point> heard_at;  // an answer: who hears none can be granted nothing
@@ -134,49 +134,51 @@
         std::map<std::string, Point> wants;
     };
     struct Waiting {
-        Member from = 0;
-        Renew renew;
+        MemberIndex from = 0;
+        LeaseRenewRequest renew;
     };
     struct Moving {
-        std::optional<Member> to;
+        std::optional<MemberIndex> to;
         Epoch epoch = 0;
         Point since, asked;
-        std::optional<std::pair<Member, uint64_t>> order;
+        std::optional<std::pair<MemberIndex, uint64_t>> order;
     };
 
-    bool fresh(Point now, Member m) const;
-    bool over(Point now, const Table::Entry& e) const;
-    std::map<Member, size_t> loads(Point now) const;
-    std::optional<Member> choose(const std::string& duty, const std::map<Member, size_t>& loads) const;
-    void grant(Point now, std::vector<Command>& commands, const std::string& duty, Member to,
+    bool fresh(Point now, MemberIndex m) const;
+    bool over(Point now, const LeaseTable::Entry& e) const;
+    std::map<MemberIndex, size_t> loads(Point now) const;
+    std::optional<MemberIndex> choose(const std::string& duty,
+                                      const std::map<MemberIndex, size_t>& loads) const;
+    void grant(Point now, std::vector<LeaseCommand>& commands, const std::string& duty, MemberIndex to,
                const std::string& why);
     void assign(Point now);
     void balance(Point now);
-    void propose(Point now, std::vector<Command> commands);
-    void answer(const Waiting& w, const Table& table);
-    void take_back(Point now, Member from, Life life, const std::string& duty, Epoch epoch);
-    void obey(const std::optional<std::pair<Member, uint64_t>>& order, bool well, const std::string& text);
+    void propose(Point now, std::vector<LeaseCommand> commands);
+    void answer(const Waiting& w, const LeaseTable& table);
+    void take_back(Point now, MemberIndex from, InstanceId instance, const std::string& duty, Epoch epoch);
+    void obey(const std::optional<std::pair<MemberIndex, uint64_t>>& order, bool well,
+              const std::string& text);
 
-    const FleetFile& file_;
+    const FleetConfig& file_;
     std::ranlux24_base chance_;
-    const Table* table_ = nullptr;
-    bool in_office_ = false;
+    const LeaseTable* table_ = nullptr;
+    bool is_leader_ = false;
     Term term_ = 0;
     Point since_, balanced_, proposed_at_;
-    std::map<Member, Session> sessions_;
-    std::map<std::pair<Key, Life>, Point> received_;
+    std::map<MemberIndex, Session> sessions_;
+    std::map<std::pair<MemberKey, InstanceId>, Point> received_;
     std::map<std::string, Epoch> floors_;
     std::vector<Waiting> waiting_;
     struct Out {
         std::vector<Waiting> waiting;
-        std::vector<Command> commands;
+        std::vector<LeaseCommand> commands;
     };
     std::map<uint64_t, Out> out_;
     std::set<std::string> in_log_;  // duties that a proposal on its way is about
     std::map<std::string, Moving> moving_;
     uint64_t name_ = 0;
     std::vector<Send> sends_;
-    std::vector<Propose> proposals_;
+    std::vector<Proposal> proposals_;
 };
 
 }  // namespace firtide::fleet
--- a/src/fleet/list_distribution.cpp
+++ b/src/fleet/list_distribution.cpp
@@ -17,16 +17,16 @@
 
 // ---- from discovery ----
 
-std::vector<ListDelta> ListDistribution::publish(Epoch epoch, const ListVersion& version,
-                                                 const ListLines& lines,
-                                                 const std::optional<std::vector<std::string>>& uids)
+std::vector<EndpointDelta> EndpointDistribution::publish(Epoch epoch, const EndpointListVersion& version,
+                                                         const EndpointTexts& lines,
+                                                         const std::optional<std::vector<std::string>>& uids)
 {
     const bool follows = uids && followed_ == replica_.revision() && !wants_whole_;
-    ListChanges changes = follows ? replica_.difference(lines, *uids) : replica_.difference(lines);
+    EndpointChanges changes = follows ? replica_.difference(lines, *uids) : replica_.difference(lines);
     drop_own();
     const bool first = replica_.revision().epoch != epoch;
     const bool unchanged = changes.empty() && version == replica_.version() && !replica_.partial();
-    std::vector<ListDelta> deltas;
+    std::vector<EndpointDelta> deltas;
     if (first || !unchanged) {
         touch(changes);
         deltas = replica_.publish(epoch, version, std::move(changes));
@@ -39,21 +39,21 @@
     return deltas;
 }
 
-void ListDistribution::use_own(const ListVersion& version, const ListLines& lines)
+void EndpointDistribution::use_own(const EndpointListVersion& version, const EndpointTexts& lines)
 {
     drop_own();
     followed_.reset();
     untold_ = true;
     if (version == replica_.version() && !replica_.partial() && replica_.lines() == lines) return;
     OwnList own{version, {}};
-    const ListChanges changes = replica_.difference(lines);
+    const EndpointChanges changes = replica_.difference(lines);
     touch(changes);
-    for (const ListEntry& entry : changes.changed) own.differences[entry.uid] = entry.text;
+    for (const EndpointEntry& entry : changes.changed) own.differences[entry.uid] = entry.text;
     for (const std::string& uid : changes.removed) own.differences[uid] = std::nullopt;
     own_ = std::move(own);
 }
 
-void ListDistribution::drop_own()
+void EndpointDistribution::drop_own()
 {
     if (!own_) return;
     for (const auto& [uid, text] : own_->differences) touched_.insert(uid);
@@ -61,18 +61,19 @@
     untold_ = true;
 }
 
-bool ListDistribution::must_wait_to_publish(Point now, Epoch epoch, Point gained) const
+bool EndpointDistribution::must_wait_to_publish(Point now, Epoch epoch, Point gained) const
 {
     if (replica_.revision().epoch == epoch) return false;
     const bool progresses = assembly_ && asked_ && now - asked_->at < rule_.repair;
     if (progresses) return true;
     if (behind()) return now - gained < rule_.repair * wait_to_publish;
-    return replica_.revision() == ListRevision{} && now - gained < rule_.repair * wait_while_empty;
+    return replica_.revision() == EndpointRevision{} && now - gained < rule_.repair * wait_while_empty;
 }
 
 // ---- deltas ----
 
-ListDistribution::Heard ListDistribution::hear(Point now, Member from, const ListDelta& delta)
+EndpointDistribution::MessageReceived EndpointDistribution::hear(Point now, MemberIndex from,
+                                                                 const EndpointDelta& delta)
 {
     if (delta.answer) {
         if (!asked_ || asked_->member != from) return {};
@@ -81,18 +82,18 @@
     // Once for each revision, also where it came too early: others may lack nothing but this one.
     const bool pass_on = !delta.answer && delta.to > passed_on_;
     if (pass_on) passed_on_ = delta.to;
-    const ListChanges changes{delta.changed, delta.removed};
+    const EndpointChanges changes{delta.changed, delta.removed};
     keep_own_of(changes);
     switch (replica_.apply(delta)) {
-        case ListReplica::Result::applied:
-        case ListReplica::Result::adopted: break;
-        case ListReplica::Result::diverged: wants_whole_ = true; [[fallthrough]];
-        case ListReplica::Result::behind:
+        case EndpointReplica::Result::applied:
+        case EndpointReplica::Result::adopted: break;
+        case EndpointReplica::Result::diverged: wants_whole_ = true; [[fallthrough]];
+        case EndpointReplica::Result::behind:
             newer_[from] = delta.to;
             ask_if_due(now, from);
             return {pass_on, false};
-        case ListReplica::Result::stale:
-        case ListReplica::Result::older: return {pass_on, false};
+        case EndpointReplica::Result::stale:
+        case EndpointReplica::Result::older: return {pass_on, false};
     }
     touch(changes);
     forget_reached();
@@ -102,19 +103,19 @@
 }
 
 // The balancer goes on with its own, newer list while the fleet's changes below it.
-void ListDistribution::keep_own_of(const ListChanges& changes)
+void EndpointDistribution::keep_own_of(const EndpointChanges& changes)
 {
     if (!own_) return;
     const auto keep = [&](const std::string& uid) {
         const auto* line = line_of(uid);
         own_->differences.emplace(uid, line ? std::optional(*line) : std::nullopt);
     };
-    for (const ListEntry& entry : changes.changed) keep(entry.uid);
+    for (const EndpointEntry& entry : changes.changed) keep(entry.uid);
     for (const std::string& uid : changes.removed) keep(uid);
 }
 
 // A repair may come from a member that is itself behind: there numbers decide, whatever their source.
-void ListDistribution::drop_own_if_reached(bool by_holder)
+void EndpointDistribution::drop_own_if_reached(bool by_holder)
 {
     if (!own_ || replica_.partial()) return;
     const bool older = by_holder ? replica_.version().older_than(own_->version)
@@ -122,14 +123,14 @@
     if (!older) drop_own();
 }
 
-void ListDistribution::touch(const ListChanges& changes)
+void EndpointDistribution::touch(const EndpointChanges& changes)
 {
-    for (const ListEntry& entry : changes.changed) touched_.insert(entry.uid);
+    for (const EndpointEntry& entry : changes.changed) touched_.insert(entry.uid);
     for (const std::string& uid : changes.removed) touched_.insert(uid);
     untold_ = true;
 }
 
-bool ListDistribution::hear_unchanged(Point now, Member from, const ListRevision& revision)
+bool EndpointDistribution::hear_unchanged(Point now, MemberIndex from, const EndpointRevision& revision)
 {
     if (revision > replica_.revision()) {
         newer_[from] = revision;
@@ -141,7 +142,8 @@
     return !own_;
 }
 
-void ListDistribution::hear_revision(Point now, Member from, const ListRevision& revision, uint64_t digest)
+void EndpointDistribution::hear_revision(Point now, MemberIndex from, const EndpointRevision& revision,
+                                         uint64_t digest)
 {
     if (revision < replica_.revision()) return (void)newer_.erase(from);
     if (revision > replica_.revision()) {
@@ -160,15 +162,15 @@
 
 // ---- repair of this replica ----
 
-void ListDistribution::forget_reached()
+void EndpointDistribution::forget_reached()
 {
     std::erase_if(newer_, [&](const auto& known) { return known.second <= replica_.revision(); });
 }
 
-void ListDistribution::ask(Point now, Member member)
+void EndpointDistribution::ask(Point now, MemberIndex member)
 {
     asked_ = Asked{member, now, false};
-    WantListDeltas want;
+    EndpointDeltaRequest want;
     want.from = replica_.revision();
     want.version = replica_.version();
     want.digest = replica_.digest();
@@ -180,13 +182,13 @@
     sends_.push_back({member, std::move(want)});
 }
 
-void ListDistribution::ask_if_due(Point now, Member member)
+void EndpointDistribution::ask_if_due(Point now, MemberIndex member)
 {
     if (!asked_ || now - asked_->at >= rule_.repair) ask(now, member);
 }
 
 // Another one than the last time, where there is another.
-std::optional<Member> ListDistribution::next_source() const
+std::optional<MemberIndex> EndpointDistribution::next_source() const
 {
     if (newer_.empty()) return {};
     if (!asked_) return newer_.begin()->first;
@@ -194,7 +196,7 @@
     return next == newer_.end() ? newer_.begin()->first : next->first;
 }
 
-void ListDistribution::tick(Point now)
+void EndpointDistribution::tick(Point now)
 {
     if (offer_ && now - offer_->asked > keep_offer) offer_.reset();
     if (!behind() || (asked_ && now - asked_->at < rule_.repair)) return;
@@ -208,7 +210,8 @@
     if (source) ask(now, *source);
 }
 
-ListDistribution::Heard ListDistribution::hear(Point now, Member from, const ListSnapshotChunk& chunk)
+EndpointDistribution::MessageReceived EndpointDistribution::hear(Point now, MemberIndex from,
+                                                                 const EndpointSnapshotChunk& chunk)
 {
     if (!asked_ || asked_->member != from) return {};
     asked_->answered = true;
@@ -223,7 +226,7 @@
         return {};  // repeated, or of a snapshot that its sender has given up
     }
     Assembly& assembly = *assembly_;
-    for (const ListEntry& entry : chunk.entries) {
+    for (const EndpointEntry& entry : chunk.entries) {
         assembly.bytes += entry.uid.size() + entry.text.size();
         assembly.snapshot.lines[entry.uid] = entry.text;
     }
@@ -240,7 +243,7 @@
     return {false, finish(now) && !own_};
 }
 
-bool ListDistribution::finish(Point now)
+bool EndpointDistribution::finish(Point now)
 {
     const Assembly assembly = std::move(*std::exchange(assembly_, std::nullopt));
     if (own_) keep_own_of(replica_.difference(assembly.snapshot.lines));
@@ -259,7 +262,7 @@
 
 // ---- repair of others ----
 
-void ListDistribution::hear(Point now, Member from, const WantListDeltas& want, Span age)
+void EndpointDistribution::hear(Point now, MemberIndex from, const EndpointDeltaRequest& want, Span age)
 {
     // What is wrong, or older than what its receiver has, repairs nobody.
     if (wants_whole_ || replica_.version().older_than(want.version)) return;
@@ -267,7 +270,7 @@
     if (want.whole ? want.from > replica_.revision() : want.from >= replica_.revision()) return;
     if (want.whole) return answer_with_snapshot(now, from, want, age);
     if (want.digest == replica_.digest()) {
-        ListDelta same;
+        EndpointDelta same;
         same.from = want.from;
         same.to = replica_.revision();
         same.version = replica_.version();
@@ -280,7 +283,7 @@
     auto deltas = replica_.since(want.from);
     if (deltas.empty()) return answer_with_snapshot(now, from, want, age);
     deltas.back().more = deltas.back().to < replica_.revision();
-    for (ListDelta& delta : deltas) {
+    for (EndpointDelta& delta : deltas) {
         delta.answer = true;
         delta.age_us = age.us;
         sends_.push_back({from, std::move(delta)});
@@ -288,22 +291,23 @@
 }
 
 // One chunk at a time, each asked for: a slow road is never filled with what its receiver can't take.
-void ListDistribution::answer_with_snapshot(Point now, Member to, const WantListDeltas& want, Span age)
+void EndpointDistribution::answer_with_snapshot(Point now, MemberIndex to, const EndpointDeltaRequest& want,
+                                                Span age)
 {
-    const auto offered = offer_ ? offer_->chunks.front().revision : ListRevision{};
+    const auto offered = offer_ ? offer_->chunks.front().revision : EndpointRevision{};
     const bool goes_on =
         offer_ && want.chunk > 0 && want.snapshot == offered && want.chunk < offer_->chunks.size();
     const bool usable = offer_ && offered >= want.from && replica_.reaches(offered);
     if (!goes_on && !usable) offer_ = Offer{replica_.snapshot(), now};
     offer_->asked = now;
-    ListSnapshotChunk chunk = offer_->chunks[goes_on ? want.chunk : 0];
+    EndpointSnapshotChunk chunk = offer_->chunks[goes_on ? want.chunk : 0];
     chunk.age_us = age.us;
     sends_.push_back({to, std::move(chunk)});
 }
 
 // ---- what the balancer uses ----
 
-const std::string* ListDistribution::line_of(const std::string& uid) const
+const std::string* EndpointDistribution::line_of(const std::string& uid) const
 {
     if (own_)
         if (const auto at = own_->differences.find(uid); at != own_->differences.end())
@@ -312,9 +316,9 @@
     return at == replica_.lines().end() ? nullptr : &at->second;
 }
 
-ListLines ListDistribution::own_lines() const
+EndpointTexts EndpointDistribution::own_lines() const
 {
-    ListLines lines = replica_.lines();
+    EndpointTexts lines = replica_.lines();
     for (const auto& [uid, text] : own_->differences)
         if (text)
             lines[uid] = *text;
@@ -323,24 +327,24 @@
     return lines;
 }
 
-std::string ListDistribution::whole_text() const
+std::string EndpointDistribution::whole_text() const
 {
     if (own_) return whole_list_text(own_->version.number, own_lines());
     return whole_list_text(replica_.version().number, replica_.lines());
 }
 
-std::optional<UseList> ListDistribution::take_use()
+std::optional<ApplyEndpointList> EndpointDistribution::take_use()
 {
     // A version that has come in part is not a list yet.
     if (!untold_ || (replica_.partial() && !own_)) return {};
     untold_ = false;
     const uint64_t number = version().number;
     const auto uids = std::exchange(touched_, {});
-    if (!std::exchange(told_, true)) return UseList{number, whole_text(), true};
-    ListLines changed;
+    if (!std::exchange(told_, true)) return ApplyEndpointList{number, whole_text(), true};
+    EndpointTexts changed;
     for (const std::string& uid : uids)
         if (const auto* line = line_of(uid)) changed[uid] = *line;
-    return UseList{number, list_changes_text(number, uids, changed), false};
+    return ApplyEndpointList{number, list_changes_text(number, uids, changed), false};
 }
 
 }  // namespace firtide::fleet
--- a/src/fleet/list_replica.cpp
+++ b/src/fleet/list_replica.cpp
@@ -12,12 +12,12 @@
 constexpr size_t most_log_bytes = 8 << 20;
 constexpr size_t entry_overhead = 8;  // of one in a message, at most
 
-size_t size_of(const ListEntry& entry) { return entry.uid.size() + entry.text.size() + entry_overhead; }
+size_t size_of(const EndpointEntry& entry) { return entry.uid.size() + entry.text.size() + entry_overhead; }
 
-size_t size_of(const ListDelta& delta)
+size_t size_of(const EndpointDelta& delta)
 {
     size_t size = sizeof delta + delta.version.source.size();
-    for (const ListEntry& entry : delta.changed) size += size_of(entry);
+    for (const EndpointEntry& entry : delta.changed) size += size_of(entry);
     for (const std::string& uid : delta.removed) size += uid.size() + entry_overhead;
     return size;
 }
@@ -29,16 +29,16 @@
     return XXH3_64bits_withSeed(text.data(), text.size(), XXH3_64bits(uid.data(), uid.size()));
 }
 
-uint64_t digest_of(const ListLines& lines)
+uint64_t digest_of(const EndpointTexts& lines)
 {
     uint64_t sum = 0;
     for (const auto& [uid, text] : lines) sum += digest_of(uid, text);
     return sum;
 }
 
-ListChanges ListReplica::difference(const ListLines& whole) const
+EndpointChanges EndpointReplica::difference(const EndpointTexts& whole) const
 {
-    ListChanges changes;
+    EndpointChanges changes;
     auto held = state_.lines.begin();
     const auto end = state_.lines.end();
     for (const auto& [uid, text] : whole) {
@@ -51,9 +51,10 @@
     return changes;
 }
 
-ListChanges ListReplica::difference(const ListLines& whole, const std::vector<std::string>& uids) const
+EndpointChanges EndpointReplica::difference(const EndpointTexts& whole,
+                                            const std::vector<std::string>& uids) const
 {
-    ListChanges changes;
+    EndpointChanges changes;
     for (const std::string& uid : uids) {
         const auto held = state_.lines.find(uid);
         const auto seen = whole.find(uid);
@@ -68,11 +69,12 @@
 }
 
 // New entries come before removals: no state in between has fewer upstreams than both ends.
-std::vector<ListDelta> ListReplica::publish(Epoch epoch, const ListVersion& version, ListChanges changes)
+std::vector<EndpointDelta> EndpointReplica::publish(Epoch epoch, const EndpointListVersion& version,
+                                                    EndpointChanges changes)
 {
     // What a new holder states has to be what it holds, whatever it was told before.
     if (state_.revision.epoch != epoch) digest_ = digest_of(state_.lines);
-    std::vector<ListDelta> deltas(1);
+    std::vector<EndpointDelta> deltas(1);
     size_t bytes = 0;
     const auto make_room = [&](size_t size) {
         if (bytes > 0 && bytes + size > rule_.chunk) {
@@ -81,7 +83,7 @@
         }
         bytes += size;
     };
-    for (ListEntry& entry : changes.changed) {
+    for (EndpointEntry& entry : changes.changed) {
         make_room(size_of(entry));
         deltas.back().changed.push_back(std::move(entry));
     }
@@ -89,7 +91,7 @@
         make_room(uid.size() + entry_overhead);
         deltas.back().removed.push_back(std::move(uid));
     }
-    for (ListDelta& delta : deltas) {
+    for (EndpointDelta& delta : deltas) {
         delta.from = state_.revision;
         delta.to = {epoch, delta.from.epoch == epoch ? delta.from.number + 1 : 1};
         delta.partial = &delta != &deltas.back();
@@ -100,14 +102,14 @@
     return deltas;
 }
 
-uint64_t ListReplica::digest_after(const ListDelta& delta) const
+uint64_t EndpointReplica::digest_after(const EndpointDelta& delta) const
 {
     uint64_t digest = digest_;
     const auto take_out = [&](const std::string& uid) {
         const auto held = state_.lines.find(uid);
         if (held != state_.lines.end()) digest -= digest_of(uid, held->second);
     };
-    for (const ListEntry& entry : delta.changed) {
+    for (const EndpointEntry& entry : delta.changed) {
         take_out(entry.uid);
         digest += digest_of(entry.uid, entry.text);
     }
@@ -115,9 +117,9 @@
     return digest;
 }
 
-void ListReplica::advance(const ListDelta& delta)
+void EndpointReplica::advance(const EndpointDelta& delta)
 {
-    for (const ListEntry& entry : delta.changed) state_.lines[entry.uid] = entry.text;
+    for (const EndpointEntry& entry : delta.changed) state_.lines[entry.uid] = entry.text;
     for (const std::string& uid : delta.removed) state_.lines.erase(uid);
     state_.revision = delta.to;
     state_.version = delta.version;
@@ -126,7 +128,7 @@
     keep(delta);
 }
 
-void ListReplica::keep(ListDelta delta)
+void EndpointReplica::keep(EndpointDelta delta)
 {
     delta.answer = delta.more = false;
     delta.age_us = 0;
@@ -138,7 +140,7 @@
     }
 }
 
-ListReplica::Result ListReplica::apply(const ListDelta& delta)
+EndpointReplica::Result EndpointReplica::apply(const EndpointDelta& delta)
 {
     if (delta.to <= state_.revision) return Result::stale;
     if (delta.version.older_than(state_.version)) return Result::older;
@@ -148,7 +150,7 @@
         return Result::applied;
     }
     if (delta.digest != digest_) return Result::behind;
-    ListDelta bridge = delta;
+    EndpointDelta bridge = delta;
     bridge.from = state_.revision;
     bridge.changed.clear();
     bridge.removed.clear();
@@ -156,21 +158,22 @@
     return Result::adopted;
 }
 
-std::deque<ListDelta>::const_iterator ListReplica::logged_after(const ListRevision& from) const
+std::deque<EndpointDelta>::const_iterator EndpointReplica::logged_after(const EndpointRevision& from) const
 {
-    const auto at = std::lower_bound(log_.begin(), log_.end(), from,
-                                     [](const ListDelta& d, const ListRevision& r) { return d.from < r; });
+    const auto at =
+        std::lower_bound(log_.begin(), log_.end(), from,
+                         [](const EndpointDelta& d, const EndpointRevision& r) { return d.from < r; });
     return at != log_.end() && at->from == from ? at : log_.end();
 }
 
-bool ListReplica::reaches(const ListRevision& from) const
+bool EndpointReplica::reaches(const EndpointRevision& from) const
 {
     return from == state_.revision || logged_after(from) != log_.end();
 }
 
-std::vector<ListDelta> ListReplica::since(const ListRevision& from) const
+std::vector<EndpointDelta> EndpointReplica::since(const EndpointRevision& from) const
 {
-    std::vector<ListDelta> deltas;
+    std::vector<EndpointDelta> deltas;
     size_t bytes = 0;
     for (auto next = logged_after(from); next != log_.end(); ++next) {
         bytes += size_of(*next);
@@ -180,17 +183,17 @@
     return deltas;
 }
 
-std::vector<ListSnapshotChunk> ListReplica::snapshot() const
+std::vector<EndpointSnapshotChunk> EndpointReplica::snapshot() const
 {
-    ListSnapshotChunk head;
+    EndpointSnapshotChunk head;
     head.revision = state_.revision;
     head.version = state_.version;
     head.digest = state_.digest;
     head.partial = state_.partial;
-    std::vector<ListSnapshotChunk> chunks{head};
+    std::vector<EndpointSnapshotChunk> chunks{head};
     size_t bytes = 0;
     for (const auto& [uid, text] : state_.lines) {
-        ListEntry entry{uid, text};
+        EndpointEntry entry{uid, text};
         if (bytes > 0 && bytes + size_of(entry) > rule_.chunk) {
             head.index = static_cast<uint32_t>(chunks.size());
             chunks.push_back(head);
@@ -199,15 +202,15 @@
         bytes += size_of(entry);
         chunks.back().entries.push_back(std::move(entry));
     }
-    for (ListSnapshotChunk& chunk : chunks) chunk.count = static_cast<uint32_t>(chunks.size());
+    for (EndpointSnapshotChunk& chunk : chunks) chunk.count = static_cast<uint32_t>(chunks.size());
     return chunks;
 }
 
-std::optional<ListChanges> ListReplica::replace(ListSnapshot snapshot)
+std::optional<EndpointChanges> EndpointReplica::replace(EndpointSnapshot snapshot)
 {
     if (snapshot.revision < state_.revision || snapshot.version.older_than(state_.version)) return {};
     if (digest_of(snapshot.lines) != snapshot.digest) return {};
-    ListChanges changes = difference(snapshot.lines);
+    EndpointChanges changes = difference(snapshot.lines);
     state_ = std::move(snapshot);
     digest_ = state_.digest;
     log_.clear();
@@ -215,7 +218,7 @@
     return changes;
 }
 
-void ListReplica::corrupt(const std::string& uid, const std::string& text)
+void EndpointReplica::corrupt(const std::string& uid, const std::string& text)
 {
     state_.lines[uid] = text;
     digest_ = digest_of(state_.lines);
--- a/src/fleet/list_replica.h
+++ b/src/fleet/list_replica.h
@@ -14,26 +14,26 @@
 namespace firtide::fleet
 {
 
-struct ListChanges {
-    std::vector<ListEntry> changed;
+struct EndpointChanges {
+    std::vector<EndpointEntry> changed;
     std::vector<std::string> removed;  // uids
     bool empty() const { return changed.empty() && removed.empty(); }
 };
 
 // A whole state, as received in chunks.
-struct ListSnapshot {
-    ListRevision revision;
-    ListVersion version;
+struct EndpointSnapshot {
+    EndpointRevision revision;
+    EndpointListVersion version;
     uint64_t digest = 0;
     bool partial = false;
-    ListLines lines;
+    EndpointTexts lines;
 };
 
 // Of one entry. The digest of a state is the sum over its entries, whatever their order.
 uint64_t digest_of(const std::string& uid, const std::string& text);
-uint64_t digest_of(const ListLines& lines);
+uint64_t digest_of(const EndpointTexts& lines);
 
-class ListReplica
+class EndpointReplica
 {
   public:
     enum class Result : uint8_t {
@@ -45,33 +45,34 @@
         diverged,  // the state after it would not be what its publisher has
     };
 
-    explicit ListReplica(const DeltasRule& rule) : rule_(rule) {}
+    explicit EndpointReplica(const EndpointDeltaConfig& rule) : rule_(rule) {}
 
-    const ListRevision& revision() const { return state_.revision; }
-    const ListVersion& version() const { return state_.version; }
+    const EndpointRevision& revision() const { return state_.revision; }
+    const EndpointListVersion& version() const { return state_.version; }
     uint64_t digest() const { return digest_; }
     bool partial() const { return state_.partial; }
-    const ListLines& lines() const { return state_.lines; }
+    const EndpointTexts& lines() const { return state_.lines; }
 
     // What has to change here to arrive at `whole`.
-    ListChanges difference(const ListLines& whole) const;
+    EndpointChanges difference(const EndpointTexts& whole) const;
     // The same where nothing but the entries of `uids` can differ.
-    ListChanges difference(const ListLines& whole, const std::vector<std::string>& uids) const;
+    EndpointChanges difference(const EndpointTexts& whole, const std::vector<std::string>& uids) const;
 
     // As holder at `epoch`: makes one delta of the changes, or several where they exceed a chunk, applies
     // them and returns them. The first of an epoch may be empty.
-    std::vector<ListDelta> publish(Epoch epoch, const ListVersion& version, ListChanges changes);
-    Result apply(const ListDelta& delta);
+    std::vector<EndpointDelta> publish(Epoch epoch, const EndpointListVersion& version,
+                                       EndpointChanges changes);
+    Result apply(const EndpointDelta& delta);
 
     // Whether the log leads from there to the present revision.
-    bool reaches(const ListRevision& from) const;
+    bool reaches(const EndpointRevision& from) const;
     // The next deltas after `from`, about a chunk of them; empty where the log does not have them.
-    std::vector<ListDelta> since(const ListRevision& from) const;
+    std::vector<EndpointDelta> since(const EndpointRevision& from) const;
 
-    std::vector<ListSnapshotChunk> snapshot() const;
+    std::vector<EndpointSnapshotChunk> snapshot() const;
     // Takes a snapshot's place of the whole state and returns what it changed; nothing where it is not what
     // its digest says, or older than this state.
-    std::optional<ListChanges> replace(ListSnapshot snapshot);
+    std::optional<EndpointChanges> replace(EndpointSnapshot snapshot);
 
     // Whether the entries are still those that the publisher of this revision had. Goes through all of them.
     bool intact() const { return digest_of(state_.lines) == state_.digest; }
@@ -80,15 +81,15 @@
     void corrupt(const std::string& uid, const std::string& text);
 
   private:
-    uint64_t digest_after(const ListDelta& delta) const;
-    void advance(const ListDelta& delta);
-    void keep(ListDelta delta);
-    std::deque<ListDelta>::const_iterator logged_after(const ListRevision& from) const;
+    uint64_t digest_after(const EndpointDelta& delta) const;
+    void advance(const EndpointDelta& delta);
+    void keep(EndpointDelta delta);
+    std::deque<EndpointDelta>::const_iterator logged_after(const EndpointRevision& from) const;
 
-    const DeltasRule rule_;
-    ListSnapshot state_;  // its digest: as the publisher has it
+    const EndpointDeltaConfig rule_;
+    EndpointSnapshot state_;  // its digest: as the publisher has it
     uint64_t digest_ = 0;
-    std::deque<ListDelta> log_;  // contiguous, up to the present revision
+    std::deque<EndpointDelta> log_;  // contiguous, up to the present revision
     size_t log_bytes_ = 0;
 };
 
--- a/src/fleet/list_text.cpp
+++ b/src/fleet/list_text.cpp
@@ -38,14 +38,14 @@
 
 }  // namespace
 
-std::string whole_list_text(uint64_t version, const ListLines& lines)
+std::string whole_list_text(uint64_t version, const EndpointTexts& lines)
 {
     std::string out = begin_list(version, true);
     for (const auto& [uid, line] : lines) add_target(out, line);
     return out + "]}";
 }
 
-std::string list_changes_text(uint64_t version, const std::set<std::string>& uids, const ListLines& lines)
+std::string list_changes_text(uint64_t version, const std::set<std::string>& uids, const EndpointTexts& lines)
 {
     std::string out = begin_list(version, false);
     for (const std::string& uid : uids) {
--- a/src/fleet/list_text.h
+++ b/src/fleet/list_text.h
@@ -10,11 +10,12 @@
 {
 
 // Entries by uid, each the text of its target.
-using ListLines = std::map<std::string, std::string>;
+using EndpointTexts = std::map<std::string, std::string>;
 
-std::string whole_list_text(uint64_t version, const ListLines& lines);
+std::string whole_list_text(uint64_t version, const EndpointTexts& lines);
 
 // Those of `uids` that `lines` has, as they are there; the others as gone.
-std::string list_changes_text(uint64_t version, const std::set<std::string>& uids, const ListLines& lines);
+std::string list_changes_text(uint64_t version, const std::set<std::string>& uids,
+                              const EndpointTexts& lines);
 
 }  // namespace firtide::fleet
