--- a/src/fleet/members.cpp
+++ b/src/fleet/members.cpp
@@ -13,30 +13,31 @@
 constexpr size_t draws = 16;  // for one helper, before all members are gone through
 constexpr double silent_after = 3, suspect_after = 1.5, gone_after = 4;  // periods: each from the one before
 constexpr Span first_exchange = seconds(1), longest_exchange = seconds(60);
-constexpr Member nobody = UINT32_MAX;
+constexpr MemberIndex nobody = UINT32_MAX;
 
 }  // namespace
 
-Members::Members(const FleetFile& file, Life life, Incarnation incarnation, Span period, uint64_t seed)
+Membership::Membership(const FleetConfig& file, InstanceId instance, Incarnation incarnation, Span period,
+                       uint64_t seed)
     : file_(file),
       self_(file.self),
       period_(period),
       chance_(static_cast<uint32_t>(seed ^ seed >> 32)),
       all_(file.members.size())
 {
-    set(self_, {incarnation, life, Health::alive, 0});
+    set(self_, {incarnation, instance, Health::alive, 0});
 }
 
-void Members::start(Point now)
+void Membership::start(Point now)
 {
     started_ = woken_ = heard_at_least_ = now;
     watch_.clear();
     find_neighbours();
 }
 
-void Members::acquaint(const std::vector<One>& all)
+void Membership::seed_members(const std::vector<MemberState>& all)
 {
-    const One own = all_[self_];
+    const MemberState own = all_[self_];
     all_ = all;
     all_[self_] = own;
     alive_ = 0;
@@ -44,8 +45,8 @@
     ++version_;
     suspect_since_.clear();
     gone_.clear();
-    for (Member m = 0; m < all_.size(); ++m) {
-        const One& one = all_[m];
+    for (MemberIndex m = 0; m < all_.size(); ++m) {
+        const MemberState& one = all_[m];
         alive_ += one.health == Health::alive;
         if (one.incarnation) digest_ += digest_of(m);
         if (one.health == Health::gone) gone_.push_back(m);
@@ -55,16 +56,16 @@
 }
 
 // Of one member's part in the digest, which is the sum of these: so it can be kept as single ones change.
-uint64_t Members::digest_of(Member m) const
+uint64_t Membership::digest_of(MemberIndex m) const
 {
-    const One& one = all_[m];
+    const MemberState& one = all_[m];
     const uint64_t said[] = {file_.members[m].key, one.incarnation * 4 + static_cast<uint64_t>(one.health)};
     return XXH3_64bits(said, sizeof said);
 }
 
-void Members::set(Member m, const One& next)
+void Membership::set(MemberIndex m, const MemberState& next)
 {
-    One& one = all_[m];
+    MemberState& one = all_[m];
     if (one.incarnation) digest_ -= digest_of(m);
     alive_ -= one.health == Health::alive;
     one = next;
@@ -74,9 +75,9 @@
 }
 
 // Keeps the sets of those that are suspect and gone in step with the records.
-void Members::note_health(Point now, Member m, Health before)
+void Membership::note_health(Point now, MemberIndex m, Health before)
 {
-    const One& one = all_[m];
+    const MemberState& one = all_[m];
     const auto at = std::lower_bound(gone_.begin(), gone_.end(), m);
     const bool listed = at != gone_.end() && *at == m;
     if (one.health == Health::gone && !listed) gone_.insert(at, m);
@@ -88,7 +89,7 @@
 }
 
 // The next and the last on each ring that are not gone.
-void Members::find_neighbours()
+void Membership::find_neighbours()
 {
     neighbours_.clear();
     successors_.clear();
@@ -107,15 +108,15 @@
         list->erase(std::unique(list->begin(), list->end()), list->end());
     }
     neighbour_watches_.clear();
-    for (const Member m : neighbours_) neighbour_watches_.push_back(&watch(m));
+    for (const MemberIndex m : neighbours_) neighbour_watches_.push_back(&watch(m));
 }
 
-bool Members::is_neighbour(Member m) const
+bool Membership::is_neighbour(MemberIndex m) const
 {
     return std::binary_search(neighbours_.begin(), neighbours_.end(), m);
 }
 
-Members::Watch& Members::watch(Member m)
+Membership::Watch& Membership::watch(MemberIndex m)
 {
     const auto at = watch_.find(m);
     if (at != watch_.end()) return at->second;
@@ -123,26 +124,26 @@
     return watch_.emplace(m, first).first->second;
 }
 
-MembershipUpdate Members::update_of(Member m) const
+MembershipUpdate Membership::update_of(MemberIndex m) const
 {
-    const One& o = all_[m];
-    return {file_.members[m].key, static_cast<uint8_t>(o.health), o.incarnation, o.life, o.weight};
+    const MemberState& o = all_[m];
+    return {file_.members[m].key, static_cast<uint8_t>(o.health), o.incarnation, o.instance, o.weight};
 }
 
-MembershipUpdates Members::all_known(bool answer) const
+MembershipUpdates Membership::all_known(bool answer) const
 {
     MembershipUpdates known{{}, answer};
-    for (Member m = 0; m < all_.size(); ++m)
+    for (MemberIndex m = 0; m < all_.size(); ++m)
         if (all_[m].incarnation) known.all.push_back(update_of(m));
     return known;
 }
 
-void Members::ping(Point now, Member to, uint64_t answers)
+void Membership::ping(Point now, MemberIndex to, uint64_t answers)
 {
-    const One& o = all_[to];
+    const MemberState& o = all_[to];
     Ping p;
     p.number = ++pings_, p.answers = answers;
-    p.incarnation = incarnation(), p.life = all_[self_].life;
+    p.incarnation = incarnation(), p.instance = all_[self_].instance;
     p.view = digest_;
     p.held = static_cast<uint8_t>(o.health), p.held_at = o.incarnation;
     p.leader = carried.leader, p.term = carried.term;
@@ -152,30 +153,31 @@
     send(to, p);
 }
 
-void Members::spread(const std::vector<MembershipUpdate>& updates, Member not_to)
+void Membership::spread(const std::vector<MembershipUpdate>& updates, MemberIndex not_to)
 {
     if (updates.empty()) return;
-    for (const Member m : neighbours_)
+    for (const MemberIndex m : neighbours_)
         if (m != not_to) send(m, MembershipUpdates{updates, false});
 }
 
-bool Members::accept(Point now, Member m, Health health, Incarnation incarnation, Life life, uint8_t weight)
+bool Membership::accept(Point now, MemberIndex m, Health health, Incarnation incarnation, InstanceId instance,
+                        uint8_t weight)
 {
-    const One o = all_[m];
+    const MemberState o = all_[m];
     if (m == self_) {
         // Guards against being taken for gone, and against a past of this id that its disk has forgotten.
-        twin_ =
-            twin_ || (life != 0 && life != o.life && incarnation >= o.incarnation && health == Health::alive);
+        twin_ = twin_ || (instance != 0 && instance != o.instance && incarnation >= o.incarnation &&
+                          health == Health::alive);
         if (left_ || incarnation < o.incarnation ||
-            (health == Health::alive && (incarnation == o.incarnation || life == o.life)))
+            (health == Health::alive && (incarnation == o.incarnation || instance == o.instance)))
             return false;
-        set(self_, {incarnation + 1, o.life, o.health, o.weight});
+        set(self_, {incarnation + 1, o.instance, o.health, o.weight});
         spread({update_of(self_)}, nobody);
         return false;
     }
     if (incarnation < o.incarnation || (incarnation == o.incarnation && health <= o.health)) return false;
     const bool other = o.health != health;
-    set(m, {incarnation, life ? life : o.life, health, weight});
+    set(m, {incarnation, instance ? instance : o.instance, health, weight});
     note_health(now, m, o.health);
     if (health == Health::alive)
         if (const auto at = watch_.find(m); at != watch_.end()) at->second.asking = false;
@@ -186,22 +188,22 @@
     return true;
 }
 
-void Members::heard(Point now, Member from)
+void Membership::heard(Point now, MemberIndex from)
 {
     Watch& w = watch(from);
     w.heard = now;
     w.asking = false;
     std::erase_if(asked_for_, [&](const auto& asked) {
         if (asked.first != from) return false;
-        send(asked.second.first, Reached{file_.members[from].key, all_[from].incarnation});
+        send(asked.second.first, IndirectProbeAck{file_.members[from].key, all_[from].incarnation});
         return true;
     });
 }
 
-void Members::on(Point now, Member from, const Ping& p)
+void Membership::on(Point now, MemberIndex from, const Ping& p)
 {
     if (all_[from].incarnation < p.incarnation &&
-        accept(now, from, Health::alive, p.incarnation, p.life, p.weight))
+        accept(now, from, Health::alive, p.incarnation, p.instance, p.weight))
         spread({update_of(from)}, from);
     if (p.held != static_cast<uint8_t>(Health::alive) && p.held_at)
         accept(now, self_, Health::suspect, p.held_at, 0, 0);
@@ -221,16 +223,17 @@
     }
 }
 
-void Members::on(Point now, Member from, const Ask& ask)
+void Membership::on(Point now, MemberIndex from, const IndirectProbeRequest& ask)
 {
     const auto m = file_.member_of(ask.member);
     if (!m || *m == self_) return;
-    if (now - heard_at(watch(*m)) < period_ * 2) return send(from, Reached{ask.member, all_[*m].incarnation});
+    if (now - heard_at(watch(*m)) < period_ * 2)
+        return send(from, IndirectProbeAck{ask.member, all_[*m].incarnation});
     asked_for_.push_back({*m, {from, now}});
     ping(now, *m);
 }
 
-void Members::on(Point now, Member, const Reached& reached)
+void Membership::on(Point now, MemberIndex, const IndirectProbeAck& reached)
 {
     const auto m = file_.member_of(reached.member);
     if (!m || *m == self_) return;
@@ -239,27 +242,27 @@
     w.heard = now;
 }
 
-void Members::on(Point now, Member from, const MembershipUpdates& updates)
+void Membership::on(Point now, MemberIndex from, const MembershipUpdates& updates)
 {
     std::vector<MembershipUpdate> news;
     for (const MembershipUpdate& r : updates.all) {
         const auto m = file_.member_of(r.member);
         if (!m || r.health > static_cast<uint8_t>(Health::gone)) continue;
-        if (accept(now, *m, static_cast<Health>(r.health), r.incarnation, r.life, r.weight))
+        if (accept(now, *m, static_cast<Health>(r.health), r.incarnation, r.instance, r.weight))
             news.push_back(update_of(*m));
     }
     spread(news, from);
     if (updates.answer) send(from, all_known(false));
 }
 
-void Members::weigh(uint8_t weight)
+void Membership::weigh(uint8_t weight)
 {
-    const One& o = all_[self_];
-    set(self_, {o.incarnation + 1, o.life, o.health, weight});
+    const MemberState& o = all_[self_];
+    set(self_, {o.incarnation + 1, o.instance, o.health, weight});
     spread({update_of(self_)}, nobody);
 }
 
-void Members::leave(Point)
+void Membership::leave(Point)
 {
     left_ = true;
     MembershipUpdate r = update_of(self_);
@@ -268,20 +271,20 @@
 }
 
 // Up to three others that are alive, drawn alike from all.
-std::vector<Member> Members::draw_helpers(Member subject)
+std::vector<MemberIndex> Membership::draw_helpers(MemberIndex subject)
 {
-    std::vector<Member> drawn;
-    const auto suits = [&](Member m) {
+    std::vector<MemberIndex> drawn;
+    const auto suits = [&](MemberIndex m) {
         return m != subject && m != self_ && all_[m].health == Health::alive &&
                std::find(drawn.begin(), drawn.end(), m) == drawn.end();
     };
-    std::uniform_int_distribution<Member> any(0, static_cast<Member>(all_.size() - 1));
+    std::uniform_int_distribution<MemberIndex> any(0, static_cast<MemberIndex>(all_.size() - 1));
     for (size_t i = 0; i < helpers * draws && drawn.size() < helpers; ++i)
-        if (const Member m = any(chance_); suits(m)) drawn.push_back(m);
+        if (const MemberIndex m = any(chance_); suits(m)) drawn.push_back(m);
     if (drawn.size() == helpers) return drawn;
     // Few are alive: those that are left, in a random order.
-    std::vector<Member> left;
-    for (Member m = 0; m < all_.size(); ++m)
+    std::vector<MemberIndex> left;
+    for (MemberIndex m = 0; m < all_.size(); ++m)
         if (suits(m)) left.push_back(m);
     std::shuffle(left.begin(), left.end(), chance_);
     left.resize(std::min(left.size(), helpers - drawn.size()));
@@ -290,27 +293,27 @@
 }
 
 // In the order of the file.
-std::vector<Member> Members::overdue_suspects(Point now)
+std::vector<MemberIndex> Membership::overdue_suspects(Point now)
 {
-    std::vector<Member> overdue;
+    std::vector<MemberIndex> overdue;
     for (const auto& [m, since] : suspect_since_)
         if (now - since > period_ * gone_after) overdue.push_back(m);
     if (!unheard_are_suspect_ || now - started_ <= period_ * gone_after) return overdue;
     unheard_are_suspect_ = false;
-    for (Member m = 0; m < all_.size(); ++m)
+    for (MemberIndex m = 0; m < all_.size(); ++m)
         if (all_[m].health == Health::suspect && all_[m].incarnation == 0) overdue.push_back(m);
     std::sort(overdue.begin(), overdue.end());
     return overdue;
 }
 
 // They are taken in turn.
-std::optional<Member> Members::next_gone() const
+std::optional<MemberIndex> Membership::next_gone() const
 {
     if (gone_.empty()) return {};
     return gone_[next_gone_ % gone_.size()];
 }
 
-void Members::tick(Point now)
+void Membership::tick(Point now)
 {
     // Guards against blaming all others for a stall of this process: whoever stood still has heard nobody.
     if (now - woken_ > period_ * 2) heard_at_least_ = now - period_;
@@ -320,14 +323,14 @@
     const auto neighbours = neighbours_;  // a finding below may change them
     const auto watches = neighbour_watches_;
     for (size_t i = 0; i < neighbours.size(); ++i) {
-        const Member m = neighbours[i];
+        const MemberIndex m = neighbours[i];
         Watch& w = *watches[i];
         if (now - w.pinged >= period_) ping(now, m);
         if (all_[m].health != Health::alive) continue;
         if (!w.asking && now - heard_at(w) > period_ * silent_after) {
             w.asking = true;
             w.asked = now;
-            for (const Member o : draw_helpers(m)) send(o, Ask{file_.members[m].key});
+            for (const MemberIndex o : draw_helpers(m)) send(o, IndirectProbeRequest{file_.members[m].key});
         } else if (w.asking && now - w.asked > period_ * suspect_after) {
             w.asking = false;
             if (accept(now, m, Health::suspect, all_[m].incarnation, 0, all_[m].weight))
@@ -335,7 +338,7 @@
         }
     }
     const auto gone_before = next_gone();
-    for (const Member m : overdue_suspects(now)) {
+    for (const MemberIndex m : overdue_suspects(now)) {
         const bool known = all_[m].incarnation > 0;
         if (accept(now, m, Health::gone, all_[m].incarnation, 0, all_[m].weight) && known)
             found.push_back(update_of(m));
--- a/src/fleet/memory.cpp
+++ b/src/fleet/memory.cpp
@@ -12,7 +12,7 @@
 // Little-endian. The checksum is of the head without it, and all that follows.
 struct Head {
     char magic[8] = {'F', 'I', 'R', 'T', 'S', 'N', 'A', 'P'};
-    uint32_t format = memory_format;
+    uint32_t format = member_snapshot_format;
     uint32_t pad = 0;
     uint64_t length = 0;
     uint64_t checksum = 0;
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-std::string encode_memory(const Memory& memory)
+std::string encode_member_snapshot(const MemberSnapshot& memory)
 {
     const auto payload = pack(memory);
     Head head;
@@ -38,7 +38,7 @@
     return out.append(payload);
 }
 
-std::variant<Memory, std::string> decode_memory(std::string_view bytes)
+std::variant<MemberSnapshot, std::string> decode_member_snapshot(std::string_view bytes)
 {
     Head head;
     if (bytes.size() < sizeof head) return "it is cut short";
@@ -48,14 +48,14 @@
     if (payload.size() < head.length) return "it is cut short";
     if (payload.size() > head.length || checksum(head, payload) != head.checksum) return "it is damaged";
     // Only after the checksum: a damaged number is no newer format.
-    if (head.format != memory_format)
+    if (head.format != member_snapshot_format)
         return "its format " + std::to_string(head.format) + " is not known here";
-    auto memory = unpack<Memory>(payload);
+    auto memory = unpack<MemberSnapshot>(payload);
     if (!memory) return "it holds something else";
     return std::move(*memory);
 }
 
-std::string not_of(const Memory& memory, const std::string& fleet, const std::string& member)
+std::string not_of(const MemberSnapshot& memory, const std::string& fleet, const std::string& member)
 {
     if (memory.fleet != fleet) return "it is of fleet '" + memory.fleet + "'";
     if (memory.member != member) return "it is of member '" + memory.member + "'";
--- a/src/fleet/memory.h
+++ b/src/fleet/memory.h
@@ -11,14 +11,14 @@
 namespace firtide::fleet
 {
 
-struct RememberedReduction {
+struct PersistedReduction {
     uint64_t upstream = 0;
     float reduction = 0;
     int64_t left_us = 0;  // when it was written
     MSGPACK_DEFINE(upstream, reduction, left_us)
 };
 
-struct Memory {
+struct MemberSnapshot {
     std::string fleet, member;
     Incarnation incarnation = 0;
     std::string boot;     // of the machine: its boot clock says nothing of another one's
@@ -28,20 +28,20 @@
     double rate = 0;   // invocations a second that were accepted and went well
     double size = 0;   // of all upstreams together
     uint32_t sharers = 0;
-    std::vector<RememberedReduction> reductions;
+    std::vector<PersistedReduction> reductions;
     std::vector<SeenEpoch> epochs;
     std::vector<std::string> open;  // ids of what may have run and was not answered
     MSGPACK_DEFINE(fleet, member, incarnation, boot, boot_us, list_version, list, rate, size, sharers,
                    reductions, epochs, open)
 };
 
-inline constexpr uint32_t memory_format = 1;
+inline constexpr uint32_t member_snapshot_format = 1;
 inline constexpr const char* snapshot_file = "snapshot";
 
-std::string encode_memory(const Memory& memory);
+std::string encode_member_snapshot(const MemberSnapshot& memory);
 // Or why it is refused: whole or not at all.
-std::variant<Memory, std::string> decode_memory(std::string_view bytes);
+std::variant<MemberSnapshot, std::string> decode_member_snapshot(std::string_view bytes);
 // Empty: it is this member's.
-std::string not_of(const Memory& memory, const std::string& fleet, const std::string& member);
+std::string not_of(const MemberSnapshot& memory, const std::string& fleet, const std::string& member);
 
 }  // namespace firtide::fleet
--- a/src/fleet/messages.cpp
+++ b/src/fleet/messages.cpp
@@ -44,9 +44,9 @@
 
 }  // namespace
 
-Key key_of(std::string_view id)
+MemberKey key_of(std::string_view id)
 {
-    const Key key = XXH3_64bits(id.data(), id.size());
+    const MemberKey key = XXH3_64bits(id.data(), id.size());
     return key ? key : 1;
 }
 
@@ -55,27 +55,27 @@
     return health == Health::alive ? "alive" : health == Health::suspect ? "suspect" : "gone";
 }
 
-const char* text_of(Stage stage)
+const char* text_of(VoterStage stage)
 {
     switch (stage) {
-        case Stage::empty: return "empty";
-        case Stage::checking: return "checking";
-        case Stage::voting: return "voting";
-        case Stage::failed: return "failed";
-        case Stage::refused: return "refused";
+        case VoterStage::empty: return "empty";
+        case VoterStage::checking: return "checking";
+        case VoterStage::voting: return "voting";
+        case VoterStage::failed: return "failed";
+        case VoterStage::refused: return "refused";
     }
     return "";
 }
 
 Urgency urgency_of(const Message& message)
 {
-    if (std::get_if<News>(&message) || std::get_if<Digest>(&message) || std::get_if<ListDelta>(&message) ||
-        std::get_if<ListSnapshotChunk>(&message))
+    if (std::get_if<Broadcast>(&message) || std::get_if<OutlierDigest>(&message) ||
+        std::get_if<EndpointDelta>(&message) || std::get_if<EndpointSnapshotChunk>(&message))
         return Urgency::news;
-    if (std::get_if<Ping>(&message) || std::get_if<Ask>(&message) || std::get_if<Reached>(&message) ||
-        std::get_if<MembershipUpdates>(&message) || std::get_if<WantNews>(&message) ||
-        std::get_if<WantParts>(&message) || std::get_if<GivenParts>(&message) ||
-        std::get_if<WantListDeltas>(&message))
+    if (std::get_if<Ping>(&message) || std::get_if<IndirectProbeRequest>(&message) ||
+        std::get_if<IndirectProbeAck>(&message) || std::get_if<MembershipUpdates>(&message) ||
+        std::get_if<BroadcastRequest>(&message) || std::get_if<QuotaRequest>(&message) ||
+        std::get_if<QuotaResponse>(&message) || std::get_if<EndpointDeltaRequest>(&message))
         return Urgency::members;
     return Urgency::leases;
 }
--- a/src/fleet/messages.h
+++ b/src/fleet/messages.h
@@ -14,57 +14,57 @@
 namespace firtide::fleet
 {
 
-using Key = uint64_t;    // of a member's id, the same in every process
-using Life = uint64_t;   // one run of a process, drawn at its start
-using Epoch = uint64_t;  // of a duty; only grows
+using MemberKey = uint64_t;   // of a member's id, the same in every process
+using InstanceId = uint64_t;  // one run of a process, drawn at its start
+using Epoch = uint64_t;       // of a duty; only grows
 using Incarnation = uint64_t;
 
-Key key_of(std::string_view id);
+MemberKey key_of(std::string_view id);
 
 enum class Health : uint8_t { alive, suspect, gone };  // at one incarnation, later ones overrule earlier ones
-enum class Stage : uint8_t { empty, checking, voting, failed, refused };
+enum class VoterStage : uint8_t { empty, checking, voting, failed, refused };
 const char* text_of(Health health);
-const char* text_of(Stage stage);
+const char* text_of(VoterStage stage);
 
 // The first on every connection.
 struct Hello {
     std::string fleet;
     uint32_t version = 0;
-    Key from = 0, to = 0;
-    Life life = 0;
-    MSGPACK_DEFINE(fleet, version, from, to, life)
+    MemberKey from = 0, to = 0;
+    InstanceId instance = 0;
+    MSGPACK_DEFINE(fleet, version, from, to, instance)
 };
 struct MembershipUpdate {
-    Key member = 0;
+    MemberKey member = 0;
     uint8_t health = 0;
     Incarnation incarnation = 0;
-    Life life = 0;
+    InstanceId instance = 0;
     uint8_t weight = 0;  // of its traffic: four steps double it, 100 is one invocation a second; 0: unknown
-    MSGPACK_DEFINE(member, health, incarnation, life, weight)
+    MSGPACK_DEFINE(member, health, incarnation, instance, weight)
 };
 // Also answers one: then `answers` is that one's number.
 struct Ping {
     uint64_t number = 0, answers = 0;
     Incarnation incarnation = 0;
-    Life life = 0;
+    InstanceId instance = 0;
     uint64_t view = 0;  // digest of all that its sender holds of the members
     uint8_t held = 0;   // what its sender holds of its receiver, and at which incarnation
     Incarnation held_at = 0;
-    Key leader = 0;  // zero: unknown
+    MemberKey leader = 0;  // zero: unknown
     Term term = 0;
     uint64_t list = 0;  // newest list that its sender has
     Epoch list_epoch = 0;
     uint8_t weight = 0;
     uint64_t list_digest = 0;  // of the state at that revision, where lists go round as deltas
-    MSGPACK_DEFINE(number, answers, incarnation, life, view, held, held_at, leader, term, list, list_epoch,
-                   weight, list_digest)
+    MSGPACK_DEFINE(number, answers, incarnation, instance, view, held, held_at, leader, term, list,
+                   list_epoch, weight, list_digest)
 };
-struct Ask {  // whether the receiver reaches this member
-    Key member = 0;
+struct IndirectProbeRequest {  // whether the receiver reaches this member
+    MemberKey member = 0;
     MSGPACK_DEFINE(member)
 };
-struct Reached {
-    Key member = 0;
+struct IndirectProbeAck {
+    MemberKey member = 0;
     Incarnation incarnation = 0;
     MSGPACK_DEFINE(member, incarnation)
 };
@@ -73,7 +73,7 @@
     bool answer = false;  // with all that the receiver holds
     MSGPACK_DEFINE(all, answer)
 };
-struct RaftSent {
+struct RaftMessage {
     DiskId from = 0, to = 0;
     uint64_t writes = 0;  // of the sender's disk: what the message says rests on these
     std::string bytes;
@@ -92,7 +92,7 @@
     std::vector<SeenDisk> seen;
     MSGPACK_DEFINE(disk, stage, writes, seen)
 };
-struct Founded {  // who votes, from the one voter that may say so
+struct BootstrapConfig {  // who votes, from the one voter that may say so
     std::vector<std::pair<std::string, DiskId>> voters;
     MSGPACK_DEFINE(voters)
 };
@@ -101,8 +101,8 @@
     Epoch epoch = 0;
     MSGPACK_DEFINE(duty, epoch)
 };
-struct Renew {
-    Life life = 0;
+struct LeaseRenewRequest {
+    InstanceId instance = 0;
     uint64_t nonce = 0;
     uint64_t table = 0;              // version of the table that its sender has
     std::vector<std::string> wants;  // duties, or families of them, asked for
@@ -110,54 +110,54 @@
     bool leaving = false;            // wants nothing any more
     uint64_t heard = 0;              // the newest of its askings that it had an answer to
     std::vector<SeenEpoch> done;     // granted to it, and not held any more
-    MSGPACK_DEFINE(life, nonce, table, wants, seen, leaving, heard, done)
+    MSGPACK_DEFINE(instance, nonce, table, wants, seen, leaving, heard, done)
 };
-struct Row {
+struct LeaseRecord {
     std::string duty;
-    Key holder = 0;  // zero: none
-    Life life = 0;
+    MemberKey holder = 0;  // zero: none
+    InstanceId instance = 0;
     Epoch epoch = 0;
-    MSGPACK_DEFINE(duty, holder, life, epoch)
+    MSGPACK_DEFINE(duty, holder, instance, epoch)
 };
 // Confirmed by a majority. Without a nonce it renews nothing.
-struct Renewed {
+struct LeaseRenewResponse {
     Term term = 0;
     uint64_t nonce = 0;
     uint64_t table = 0;
     bool whole = false;  // rows are all there are; else only those of the receiver
-    std::vector<Row> rows;
+    std::vector<LeaseRecord> rows;
     MSGPACK_DEFINE(term, nonce, table, whole, rows)
 };
-struct Refer {  // to the leader; zero: none is known
-    Key leader = 0;
+struct LeaderRedirect {  // to the leader; zero: none is known
+    MemberKey leader = 0;
     Term term = 0;
     MSGPACK_DEFINE(leader, term)
 };
-struct Revoke {
+struct LeaseRevoke {
     std::string duty;
     Epoch epoch = 0;
     MSGPACK_DEFINE(duty, epoch)
 };
-struct Released {
+struct LeaseRelease {
     std::string duty;
     Epoch epoch = 0;
-    Life life = 0;
-    MSGPACK_DEFINE(duty, epoch, life)
+    InstanceId instance = 0;
+    MSGPACK_DEFINE(duty, epoch, instance)
 };
 // Asked of the leader for an operator at the sender's management address.
-struct Order {
+struct AdminCommand {
     uint64_t number = 0;
     std::string what, first, second;
     MSGPACK_DEFINE(number, what, first, second)
 };
-struct Obeyed {
+struct AdminCommandResult {
     uint64_t number = 0;
     bool success = false;
     std::string text;
     MSGPACK_DEFINE(number, success, text)
 };
 // An effect of a duty on all members, passed on by each that takes it.
-struct News {
+struct Broadcast {
     std::string duty;
     Epoch epoch = 0;
     uint64_t number = 0;  // grows within the epoch
@@ -166,117 +166,119 @@
     std::string bytes;
     MSGPACK_DEFINE(duty, epoch, number, base, age_us, bytes)
 };
-struct WantNews {  // the newest of a duty
+struct BroadcastRequest {  // the newest of a duty
     std::string duty;
     MSGPACK_DEFINE(duty)
 };
 
 // Of what a balancer has found of upstreams: signals.h.
-struct Signal {
+struct OutlierReport {
     uint64_t upstream = 0;  // as all members name it
-    Key by = 0;
-    Life life = 0;
-    uint64_t number = 0;     // grows with each of this life
+    MemberKey by = 0;
+    InstanceId instance = 0;
+    uint64_t number = 0;     // grows with each of this instance
     uint8_t reduction = 0;   // of 255
     uint8_t seen = 0;        // bad answers that it rests on
     uint32_t age_ms = 0;     // since the last of them
     uint32_t started_s = 0;  // since the upstream's start, plus one; zero: it is not cold
-    MSGPACK_DEFINE(upstream, by, life, number, reduction, seen, age_ms, started_s)
+    MSGPACK_DEFINE(upstream, by, instance, number, reduction, seen, age_ms, started_s)
 };
 // Of what its sender has found, or heard of others and passes on.
-struct Digest {
-    std::vector<Signal> all;
+struct OutlierDigest {
+    std::vector<OutlierReport> all;
     MSGPACK_DEFINE(all)
 };
 // Parts of budgets, asked of who gives them: shares.h.
-struct WantPart {
+struct QuotaDemand {
     uint8_t of = 0;
     uint64_t which = 0;
     float demand = 0, have = 0;  // a second; have: what it was given and may still use
     MSGPACK_DEFINE(of, which, demand, have)
 };
-struct WantParts {
-    Life life = 0;
+struct QuotaRequest {
+    InstanceId instance = 0;
     Epoch epoch = 0;      // of the holder that is asked
     uint64_t number = 0;  // of the asking
     uint64_t heard =
         0;  // the newest that it had an answer to: what was given before that is not used any more
-    std::vector<WantPart> all;
-    MSGPACK_DEFINE(life, epoch, number, heard, all)
+    std::vector<QuotaDemand> all;
+    MSGPACK_DEFINE(instance, epoch, number, heard, all)
 };
-struct GivenPart {
+struct QuotaGrant {
     uint8_t of = 0;
     uint64_t which = 0;
     float rate = 0;
     MSGPACK_DEFINE(of, which, rate)
 };
-struct GivenParts {
+struct QuotaResponse {
     Epoch epoch = 0;
-    Life life = 0;
+    InstanceId instance = 0;
     uint64_t number = 0;  // of the asking
-    std::vector<GivenPart> all;
-    MSGPACK_DEFINE(epoch, life, number, all)
+    std::vector<QuotaGrant> all;
+    MSGPACK_DEFINE(epoch, instance, number, all)
 };
 
 // A state of the replicated list: ordered, and never used for two states. Zero: the empty list at the start.
-struct ListRevision {
+struct EndpointRevision {
     Epoch epoch = 0;      // of the holder that published it
     uint64_t number = 0;  // within the epoch, from 1
-    auto operator<=>(const ListRevision&) const = default;
+    auto operator<=>(const EndpointRevision&) const = default;
     MSGPACK_DEFINE(epoch, number)
 };
 // Of a list as discovery numbers it. Numbers of two sources say nothing of each other.
-struct ListVersion {
+struct EndpointListVersion {
     std::string source;  // discovery's address
     uint64_t number = 0;
-    bool operator==(const ListVersion&) const = default;
-    bool older_than(const ListVersion& other) const
+    bool operator==(const EndpointListVersion&) const = default;
+    bool older_than(const EndpointListVersion& other) const
     {
         return source == other.source && number < other.number;
     }
     MSGPACK_DEFINE(source, number)
 };
-struct ListEntry {
+struct EndpointEntry {
     std::string uid, text;  // text: its target in discovery's form
     MSGPACK_DEFINE(uid, text)
 };
-// One step of the replicated list. Pushed along the rings, or sent in answer to WantListDeltas.
-struct ListDelta {
-    ListRevision from, to;
-    ListVersion version;  // after it
-    std::vector<ListEntry> changed;
+// One step of the replicated list. Pushed along the rings, or sent in answer to EndpointDeltaRequest.
+struct EndpointDelta {
+    EndpointRevision from, to;
+    EndpointListVersion version;  // after it
+    std::vector<EndpointEntry> changed;
     std::vector<std::string> removed;  // uids
     uint64_t digest = 0;               // of the state after it
     bool partial = false;              // the rest of this version follows in the next delta
-    bool answer = false;               // to WantListDeltas
+    bool answer = false;               // to EndpointDeltaRequest
     bool more = false;                 // the last of an answer whose sender holds further ones
     int64_t age_us = 0;                // since its sender's list was last confirmed
     MSGPACK_DEFINE(from, to, version, changed, removed, digest, partial, answer, more, age_us)
 };
 // Asks for what follows `from`: deltas, or the first chunk of a snapshot.
-struct WantListDeltas {
-    ListRevision from;
-    ListVersion version;    // at `from`
-    uint64_t digest = 0;    // at `from`
-    bool whole = false;     // its sender's replica is wrong: deltas do not help
-    ListRevision snapshot;  // that is being received, and its next chunk
+struct EndpointDeltaRequest {
+    EndpointRevision from;
+    EndpointListVersion version;  // at `from`
+    uint64_t digest = 0;          // at `from`
+    bool whole = false;           // its sender's replica is wrong: deltas do not help
+    EndpointRevision snapshot;    // that is being received, and its next chunk
     uint32_t chunk = 0;
     MSGPACK_DEFINE(from, version, digest, whole, snapshot, chunk)
 };
-struct ListSnapshotChunk {
-    ListRevision revision;
-    ListVersion version;
+struct EndpointSnapshotChunk {
+    EndpointRevision revision;
+    EndpointListVersion version;
     uint64_t digest = 0;
     bool partial = false;
     uint32_t index = 0, count = 0;
     int64_t age_us = 0;
-    std::vector<ListEntry> entries;
+    std::vector<EndpointEntry> entries;
     MSGPACK_DEFINE(revision, version, digest, partial, index, count, age_us, entries)
 };
 
-using Message = std::variant<Hello, Ping, Ask, Reached, MembershipUpdates, RaftSent, DiskReport, Founded,
-                             Renew, Renewed, Refer, Revoke, Released, Order, Obeyed, News, WantNews, Digest,
-                             WantParts, GivenParts, ListDelta, WantListDeltas, ListSnapshotChunk>;
+using Message = std::variant<Hello, Ping, IndirectProbeRequest, IndirectProbeAck, MembershipUpdates,
+                             RaftMessage, DiskReport, BootstrapConfig, LeaseRenewRequest, LeaseRenewResponse,
+                             LeaderRedirect, LeaseRevoke, LeaseRelease, AdminCommand, AdminCommandResult,
+                             Broadcast, BroadcastRequest, OutlierDigest, QuotaRequest, QuotaResponse,
+                             EndpointDelta, EndpointDeltaRequest, EndpointSnapshotChunk>;
 
 inline constexpr uint32_t wire_version = 1;
 inline constexpr size_t most_message = 4 << 20;  // bytes
--- a/src/fleet/peers.cpp
+++ b/src/fleet/peers.cpp
@@ -48,13 +48,13 @@
     Place self;
     net::Stream stream;
     FrameReader reader;
-    std::optional<Member> from;  // once it has greeted
+    std::optional<MemberIndex> from;  // once it has greeted
 };
 
 // Lives as long as this process.
 struct Peers::Out {
     Peers* owner = nullptr;
-    Member to = 0;
+    MemberIndex to = 0;
     sockaddr_in address{};
     net::Stream stream;
     bool connected = false;
@@ -67,11 +67,11 @@
     bool pausing = false;
 };
 
-Peers::Peers(event_base* base, const FleetFile& file, Life life, uint64_t seed,
-             std::function<void(Member, Message)> heard)
+Peers::Peers(event_base* base, const FleetConfig& file, InstanceId instance, uint64_t seed,
+             std::function<void(MemberIndex, Message)> heard)
     : base_(base),
       file_(file),
-      life_(life),
+      instance_(instance),
       chance_(static_cast<uint32_t>(seed ^ seed >> 32)),
       heard_(std::move(heard)),
       listener_(nullptr, evconnlistener_free)
@@ -87,7 +87,7 @@
     if (!listener_)
         throw std::runtime_error("cannot listen on " + file.listen + ": " +
                                  evutil_socket_error_to_string(EVUTIL_SOCKET_ERROR()));
-    for (Member m = 0; m < file.members.size(); ++m)
+    for (MemberIndex m = 0; m < file.members.size(); ++m)
         if (m != file.self) (void)address_of(file.members[m].address);
 }
 
@@ -181,7 +181,7 @@
 
 // Made at the first message. Most members never speak to each other: in a large fleet the memory of queues
 // to all of them is the larger part of a member's own.
-Peers::Out& Peers::out_of(Member to)
+Peers::Out& Peers::out_of(MemberIndex to)
 {
     const auto [at, made] = out_.try_emplace(to);
     Out& out = at->second;
@@ -202,7 +202,7 @@
 }
 
 // Where there is no room, the least urgent goes first, and of these the oldest.
-void Peers::send(Member to, const Message& message)
+void Peers::send(MemberIndex to, const Message& message)
 {
     if (to == file_.self || to >= file_.members.size()) return;
     Out& out = out_of(to);
@@ -244,7 +244,7 @@
             o->pause = first_pause;
             Peers& p = *o->owner;
             const Hello hello{p.file_.name, wire_version, p.file_.members[p.file_.self].key,
-                              p.file_.members[o->to].key, p.life_};
+                              p.file_.members[o->to].key, p.instance_};
             const auto bytes = encode_frame(hello, o->frames++);
             bufferevent_write(stream, bytes.data(), bytes.size());
             p.flush(*o);
--- a/src/fleet/peers.h
+++ b/src/fleet/peers.h
@@ -23,11 +23,11 @@
 {
   public:
     // Throws std::runtime_error where the address cannot be listened on.
-    Peers(event_base* base, const FleetFile& file, Life life, uint64_t seed,
-          std::function<void(Member, Message)> heard);
+    Peers(event_base* base, const FleetConfig& file, InstanceId instance, uint64_t seed,
+          std::function<void(MemberIndex, Message)> heard);
     ~Peers();
 
-    void send(Member to, const Message& message);
+    void send(MemberIndex to, const Message& message);
     const TrafficCounts& counts() const { return counts_; }
 
   private:
@@ -43,20 +43,20 @@
     void accept(evutil_socket_t fd);
     void readable(Place at);
     bool greeted(In& in, const Message& message);
-    Out& out_of(Member to);
+    Out& out_of(MemberIndex to);
     void connect(Out& out);
     void ended(Out& out);
     void flush(Out& out);
     void again(Out& out);
 
     event_base* base_;
-    const FleetFile& file_;
-    const Life life_;
+    const FleetConfig& file_;
+    const InstanceId instance_;
     std::ranlux24_base chance_;
-    std::function<void(Member, Message)> heard_;
+    std::function<void(MemberIndex, Message)> heard_;
     std::unique_ptr<evconnlistener, void (*)(evconnlistener*)> listener_;
     std::list<In> in_;
-    std::map<Member, Out> out_;  // those that anything was ever sent to
+    std::map<MemberIndex, Out> out_;  // those that anything was ever sent to
     TrafficCounts counts_;
 };
 
--- a/src/fleet/recovery.h
+++ b/src/fleet/recovery.h
@@ -16,8 +16,8 @@
 namespace firtide::fleet
 {
 
-enum class ReturnStage : uint8_t { disk, peers, voters, duties, list, warming, full };
-const char* text_of(ReturnStage stage);
+enum class StartupStage : uint8_t { disk, peers, voters, duties, list, warming, full };
+const char* text_of(StartupStage stage);
 
 struct FleetState {
     size_t members = 1, alive = 1;
@@ -25,10 +25,10 @@
     size_t duties = 0, held = 0;
 };
 
-class Recovery
+class StartupSequencer
 {
   public:
-    explicit Recovery(const RecoveryRule& rule) : rule_(rule) {}
+    explicit StartupSequencer(const StartupConfig& rule) : rule_(rule) {}
 
     void start(Point now);
     // What was accepted a second before, by so many balancers, and the size of all upstreams then.
@@ -45,13 +45,13 @@
     void list_is_good() { empty_since_.reset(); }
     // What the next start should measure by: until service has been full for a while, what this one did.
     // Guards against a second loss that would take the little of a return for the usual.
-    struct Usual {
+    struct TrafficBaseline {
         double rate = 0, size = 0;
         uint32_t sharers = 0;
     };
-    Usual usual(Point now, const Usual& seen) const;
-    ReturnStage stage() const { return stage_; }
-    bool ready() const { return stage_ > ReturnStage::list || told_; }
+    TrafficBaseline usual(Point now, const TrafficBaseline& seen) const;
+    StartupStage stage() const { return stage_; }
+    bool ready() const { return stage_ > StartupStage::list || told_; }
     std::vector<std::string> lines(Point now) const;
 
   private:
@@ -60,11 +60,11 @@
         bool gave_up = false;
     };
     bool done(double warm, double listed) const;
-    Span longest() const { return stage_ == ReturnStage::warming ? rule_.warm : rule_.wait; }
+    Span longest() const { return stage_ == StartupStage::warming ? rule_.warm : rule_.wait; }
 
-    const RecoveryRule rule_;
+    const StartupConfig rule_;
     FleetState state_;
-    ReturnStage stage_ = ReturnStage::disk;
+    StartupStage stage_ = StartupStage::disk;
     std::array<Passed, 7> passed_;
     Point started_, filled_;
     std::optional<Point> empty_since_;
--- a/src/fleet/roster.cpp
+++ b/src/fleet/roster.cpp
@@ -11,8 +11,8 @@
 {
 
 struct Roster::Data {
-    std::vector<MemberLine> members;
-    std::unordered_map<Key, Member> by_key;
+    std::vector<MemberConfig> members;
+    std::unordered_map<MemberKey, MemberIndex> by_key;
     size_t voters = 0;
     std::once_flag rings_made;
     Rings rings;
@@ -27,9 +27,9 @@
 void Roster::Data::make_rings()
 {
     for (size_t ring = 0; ring < ring_count; ++ring) {
-        std::vector<std::pair<uint64_t, Member>> hashed;
+        std::vector<std::pair<uint64_t, MemberIndex>> hashed;
         hashed.reserve(members.size());
-        for (Member m = 0; m < members.size(); ++m)
+        for (MemberIndex m = 0; m < members.size(); ++m)
             hashed.emplace_back(XXH3_64bits_withSeed(members[m].id.data(), members[m].id.size(), ring + 1),
                                 m);
         std::sort(hashed.begin(), hashed.end());
@@ -45,31 +45,31 @@
 
 Roster::Roster() : data_(std::make_shared<Data>()) {}
 
-void Roster::push_back(MemberLine member)
+void Roster::push_back(MemberConfig member)
 {
     const bool rings_made = !data_->rings[0].order.empty();
     if (data_.use_count() > 1 || rings_made) data_ = std::make_shared<Data>(*data_);
     member.key = key_of(member.id);
-    data_->by_key.emplace(member.key, static_cast<Member>(data_->members.size()));
+    data_->by_key.emplace(member.key, static_cast<MemberIndex>(data_->members.size()));
     data_->voters += member.voter;
     data_->members.push_back(std::move(member));
 }
 
 size_t Roster::size() const { return data_->members.size(); }
-const MemberLine& Roster::operator[](Member member) const { return data_->members[member]; }
-const MemberLine& Roster::back() const { return data_->members.back(); }
-std::vector<MemberLine>::const_iterator Roster::begin() const { return data_->members.begin(); }
-std::vector<MemberLine>::const_iterator Roster::end() const { return data_->members.end(); }
+const MemberConfig& Roster::operator[](MemberIndex member) const { return data_->members[member]; }
+const MemberConfig& Roster::back() const { return data_->members.back(); }
+std::vector<MemberConfig>::const_iterator Roster::begin() const { return data_->members.begin(); }
+std::vector<MemberConfig>::const_iterator Roster::end() const { return data_->members.end(); }
 size_t Roster::voters() const { return data_->voters; }
 
-std::optional<Member> Roster::member_of(Key key) const
+std::optional<MemberIndex> Roster::member_of(MemberKey key) const
 {
     const auto at = data_->by_key.find(key);
     if (at == data_->by_key.end()) return {};
     return at->second;
 }
 
-std::optional<Member> Roster::member_of(std::string_view id) const
+std::optional<MemberIndex> Roster::member_of(std::string_view id) const
 {
     const auto m = member_of(key_of(id));
     if (!m || data_->members[*m].id != id) return {};
--- a/src/fleet/roster.h
+++ b/src/fleet/roster.h
@@ -15,11 +15,11 @@
 namespace firtide::fleet
 {
 
-using Member = uint32_t;  // place in the fleet file
+using MemberIndex = uint32_t;  // place in the fleet file
 
-struct MemberLine {
+struct MemberConfig {
     std::string id;
-    Key key = 0;          // key_of(id); set by Roster::push_back
+    MemberKey key = 0;    // key_of(id); set by Roster::push_back
     std::string address;  // as this member reaches it
     std::string zone;
     bool voter = false;
@@ -35,7 +35,7 @@
     // All members in the order of a hash of their ids: the same at every member, whatever the order of its
     // file.
     struct Ring {
-        std::vector<Member> order;
+        std::vector<MemberIndex> order;
         std::vector<uint32_t> place;  // of each member in that order
     };
     using Rings = std::array<Ring, ring_count>;
@@ -43,17 +43,17 @@
     Roster();
 
     // The first of two members with one key is the one that is found by it.
-    void push_back(MemberLine member);
+    void push_back(MemberConfig member);
 
     size_t size() const;
     bool empty() const { return size() == 0; }
-    const MemberLine& operator[](Member member) const;
-    const MemberLine& back() const;
-    std::vector<MemberLine>::const_iterator begin() const;
-    std::vector<MemberLine>::const_iterator end() const;
+    const MemberConfig& operator[](MemberIndex member) const;
+    const MemberConfig& back() const;
+    std::vector<MemberConfig>::const_iterator begin() const;
+    std::vector<MemberConfig>::const_iterator end() const;
 
-    std::optional<Member> member_of(Key key) const;
-    std::optional<Member> member_of(std::string_view id) const;
+    std::optional<MemberIndex> member_of(MemberKey key) const;
+    std::optional<MemberIndex> member_of(std::string_view id) const;
     size_t voters() const;
     // Made when they are first asked for.
     const Rings& rings() const;
--- a/src/fleet/rules.h
+++ b/src/fleet/rules.h
@@ -11,20 +11,20 @@
 namespace firtide::fleet
 {
 
-struct SubsetRule {
+struct SubsetConfig {
     uint32_t size = 20;         // upstreams of middling size in an arc
     bool zones = false;         // an arc of the own zone's, and a smaller one of the others
     uint32_t beyond = 4;        // in that smaller one
     Span narrow = seconds(10);  // without need at the present width: one step back
 };
 
-struct SignalRule {
+struct OutlierGossipConfig {
     double alone = 0.5;  // one balancer's word counts so far
     Span validity = seconds(1.5);
     uint32_t bytes = 2000;  // a second that a member sends
 };
 
-struct RecoveryRule {
+struct StartupConfig {
     Span every = seconds(2);  // the snapshot is written again
     Span wait = seconds(3);   // the longest of a stage
     Span warm = seconds(60);  // and of upstreams' warming
@@ -43,7 +43,7 @@
 // of the fleet file, also of one that is cut off. What is left over covers files that name too few.
 inline constexpr double dealt_out = 0.7, kept_for_floors = 0.2;
 
-struct TurnsRule {
+struct QuotaConfig {
     Span length = seconds(1);
     std::map<std::string, double> whole;  // a second: "retries", "probes", "cold", "tenant.NAME"
     std::optional<double> floor;          // of each member; absent: an even part of what is kept for that
--- a/src/fleet/shares.cpp
+++ b/src/fleet/shares.cpp
@@ -25,7 +25,7 @@
     return "";
 }
 
-double TurnsRule::whole_of(BudgetName name) const
+double QuotaConfig::whole_of(BudgetName name) const
 {
     if (name.of == Budget::tenant) {
         for (const auto& [key, value] : whole)
@@ -36,7 +36,8 @@
     return at == whole.end() ? 0 : at->second;
 }
 
-Shares::Shares(const TurnsRule& rule, size_t members, Life life) : rule_(rule), members_(members), life_(life)
+QuotaClient::QuotaClient(const QuotaConfig& rule, size_t members, InstanceId instance)
+    : rule_(rule), members_(members), instance_(instance)
 {
     for (const auto& [name, value] : rule.whole) {
         if (name == "cold") continue;  // one for each upstream that is
@@ -47,7 +48,7 @@
     }
 }
 
-Shares::Own& Shares::own(BudgetName name)
+QuotaClient::Own& QuotaClient::own(BudgetName name)
 {
     const auto [at, fresh] = own_.try_emplace(name);
     if (fresh) {
@@ -58,7 +59,7 @@
     return at->second;
 }
 
-void Shares::asked(Point now, const std::map<BudgetName, uint32_t>& asked)
+void QuotaClient::asked(Point now, const std::map<BudgetName, uint32_t>& asked)
 {
     const double since = (now - demand_at_).seconds();
     if (since <= 0) return;
@@ -75,11 +76,11 @@
     }
 }
 
-WantParts Shares::want(Point now, Epoch holder)
+QuotaRequest QuotaClient::want(Point now, Epoch holder)
 {
     // Guards against an answer of an earlier holder that comes after the new one was told what is had.
     if (std::exchange(epoch_, holder) != holder) asked_.clear(), heard_ = 0;
-    WantParts w{life_, holder, ++number_, heard_, {}};
+    QuotaRequest w{instance_, holder, ++number_, heard_, {}};
     asked_[number_] = now;
     while (asked_.size() > most_asked) asked_.erase(asked_.begin());
     for (const auto& [name, o] : own_)
@@ -89,38 +90,39 @@
 }
 
 // A part counts from the asking, so that it is over here before it is there.
-void Shares::given_to(Point now, const GivenParts& parts)
+void QuotaClient::given_to(Point now, const QuotaResponse& parts)
 {
     const auto at = asked_.find(parts.number);
-    if (parts.life != life_ || parts.epoch != epoch_ || at == asked_.end()) return;
+    if (parts.instance != instance_ || parts.epoch != epoch_ || at == asked_.end()) return;
     heard_ = parts.number;
     const Point from = at->second;
     asked_.erase(asked_.begin(), std::next(at));
-    for (const GivenPart& g : parts.all) {
+    for (const QuotaGrant& g : parts.all) {
         const auto o = own_.find({static_cast<Budget>(g.of), g.which});
         if (o == own_.end()) continue;
-        const Part next{o->first, g.rate, o->second.part.floor, from + rule_.length, from + rule_.length * 2};
+        const QuotaLease next{o->first, g.rate, o->second.part.floor, from + rule_.length,
+                              from + rule_.length * 2};
         if (now < next.none_from) o->second.part = next;
     }
 }
 
-std::vector<Part> Shares::parts(Point) const
+std::vector<QuotaLease> QuotaClient::parts(Point) const
 {
-    std::vector<Part> out;
+    std::vector<QuotaLease> out;
     for (const auto& [name, o] : own_) out.push_back(o.part);
     return out;
 }
 
-Allocator::Allocator(const TurnsRule& rule, double drift) : rule_(rule), drift_(drift) {}
+QuotaAllocator::QuotaAllocator(const QuotaConfig& rule, double drift) : rule_(rule), drift_(drift) {}
 
-void Allocator::begin(Point now, Epoch epoch)
+void QuotaAllocator::begin(Point now, Epoch epoch)
 {
     epoch_ = epoch;
     since_ = now;
     pools_.clear();
 }
 
-double Allocator::out(Point now, BudgetName name) const
+double QuotaAllocator::out(Point now, BudgetName name) const
 {
     const auto at = pools_.find(name);
     const double all = rule_.whole_of(name) * dealt_out;
@@ -130,7 +132,7 @@
     return sum;
 }
 
-double Allocator::Holding::out(Point now) const
+double QuotaAllocator::Holding::out(Point now) const
 {
     double most = 0;
     for (const Grant& g : grants)
@@ -139,7 +141,7 @@
 }
 
 // Each gets what it asks for, up to the same level; what is left over is dealt out evenly.
-double Allocator::level(Point now, const Pool& pool, double whole) const
+double QuotaAllocator::level(Point now, const Pool& pool, double whole) const
 {
     std::vector<double> demands;
     for (const auto& [of, h] : pool.held)
@@ -155,11 +157,11 @@
     return -left / static_cast<double>(std::max<size_t>(1, demands.size()));
 }
 
-GivenParts Allocator::answer(Point now, Key from, const WantParts& want)
+QuotaResponse QuotaAllocator::answer(Point now, MemberKey from, const QuotaRequest& want)
 {
-    GivenParts out{epoch_, want.life, want.number, {}};
+    QuotaResponse out{epoch_, want.instance, want.number, {}};
     if (want.epoch != epoch_) return out;
-    for (const WantPart& w : want.all) {
+    for (const QuotaDemand& w : want.all) {
         const BudgetName name{static_cast<Budget>(w.of), w.which};
         const double whole = rule_.whole_of(name) * dealt_out;
         if (whole <= 0 || w.of > static_cast<uint8_t>(Budget::tenant)) continue;
@@ -170,7 +172,7 @@
         std::erase_if(pool.held, [&](const auto& h) {
             return h.second.out(now) <= 0 && now - h.second.heard > forgotten;
         });
-        const auto [own, first] = pool.held.try_emplace({from, want.life});
+        const auto [own, first] = pool.held.try_emplace({from, want.instance});
         Holding& h = own->second;
         if (first) {
             // What an earlier holder gave it, it gives back here.
@@ -191,7 +193,7 @@
     return out;
 }
 
-bool Bucket::has(Point now, const Part& part)
+bool TokenBucket::has(Point now, const QuotaLease& part)
 {
     const double rate = part.at(now);
     if (at_.us < 0) at_ = now;
@@ -201,7 +203,7 @@
     return tokens_ >= 1;
 }
 
-bool Bucket::take(Point now, const Part& part)
+bool TokenBucket::take(Point now, const QuotaLease& part)
 {
     if (!has(now, part)) return false;
     tokens_ -= 1;
--- a/src/fleet/shares.h
+++ b/src/fleet/shares.h
@@ -17,7 +17,7 @@
 
 // A part and how long it is good for, by the clock of who holds it: in full, then falling evenly to the floor
 // in as long again.
-struct Part {
+struct QuotaLease {
     BudgetName name;
     double rate = 0, floor = 0;  // a second; the floor is no part of the rate
     Point full_until, none_from;
@@ -31,30 +31,30 @@
 };
 
 // At every member.
-class Shares
+class QuotaClient
 {
   public:
-    Shares(const TurnsRule& rule, size_t members, Life life);
+    QuotaClient(const QuotaConfig& rule, size_t members, InstanceId instance);
 
     // What was asked of each budget since the last call.
     void asked(Point now, const std::map<BudgetName, uint32_t>& asked);
-    WantParts want(Point now, Epoch holder);
-    void given_to(Point now, const GivenParts& parts);  // nothing but an answer to its last holder counts
-    std::vector<Part> parts(Point now) const;
+    QuotaRequest want(Point now, Epoch holder);
+    void given_to(Point now, const QuotaResponse& parts);  // nothing but an answer to its last holder counts
+    std::vector<QuotaLease> parts(Point now) const;
     Span length() const { return rule_.length; }
 
   private:
     struct Own {
-        Part part;
+        QuotaLease part;
         double demand = 0;
         Point wanted;  // last
     };
 
     Own& own(BudgetName name);
 
-    const TurnsRule& rule_;
+    const QuotaConfig& rule_;
     const size_t members_;
-    const Life life_;
+    const InstanceId instance_;
     std::map<BudgetName, Own> own_;
     uint64_t number_ = 0;
     std::map<uint64_t, Point> asked_;  // not answered yet
@@ -64,13 +64,13 @@
 };
 
 // At the holder of the duty.
-class Allocator
+class QuotaAllocator
 {
   public:
-    Allocator(const TurnsRule& rule, double drift);
+    QuotaAllocator(const QuotaConfig& rule, double drift);
 
     void begin(Point now, Epoch epoch);  // guards against what an earlier holder has given
-    GivenParts answer(Point now, Key from, const WantParts& want);
+    QuotaResponse answer(Point now, MemberKey from, const QuotaRequest& want);
     Epoch epoch() const { return epoch_; }
     // What members may use together of a budget's what is dealt out, at the most.
     double out(Point now, BudgetName name) const;
@@ -90,13 +90,13 @@
     };
     struct Pool {
         double unknown = 0;  // of an earlier holder, until `since` plus the time that it can last
-        std::map<std::pair<Key, Life>, Holding> held;
+        std::map<std::pair<MemberKey, InstanceId>, Holding> held;
     };
 
     double level(Point now, const Pool& pool, double whole) const;
     Span lasts() const { return rule_.length * (2 + 8 * drift_); }
 
-    const TurnsRule& rule_;
+    const QuotaConfig& rule_;
     const double drift_;
     Epoch epoch_ = 0;
     Point since_;
@@ -104,11 +104,11 @@
 };
 
 // Tokens by a part; no more than a second's, or one, are saved up.
-class Bucket
+class TokenBucket
 {
   public:
-    bool take(Point now, const Part& part);
-    bool has(Point now, const Part& part);
+    bool take(Point now, const QuotaLease& part);
+    bool has(Point now, const QuotaLease& part);
 
   private:
     double tokens_ = 0;
--- a/src/fleet/signals.cpp
+++ b/src/fleet/signals.cpp
@@ -16,17 +16,20 @@
 constexpr double bytes_of_one = 48, bytes_of_frame = 40;
 constexpr double own_weighs = 3;  // good answers: so many halve what others say
 
-double part_of(const Signal& s) { return s.reduction / 255.0; }
+double part_of(const OutlierReport& s) { return s.reduction / 255.0; }
 
 }  // namespace
 
-Signals::Signals(const SignalRule& rule, Key own, Life life) : rule_(rule), own_(own), life_(life) {}
+OutlierGossip::OutlierGossip(const OutlierGossipConfig& rule, MemberKey own, InstanceId instance)
+    : rule_(rule), own_(own), instance_(instance)
+{
+}
 
-void Signals::seen(Point now, const std::vector<Evidence>& all)
+void OutlierGossip::seen(Point now, const std::vector<OutlierEvidence>& all)
 {
     evidence_.clear();
     evidence_at_ = now;
-    for (const Evidence& e : all) {
+    for (const OutlierEvidence& e : all) {
         evidence_[e.upstream] = e;
         const bool reduced = e.reduction >= worth_telling && e.bad > 0 && e.age < rule_.validity;
         if (!reduced && !e.started) continue;
@@ -40,7 +43,7 @@
         when = now, before = e.reduction;
         h.signal = {e.upstream,
                     own_,
-                    life_,
+                    instance_,
                     ++number_,
                     static_cast<uint8_t>(reduced ? std::min(1.0, e.reduction) * 255 : 0),
                     static_cast<uint8_t>(std::min<uint32_t>(e.bad, 255)),
@@ -51,13 +54,13 @@
     }
 }
 
-void Signals::heard(Point now, const Digest& digest)
+void OutlierGossip::heard(Point now, const OutlierDigest& digest)
 {
-    for (const Signal& s : digest.all) {
+    for (const OutlierReport& s : digest.all) {
         if (s.by == own_) continue;
         const Span age{int64_t{s.age_ms} * 1000};
         Newest& of = newest_[s.by];
-        if (of.life != s.life) of = {s.life, {}};
+        if (of.instance != s.instance) of = {s.instance, {}};
         uint64_t& newest = of.of[s.upstream];
         // Guards against what comes twice, late or out of order: it renews nothing.
         if (s.number <= newest || age >= rule_.validity ||
@@ -74,7 +77,7 @@
     }
 }
 
-Digest Signals::take(Point now, size_t successors)
+OutlierDigest OutlierGossip::take(Point now, size_t successors)
 {
     room_ = std::min<double>(rule_.bytes, room_ + rule_.bytes * (now - filled_).seconds());
     filled_ = now;
@@ -86,7 +89,7 @@
         const auto at = held_.find(d.first);
         return at == held_.end() || !at->second.count(d.second);
     });
-    Digest out;
+    OutlierDigest out;
     if (due_.empty() || successors == 0) return out;
     const double copies = static_cast<double>(successors);
     const double room = std::min(room_ / copies, most_signals * bytes_of_one + bytes_of_frame);
@@ -113,7 +116,7 @@
 }
 
 // What others say counts less the more own answers since then were good.
-double Signals::against(Point now, const Evidence& own, Point found) const
+double OutlierGossip::against(Point now, const OutlierEvidence& own, Point found) const
 {
     if (own.bad > 0 || own.well == 0 || now - own.well_age - (now - evidence_at_) < found) return 1;
     return own_weighs / (own_weighs + own.well);
@@ -122,7 +125,8 @@
 // The second greatest of what others say is agreed on; the greatest counts alone up to a part. Own good
 // answers since they found it hold both down to a part: an own road that is well says more than others' that
 // may not be.
-Signals::Result Signals::result(Point now, uint64_t upstream, const std::map<Key, Held>& by) const
+OutlierGossip::Result OutlierGossip::result(Point now, uint64_t upstream,
+                                            const std::map<MemberKey, Held>& by) const
 {
     double first = 0, second = 0;
     Point found{INT64_MIN / 2};
@@ -155,7 +159,7 @@
     return out;
 }
 
-std::map<uint64_t, Signals::Result> Signals::results(Point now) const
+std::map<uint64_t, OutlierGossip::Result> OutlierGossip::results(Point now) const
 {
     std::map<uint64_t, Result> out;
     for (const auto& [upstream, by] : held_) {
@@ -165,7 +169,7 @@
     return out;
 }
 
-std::vector<Signals::Counted> Signals::told(Point now, uint64_t upstream) const
+std::vector<OutlierGossip::Counted> OutlierGossip::told(Point now, uint64_t upstream) const
 {
     std::vector<Counted> out;
     const auto at = held_.find(upstream);
--- a/src/fleet/signals.h
+++ b/src/fleet/signals.h
@@ -18,7 +18,7 @@
 {
 
 // What this balancer itself knows of an upstream.
-struct Evidence {
+struct OutlierEvidence {
     uint64_t upstream = 0;
     double reduction = 0;         // of its own entry
     uint32_t well = 0, bad = 0;   // answers lately
@@ -27,11 +27,11 @@
     std::optional<Span> started;  // where it is cold: so long ago
 };
 
-class Signals
+class OutlierGossip
 {
   public:
     struct Counted {  // one that was told
-        Key by = 0;
+        MemberKey by = 0;
         double reduction = 0;
         Span age;
     };
@@ -40,13 +40,13 @@
         std::optional<Span> started;
     };
 
-    Signals(const SignalRule& rule, Key own, Life life);
+    OutlierGossip(const OutlierGossipConfig& rule, MemberKey own, InstanceId instance);
 
     // All own evidence; what of it others should know is told once the time for it has come.
-    void seen(Point now, const std::vector<Evidence>& all);
-    void heard(Point now, const Digest& digest);
+    void seen(Point now, const std::vector<OutlierEvidence>& all);
+    void heard(Point now, const OutlierDigest& digest);
     // What is due to be told, to each of the successors; empty: nothing.
-    Digest take(Point now, size_t successors);
+    OutlierDigest take(Point now, size_t successors);
 
     // Of the upstreams that anything counts for.
     std::map<uint64_t, Result> results(Point now) const;
@@ -56,28 +56,28 @@
 
   private:
     struct Held {
-        Signal signal;
+        OutlierReport signal;
         Point found, until;
     };
 
-    Result result(Point now, uint64_t upstream, const std::map<Key, Held>& by) const;
-    double against(Point now, const Evidence& own, Point found) const;
-    void due(uint64_t upstream, Key by) { due_.emplace(upstream, by); }
+    Result result(Point now, uint64_t upstream, const std::map<MemberKey, Held>& by) const;
+    double against(Point now, const OutlierEvidence& own, Point found) const;
+    void due(uint64_t upstream, MemberKey by) { due_.emplace(upstream, by); }
 
-    const SignalRule rule_;
-    const Key own_;
-    const Life life_;
+    const OutlierGossipConfig rule_;
+    const MemberKey own_;
+    const InstanceId instance_;
     uint64_t number_ = 0;
-    std::map<uint64_t, std::map<Key, Held>> held_;
-    std::map<uint64_t, Evidence> evidence_;  // as of evidence_at_
+    std::map<uint64_t, std::map<MemberKey, Held>> held_;
+    std::map<uint64_t, OutlierEvidence> evidence_;  // as of evidence_at_
     Point evidence_at_;
     std::map<uint64_t, std::pair<Point, double>> own_told_;  // when, and which reduction
     struct Newest {
-        Life life = 0;
+        InstanceId instance = 0;
         std::map<uint64_t, uint64_t> of;  // number by upstream
     };
-    std::map<Key, Newest> newest_;
-    std::set<std::pair<uint64_t, Key>> due_;
+    std::map<MemberKey, Newest> newest_;
+    std::set<std::pair<uint64_t, MemberKey>> due_;
     double room_ = 0;  // bytes
     Point filled_;
     uint64_t dropped_ = 0, stale_ = 0;
--- a/src/fleet/store.cpp
+++ b/src/fleet/store.cpp
@@ -35,7 +35,7 @@
 };
 struct EntryRecord {
     uint8_t what = static_cast<uint8_t>(Record::entry);
-    Index index = 0;
+    LogIndex index = 0;
     Term term = 0;
     uint16_t kind = 0;
     std::string bytes;
@@ -43,17 +43,17 @@
 };
 struct TruncateRecord {
     uint8_t what = static_cast<uint8_t>(Record::truncate);
-    Index from = 0;
+    LogIndex from = 0;
     MSGPACK_DEFINE(what, from)
 };
 struct SnapshotRecord {
     uint8_t what = static_cast<uint8_t>(Record::snapshot);
-    Index index = 0;
+    LogIndex index = 0;
     Term term = 0;
     std::string voters;
-    Index voters_index = 0;
+    LogIndex voters_index = 0;
     std::string bytes;
-    Index first = 0;  // of the entries that follow
+    LogIndex first = 0;  // of the entries that follow
     MSGPACK_DEFINE(what, index, term, voters, voters_index, bytes, first)
 };
 
@@ -94,7 +94,7 @@
 }
 
 // False: the record does not follow from what was kept before.
-bool apply(std::string_view payload, Kept& kept)
+bool apply(std::string_view payload, PersistentState& kept)
 {
     const auto handle = msgpack::unpack(payload.data(), payload.size());
     const auto& object = handle.get();
@@ -131,16 +131,16 @@
 
 }  // namespace
 
-const char* text_of(Opened opened)
+const char* text_of(OpenResult opened)
 {
     switch (opened) {
-        case Opened::fresh: return "fresh";
-        case Opened::whole: return "whole";
-        case Opened::cut: return "half a record at its end, taken off";
-        case Opened::another: return "another member's or another fleet's";
-        case Opened::newer_version: return "of a newer version";
-        case Opened::damaged: return "damaged: something that was kept is not there any more";
-        case Opened::failed: return "failed";
+        case OpenResult::fresh: return "fresh";
+        case OpenResult::whole: return "whole";
+        case OpenResult::cut: return "half a record at its end, taken off";
+        case OpenResult::another: return "another member's or another fleet's";
+        case OpenResult::newer_version: return "of a newer version";
+        case OpenResult::damaged: return "damaged: something that was kept is not there any more";
+        case OpenResult::failed: return "failed";
     }
     return "";
 }
@@ -151,22 +151,22 @@
     return false;
 }
 
-Opened Store::open(const std::string& fleet, const std::string& member, DiskId disk)
+OpenResult Store::open(const std::string& fleet, const std::string& member, DiskId disk)
 {
     std::optional<std::string> text;
     if (const auto error = files_.read(name, text)) {
         fail(error);
-        return Opened::failed;
+        return OpenResult::failed;
     }
     owner_ = {fleet, member, disk};
     kept_ = {};
-    if (!text || text->empty()) return rewrite() ? Opened::fresh : Opened::failed;
+    if (!text || text->empty()) return rewrite() ? OpenResult::fresh : OpenResult::failed;
     std::string_view rest = *text;
     const auto first = record_at(rest);
     const auto owner = unpack<OwnerRecord>(first);
-    if (!owner || owner->what != static_cast<uint8_t>(Record::owner)) return Opened::damaged;
-    if (owner->version > version) return Opened::newer_version;
-    if (owner->fleet != fleet || owner->member != member) return Opened::another;
+    if (!owner || owner->what != static_cast<uint8_t>(Record::owner)) return OpenResult::damaged;
+    if (owner->version > version) return OpenResult::newer_version;
+    if (owner->fleet != fleet || owner->member != member) return OpenResult::another;
     owner_.disk = owner->disk;
     kept_.writes = owner->writes;
     rest.remove_prefix(head + first.size());
@@ -174,19 +174,19 @@
         const auto payload = record_at(rest);
         if (payload.empty()) break;
         try {
-            if (!apply(payload, kept_)) return Opened::damaged;
+            if (!apply(payload, kept_)) return OpenResult::damaged;
             ++kept_.writes;
         } catch (const std::exception&) {
-            return Opened::damaged;
+            return OpenResult::damaged;
         }
         rest.remove_prefix(head + payload.size());
     }
     bytes_ = text->size() - rest.size();
     written_ = kept_.writes;
-    if (rest.empty()) return Opened::whole;
-    if (any_record(rest.substr(1))) return Opened::damaged;
+    if (rest.empty()) return OpenResult::whole;
+    if (any_record(rest.substr(1))) return OpenResult::damaged;
     // Guards against counting up to what others have seen, where what was cut off had been told of after all.
-    return rewrite(false) ? Opened::cut : Opened::failed;
+    return rewrite(false) ? OpenResult::cut : OpenResult::failed;
 }
 
 bool Store::renew(DiskId disk)
@@ -217,15 +217,15 @@
     }
 }
 
-void Store::truncate(Index from)
+void Store::truncate(LogIndex from)
 {
     while (kept_.last() >= from && !kept_.entries.empty()) kept_.entries.pop_back();
     put(pack(TruncateRecord{.from = from}));
 }
 
-bool Store::snapshot_is(Snapshot snapshot, Index trailing)
+bool Store::snapshot_is(Snapshot snapshot, LogIndex trailing)
 {
-    const Index keep_from = snapshot.index > trailing ? snapshot.index - trailing + 1 : 1;
+    const LogIndex keep_from = snapshot.index > trailing ? snapshot.index - trailing + 1 : 1;
     // Guards against keeping entries that another log has put in the snapshot's place.
     const bool fits = snapshot.index >= kept_.first && snapshot.index <= kept_.last() &&
                       kept_.entries[snapshot.index - kept_.first].term == snapshot.term;
@@ -259,7 +259,7 @@
                                           .bytes = s.bytes,
                                           .first = kept_.first}));
     if (kept_.term) all += framed(pack(TermRecord{.term = kept_.term, .vote = kept_.vote}));
-    Index index = kept_.first;
+    LogIndex index = kept_.first;
     for (const LogEntry& e : kept_.entries)
         all += framed(pack(EntryRecord{.index = index++, .term = e.term, .kind = e.kind, .bytes = e.bytes}));
     if (const auto error = files_.replace(name, all)) return fail(error);
--- a/src/fleet/subset.cpp
+++ b/src/fleet/subset.cpp
@@ -20,9 +20,9 @@
 
 // An arc of a ring on which each upstream has its size. Arcs begin where the weights before them end, so
 // whatever the weights, each point is covered by the same weight.
-template <class InRing, class Shares>
-void arc(Parts& into, const std::vector<Sharer>& sharers, Key self, const std::vector<Choosable>& upstreams,
-         double wanted, InRing in_ring, Shares shares)
+template <class InRing, class QuotaClient>
+void arc(SubsetWeights& into, const std::vector<SubsetPeer>& sharers, MemberKey self,
+         const std::vector<SubsetCandidate>& upstreams, double wanted, InRing in_ring, QuotaClient shares)
 {
     std::vector<std::pair<uint64_t, size_t>> ring;
     double around = 0;
@@ -34,7 +34,7 @@
 
     std::vector<std::pair<uint64_t, double>> before;
     double mean = 0, all = 0, own = 0;
-    for (const Sharer& s : sharers)
+    for (const SubsetPeer& s : sharers)
         if (shares(s)) before.emplace_back(mixed(s.key), s.weight), mean += s.weight;
     if (before.empty()) before.emplace_back(mixed(self), 1), mean = 1;
     mean /= static_cast<double>(before.size());
@@ -61,10 +61,10 @@
 
 }  // namespace
 
-Parts choose(const SubsetRule& rule, const std::vector<Sharer>& sharers, Key self,
-             const std::vector<Choosable>& upstreams, double wider)
+SubsetWeights choose(const SubsetConfig& rule, const std::vector<SubsetPeer>& sharers, MemberKey self,
+                     const std::vector<SubsetCandidate>& upstreams, double wider)
 {
-    Parts parts(upstreams.size(), 0);
+    SubsetWeights parts(upstreams.size(), 0);
     if (!rule.zones) {
         arc(
             parts, sharers, self, upstreams, rule.size * wider, [](const auto&) { return true; },
@@ -80,7 +80,7 @@
     return parts;
 }
 
-bool Width::look(Point now, double free, double narrower, bool whole)
+bool SubsetSize::look(Point now, double free, double narrower, bool whole)
 {
     if (free < enough_free && !whole && steps_ < most_steps) {
         // At once where nothing is free; else one step has to show first whether it is enough.
--- a/src/fleet/subset.h
+++ b/src/fleet/subset.h
@@ -11,33 +11,33 @@
 namespace firtide::fleet
 {
 
-struct Sharer {  // a balancer that is there
-    Key key = 0;
+struct SubsetPeer {  // a balancer that is there
+    MemberKey key = 0;
     bool own_zone = false;
     double weight = 1;  // of its traffic
 
-    bool operator==(const Sharer&) const = default;
+    bool operator==(const SubsetPeer&) const = default;
 };
 
-struct Choosable {    // an upstream, at its place
-    uint64_t id = 0;  // the same at every balancer
-    double size = 1;  // zero: not there
+struct SubsetCandidate {  // an upstream, at its place
+    uint64_t id = 0;      // the same at every balancer
+    double size = 1;      // zero: not there
     bool own_zone = false;
 };
 
 // How much of each is used: 0 to 1.
-using Parts = std::vector<double>;
+using SubsetWeights = std::vector<double>;
 
 // wider: times the arc. The same sharers and upstreams at every balancer make all parts of one upstream add
 // up to the same, by sizes and weights.
-Parts choose(const SubsetRule& rule, const std::vector<Sharer>& sharers, Key self,
-             const std::vector<Choosable>& upstreams, double wider);
+SubsetWeights choose(const SubsetConfig& rule, const std::vector<SubsetPeer>& sharers, MemberKey self,
+                     const std::vector<SubsetCandidate>& upstreams, double wider);
 
 // How wide the arc is. It widens at once where too little in it can be used, and narrows slowly.
-class Width
+class SubsetSize
 {
   public:
-    explicit Width(Span narrow) : narrow_(narrow) {}
+    explicit SubsetSize(Span narrow) : narrow_(narrow) {}
 
     double wider() const { return static_cast<double>(1u << steps_); }
     uint32_t steps() const { return steps_; }
--- a/src/fleet/table.h
+++ b/src/fleet/table.h
@@ -12,7 +12,7 @@
 namespace firtide::fleet
 {
 
-struct Command {
+struct LeaseCommand {
     enum What : uint8_t {
         grant,    // where nobody holds it: a new epoch, over `epoch`
         release,  // by who holds it at this epoch
@@ -21,25 +21,25 @@
     uint8_t what = confirm;
     std::string duty;
     Epoch epoch = 0;
-    Key holder = 0;
-    Life life = 0;
+    MemberKey holder = 0;
+    InstanceId instance = 0;
     std::string why;
     bool placed = false;  // by an operator: it stays where it is
-    MSGPACK_DEFINE(what, duty, epoch, holder, life, why, placed)
+    MSGPACK_DEFINE(what, duty, epoch, holder, instance, why, placed)
 };
 
 // What the leader wants of the log.
-struct Propose {
+struct Proposal {
     uint64_t name = 0;
-    std::vector<Command> commands;
+    std::vector<LeaseCommand> commands;
 };
 
-class Table
+class LeaseTable
 {
   public:
     struct Entry {
-        Key holder = 0;  // zero: none
-        Life life = 0;
+        MemberKey holder = 0;  // zero: none
+        InstanceId instance = 0;
         Epoch epoch = 0;
         std::string why;  // the last change
         bool placed = false;
@@ -48,18 +48,18 @@
     };
 
     // What changed.
-    std::vector<std::string> apply(const std::vector<Command>& commands);
+    std::vector<std::string> apply(const std::vector<LeaseCommand>& commands);
 
     const std::map<std::string, Entry>& entries() const { return entries_; }
     Entry of(const std::string& duty) const;
     uint64_t version() const { return version_; }  // grows with every change
 
     // As the leader told it.
-    void take(const std::vector<Row>& rows, uint64_t version);
+    void take(const std::vector<LeaseRecord>& rows, uint64_t version);
     std::string encode() const;
     bool decode(std::string_view bytes);
 
-    bool operator==(const Table&) const = default;
+    bool operator==(const LeaseTable&) const = default;
 
   private:
     std::map<std::string, Entry> entries_;
--- a/src/fleet/view.cpp
+++ b/src/fleet/view.cpp
@@ -22,9 +22,12 @@
 
 }  // namespace
 
-View::View(Rules rules) : rules_(std::move(rules)), width_(rules_.subset ? rules_.subset->narrow : Span{}) {}
+EndpointView::EndpointView(Rules rules)
+    : rules_(std::move(rules)), width_(rules_.subset ? rules_.subset->narrow : Span{})
+{
+}
 
-void View::list_is(const std::vector<Listing>& all)
+void EndpointView::list_is(const std::vector<Listing>& all)
 {
     all_.resize(std::max(all_.size(), all.size()));
     choosable_.resize(all_.size());
@@ -38,13 +41,13 @@
     dirty_ = due_ = true;
 }
 
-void View::fleet_is(std::vector<Sharer> sharers)
+void EndpointView::fleet_is(std::vector<SubsetPeer> sharers)
 {
     sharers_ = std::move(sharers);
     dirty_ = due_ = true;
 }
 
-void View::told(Point now, const std::map<uint64_t, Signals::Result>& results)
+void EndpointView::told(Point now, const std::map<uint64_t, OutlierGossip::Result>& results)
 {
     for (One& one : all_) {
         const auto at = results.find(one.real.id);
@@ -59,38 +62,41 @@
 }
 
 // Tokens are saved up from the first part on, whether or not any is wanted.
-void View::parts_are(Point now, const std::vector<Part>& parts)
+void EndpointView::parts_are(Point now, const std::vector<QuotaLease>& parts)
 {
     budgets_.clear();
-    for (const Part& p : parts) budgets_[p.name] = p, buckets_[p.name].has(now, p);
+    for (const QuotaLease& p : parts) budgets_[p.name] = p, buckets_[p.name].has(now, p);
     std::erase_if(buckets_, [this](const auto& b) { return !budgets_.count(b.first); });
 }
 
-void View::recall(Point now, const std::vector<RememberedReduction>& reductions)
+void EndpointView::recall(Point now, const std::vector<PersistedReduction>& reductions)
 {
-    for (const RememberedReduction& r : reductions)
+    for (const PersistedReduction& r : reductions)
         recalled_[r.upstream] = {r.reduction, now + Span{r.left_us}};
     due_ = true;
 }
 
-void View::answered(Point now, Tgt tgt, bool well)
+void EndpointView::answered(Point now, Tgt tgt, bool well)
 {
     if (tgt >= all_.size()) return;
     ++(well ? all_[tgt].well : all_[tgt].bad)[0];
     (well ? all_[tgt].well_at : all_[tgt].bad_at) = now;
 }
 
-bool View::is_cold(Point now, const Listing& l) const { return l.started && now - *l.started < rules_.cold; }
+bool EndpointView::is_cold(Point now, const Listing& l) const
+{
+    return l.started && now - *l.started < rules_.cold;
+}
 
 // Of a cold one: what it can do by now, over what it could at its start.
-double View::warmth(Point now, const Listing& l) const
+double EndpointView::warmth(Point now, const Listing& l) const
 {
     const double age = std::clamp((now - *l.started) / rules_.cold, 0.0, 1.0);
     return (rules_.cold_share + (1 - rules_.cold_share) * age) / rules_.cold_share;
 }
 
 // The budget of a cold one grows as it warms, alike at every balancer.
-const Part* View::part_of(Point now, BudgetName name, const Listing& l)
+const QuotaLease* EndpointView::part_of(Point now, BudgetName name, const Listing& l)
 {
     const auto at = budgets_.find(name);
     if (at == budgets_.end()) return nullptr;
@@ -99,7 +105,7 @@
     return &scaled_;
 }
 
-double View::factor(Point now, One& one) const
+double EndpointView::factor(Point now, One& one) const
 {
     double told = one.told;
     if (const auto at = recalled_.find(one.real.id); at != recalled_.end() && now < at->second.second)
@@ -113,7 +119,7 @@
     return one.factor;
 }
 
-Listing View::wanted(Point now, Tgt tgt)
+Listing EndpointView::wanted(Point now, Tgt tgt)
 {
     One& one = all_[tgt];
     Listing l = one.real;
@@ -125,7 +131,7 @@
     if (rules_.turns && l.presence == Presence::ready && is_cold(now, l)) {
         const BudgetName name{Budget::cold, l.id};
         if (rules_.turns->whole_of(name) > 0) {
-            const Part* own = part_of(now, name, l);
+            const QuotaLease* own = part_of(now, name, l);
             if (!own || !buckets_[name].has(now, *own)) {
                 if (mostly_warm_)
                     l.presence = Presence::gone;
@@ -138,7 +144,7 @@
 }
 
 // Of an arc, by sizes, and what cold ones can do by now.
-double View::free_of(Point now, const Parts& parts, const Reduction& reduction) const
+double EndpointView::free_of(Point now, const SubsetWeights& parts, const Reduction& reduction) const
 {
     double all = 0, free = 0;
     bool any = false;
@@ -155,7 +161,7 @@
     return any && all > 0 ? free / all : 0;
 }
 
-void View::widen(Point now, const Reduction& reduction)
+void EndpointView::widen(Point now, const Reduction& reduction)
 {
     if (std::exchange(dirty_, false)) {
         parts_ = choose(*rules_.subset, sharers_, rules_.self, choosable_, width_.wider());
@@ -163,7 +169,7 @@
             narrower_ = choose(*rules_.subset, sharers_, rules_.self, choosable_, width_.wider() / 2);
     }
     for (;;) {
-        const bool whole = std::all_of(choosable_.begin(), choosable_.end(), [&](const Choosable& c) {
+        const bool whole = std::all_of(choosable_.begin(), choosable_.end(), [&](const SubsetCandidate& c) {
             return c.size <= 0 || parts_[static_cast<size_t>(&c - choosable_.data())] > 1 - none;
         });
         const double free = free_of(now, parts_, reduction);
@@ -176,7 +182,7 @@
     }
 }
 
-std::vector<Listing> View::update(Point now, const Reduction& reduction)
+std::vector<Listing> EndpointView::update(Point now, const Reduction& reduction)
 {
     due_ = false;
     if (rules_.subset) widen(now, reduction);
@@ -205,7 +211,7 @@
     return out;
 }
 
-bool View::due(const Reduction& reduction) const
+bool EndpointView::due(const Reduction& reduction) const
 {
     if (due_ || !rules_.subset) return due_;
     for (Tgt t = 0; t < shown_.size(); ++t)
@@ -213,7 +219,7 @@
     return !shown_.empty();
 }
 
-double View::part_shown() const
+double EndpointView::part_shown() const
 {
     double shown = 0, listed = 0;
     for (Tgt t = 0; t < all_.size(); ++t) {
@@ -224,7 +230,7 @@
     return rules_.subset && listed > 0 && shown > 0 ? shown / listed : 1;
 }
 
-bool View::take(Point now, BudgetName name)
+bool EndpointView::take(Point now, BudgetName name)
 {
     if (!rules_.turns || rules_.turns->whole_of(name) <= 0) return true;
     ++asked_.try_emplace(name).first->second;
@@ -232,17 +238,17 @@
     return at != budgets_.end() && buckets_[name].take(now, at->second);
 }
 
-bool View::take_cold(Point now, Tgt tgt)
+bool EndpointView::take_cold(Point now, Tgt tgt)
 {
     if (tgt >= shown_.size() || !is_cold(now, shown_[tgt])) return true;
     due_ = true;  // until its next turn it is not shown
     const BudgetName name{Budget::cold, shown_[tgt].id};
     if (!rules_.turns || rules_.turns->whole_of(name) <= 0) return true;
-    const Part* own = part_of(now, name, shown_[tgt]);
+    const QuotaLease* own = part_of(now, name, shown_[tgt]);
     return own && buckets_[name].take(now, *own);
 }
 
-std::optional<Observed> View::observe(Point now, const Reduction& reduction, const Out& out)
+std::optional<LocalObservations> EndpointView::observe(Point now, const Reduction& reduction, const Out& out)
 {
     if (now - observed_ < observe_every) return {};
     const double since = std::min(1.0, (now - std::exchange(observed_, now)).seconds());
@@ -252,7 +258,7 @@
         std::max(since / rate_over.seconds(), since / std::max(since, (now - counts_from_).seconds()));
     came_ += arrived_;
     rate_ += gain * (std::exchange(arrived_, 0) / std::max(0.01, since) - rate_);
-    Observed o;
+    LocalObservations o;
     if (came_ >= least_counted) o.rate = rate_;
     o.asked = std::exchange(asked_, {});
     o.wider = width_.steps();
@@ -262,13 +268,13 @@
         ++o.listed;
         if (rules_.subset && !(t < parts_.size() && parts_[t] > 0)) continue;
         ++o.shown;
-        Evidence e{one.real.id,
-                   reduction(t),
-                   one.well[0] + one.well[1],
-                   one.bad[0] + one.bad[1],
-                   now - one.bad_at,
-                   now - one.well_at,
-                   {}};
+        OutlierEvidence e{one.real.id,
+                          reduction(t),
+                          one.well[0] + one.well[1],
+                          one.bad[0] + one.bad[1],
+                          now - one.bad_at,
+                          now - one.well_at,
+                          {}};
         // Whoever holds work and gives none back is found out by that, not by an answer.
         if (e.reduction >= 0.5 && e.well + e.bad == 0 && out(t)) e.bad = 1, e.age = {};
         const BudgetName cold{Budget::cold, one.real.id};
--- a/src/fleet/view.h
+++ b/src/fleet/view.h
@@ -20,9 +20,9 @@
 {
 
 // What a balancer tells its fleet of itself, again and again.
-struct Observed {
+struct LocalObservations {
     double rate = 0;  // invocations a second
-    std::vector<Evidence> evidence;
+    std::vector<OutlierEvidence> evidence;
     std::map<BudgetName, uint32_t> asked;  // since the last one
     // For the management address.
     size_t shown = 0, listed = 0;
@@ -31,31 +31,31 @@
     // For what it remembers over its own end, and of its return.
     double accepted = 0, size = 0;
     uint32_t sharers = 0;  // zero: those that are alive
-    std::vector<RememberedReduction> reductions;
+    std::vector<PersistedReduction> reductions;
     std::vector<std::string> open, recovery;
 };
 
-class View
+class EndpointView
 {
   public:
     struct Rules {
-        std::optional<SubsetRule> subset;
-        std::optional<SignalRule> signals;
-        std::optional<TurnsRule> turns;
-        Key self = 0;
+        std::optional<SubsetConfig> subset;
+        std::optional<OutlierGossipConfig> signals;
+        std::optional<QuotaConfig> turns;
+        MemberKey self = 0;
         uint32_t zone = 0;  // as the list numbers them
         Span cold;          // how long an upstream is, and what it can do at first, as a part
         double cold_share = 0.1;
     };
-    explicit View(Rules rules);
+    explicit EndpointView(Rules rules);
 
     // The list as discovery has it, by place; gone ones too.
     void list_is(const std::vector<Listing>& all);
-    void fleet_is(std::vector<Sharer> sharers);
-    void told(Point now, const std::map<uint64_t, Signals::Result>& results);
-    void parts_are(Point now, const std::vector<Part>& parts);
+    void fleet_is(std::vector<SubsetPeer> sharers);
+    void told(Point now, const std::map<uint64_t, OutlierGossip::Result>& results);
+    void parts_are(Point now, const std::vector<QuotaLease>& parts);
     // Reductions from before the start, while they last.
-    void recall(Point now, const std::vector<RememberedReduction>& reductions);
+    void recall(Point now, const std::vector<PersistedReduction>& reductions);
     void answered(Point now, Tgt tgt, bool well);
     void arrived() { ++arrived_; }
 
@@ -73,7 +73,7 @@
     // The gate of budgets. True where there is none of that name.
     bool take(Point now, BudgetName name);
     bool take_cold(Point now, Tgt tgt);
-    std::optional<Observed> observe(Point now, const Reduction& reduction, const Out& out);
+    std::optional<LocalObservations> observe(Point now, const Reduction& reduction, const Out& out);
 
   private:
     struct One {
@@ -87,24 +87,24 @@
 
     bool is_cold(Point now, const Listing& l) const;
     double warmth(Point now, const Listing& l) const;
-    const Part* part_of(Point now, BudgetName name, const Listing& l);
+    const QuotaLease* part_of(Point now, BudgetName name, const Listing& l);
     double factor(Point now, One& one) const;
     Listing wanted(Point now, Tgt tgt);
     void widen(Point now, const Reduction& reduction);
-    double free_of(Point now, const Parts& parts, const Reduction& reduction) const;
+    double free_of(Point now, const SubsetWeights& parts, const Reduction& reduction) const;
 
     const Rules rules_;
     std::vector<One> all_;
-    std::vector<Choosable> choosable_;
-    std::vector<Sharer> sharers_;
+    std::vector<SubsetCandidate> choosable_;
+    std::vector<SubsetPeer> sharers_;
     std::vector<Listing> shown_;
-    Parts parts_, narrower_;
-    Width width_;
+    SubsetWeights parts_, narrower_;
+    SubsetSize width_;
     bool dirty_ = true, due_ = true, mostly_warm_ = true;
     std::map<uint64_t, std::pair<double, Point>> recalled_;
-    std::map<BudgetName, Part> budgets_;
-    Part scaled_;
-    std::map<BudgetName, Bucket> buckets_;
+    std::map<BudgetName, QuotaLease> budgets_;
+    QuotaLease scaled_;
+    std::map<BudgetName, TokenBucket> buckets_;
     std::map<BudgetName, uint32_t> asked_;
     uint32_t arrived_ = 0;
     double rate_ = 0, came_ = 0;  // invocations; in all
--- a/src/fleet/voter.cpp
+++ b/src/fleet/voter.cpp
@@ -20,7 +20,7 @@
 struct VoteAsked {
     Term term = 0;
     DiskId candidate = 0;
-    Index last = 0;
+    LogIndex last = 0;
     Term last_term = 0;
     bool disrupt = false, pre = false;
     MSGPACK_DEFINE(term, candidate, last, last_term, disrupt, pre)
@@ -39,15 +39,15 @@
 };
 struct Append {
     Term term = 0;
-    Index before = 0;
+    LogIndex before = 0;
     Term before_term = 0;
-    Index committed = 0;
+    LogIndex committed = 0;
     std::vector<EntrySent> entries;
     MSGPACK_DEFINE(term, before, before_term, committed, entries)
 };
 struct Appended {
     Term term = 0;
-    Index rejected = 0, last = 0;
+    LogIndex rejected = 0, last = 0;
     MSGPACK_DEFINE(term, rejected, last)
 };
 struct SeatSent {
@@ -58,16 +58,16 @@
 };
 struct Install {
     Term term = 0;
-    Index last = 0;
+    LogIndex last = 0;
     Term last_term = 0;
     std::vector<SeatSent> voters;
-    Index voters_index = 0;
+    LogIndex voters_index = 0;
     std::string bytes;
     MSGPACK_DEFINE(term, last, last_term, voters, voters_index, bytes)
 };
 struct TakeOver {
     Term term = 0;
-    Index last = 0;
+    LogIndex last = 0;
     Term last_term = 0;
     MSGPACK_DEFINE(term, last, last_term)
 };
@@ -77,7 +77,7 @@
     MSGPACK_DEFINE(kind, body)
 };
 
-std::string address_of(const Seat& seat) { return seat.member + "/" + std::to_string(seat.disk); }
+std::string address_of(const VoterConfig& seat) { return seat.member + "/" + std::to_string(seat.disk); }
 
 std::string member_of(const std::string& address) { return address.substr(0, address.rfind('/')); }
 
@@ -131,7 +131,7 @@
     Store& store;
     const VoterTimes times;
     std::ranlux24_base chance;
-    Machine& machine;
+    StateMachine& machine;
     raft core{};
     raft_io io{};
     raft_fsm fsm{};
@@ -141,10 +141,10 @@
     std::vector<VoterEffect> effects;
     std::deque<std::function<void()>> done;  // told to the library once its call has returned
     bool started = false, closed = false;
-    Standing told;
+    VoterState told;
     std::string trouble;
 
-    State(Store& s, VoterTimes t, uint64_t seed, Machine& m)
+    State(Store& s, VoterTimes t, uint64_t seed, StateMachine& m)
         : store(s), times(t), chance(static_cast<uint32_t>(seed ^ seed >> 32)), machine(m)
     {
     }
@@ -159,7 +159,7 @@
         io.close = [](raft_io* i, raft_io_close_cb cb) { of(i).done.emplace_back([i, cb] { cb(i); }); };
         io.load = [](raft_io* i, raft_term* term, raft_id* vote, raft_snapshot** snap, raft_index* start,
                      raft_entry** entries, size_t* n) {
-            const Kept& kept = of(i).store.kept();
+            const PersistentState& kept = of(i).store.kept();
             *term = kept.term;
             *vote = kept.vote;
             *snap = kept.snapshot.index ? of(i).loaded() : nullptr;
@@ -226,7 +226,7 @@
             auto& s = *static_cast<State*>(f->data);
             *result = nullptr;
             s.machine.apply(text_of(*b));
-            s.effects.push_back(Committed{text_of(*b)});
+            s.effects.push_back(EntryCommitted{text_of(*b)});
             return 0;
         };
         fsm.snapshot = [](raft_fsm* f, raft_buffer** bufs, unsigned* n) {
@@ -239,11 +239,11 @@
         fsm.restore = [](raft_fsm* f, raft_buffer* b) {
             auto& s = *static_cast<State*>(f->data);
             s.machine.restore(text_of(*b));
-            s.effects.push_back(Restored{text_of(*b)});
+            s.effects.push_back(SnapshotRestored{text_of(*b)});
             raft_free(b->base);
             return 0;
         };
-        const Owner& owner = store.owner();
+        const StoreOwner& owner = store.owner();
         raft_init(&core, &io, &fsm, owner.disk, address_of({owner.disk, owner.member, true}).c_str());
         raft_set_election_timeout(&core, static_cast<unsigned>(times.election.us / 1000));
         raft_set_heartbeat_timeout(&core, static_cast<unsigned>(times.heartbeat.us / 1000));
@@ -394,15 +394,15 @@
         }
     }
 
-    Standing standing()
+    VoterState standing()
     {
-        Standing s;
+        VoterState s;
         s.term = core.current_term;
         s.trouble = store.failed() ? "its disk fails: " + store.error() : trouble;
         switch (raft_state(&core)) {
-            case RAFT_FOLLOWER: s.role = Role::follower; break;
-            case RAFT_CANDIDATE: s.role = Role::candidate; break;
-            case RAFT_LEADER: s.role = Role::leader; break;
+            case RAFT_FOLLOWER: s.role = RaftRole::follower; break;
+            case RAFT_CANDIDATE: s.role = RaftRole::candidate; break;
+            case RAFT_LEADER: s.role = RaftRole::leader; break;
             default:
                 if (started && s.trouble.empty()) s.trouble = raft_errmsg(&core);
         }
@@ -416,7 +416,7 @@
     }
 };
 
-Voter::Voter(Store& store, VoterTimes times, uint64_t seed, Machine& machine)
+Voter::Voter(Store& store, VoterTimes times, uint64_t seed, StateMachine& machine)
     : state_(std::make_unique<State>(store, times, seed, machine))
 {
     state_->init();
@@ -448,11 +448,11 @@
     return std::exchange(s.effects, {});
 }
 
-bool Voter::found(const std::vector<Seat>& seats)
+bool Voter::found(const std::vector<VoterConfig>& seats)
 {
     raft_configuration conf;
     raft_configuration_init(&conf);
-    for (const Seat& seat : seats)
+    for (const VoterConfig& seat : seats)
         raft_configuration_add(&conf, seat.disk, address_of(seat).c_str(), RAFT_VOTER);
     const int error = raft_bootstrap(&state_->core, &conf);
     raft_configuration_close(&conf);
@@ -498,7 +498,8 @@
     static void over(Request* r, int status)
     {
         const std::unique_ptr<Asked> self(static_cast<Asked*>(r->data));
-        self->effects->push_back(Proposed{self->name, status == 0, status ? raft_strerror(status) : ""});
+        self->effects->push_back(
+            ProposalResult{self->name, status == 0, status ? raft_strerror(status) : ""});
     }
 };
 
@@ -516,14 +517,14 @@
         };
         if (const int error = raft_apply(&s.core, &asked->request, &buffer, 1, over)) {
             raft_free(buffer.base);
-            s.effects.push_back(Proposed{name, false, raft_strerror(error)});
+            s.effects.push_back(ProposalResult{name, false, raft_strerror(error)});
         } else {
             (void)asked.release();
         }
     });
 }
 
-std::vector<VoterEffect> Voter::add_voter(Point now, uint64_t name, const Seat& seat)
+std::vector<VoterEffect> Voter::add_voter(Point now, uint64_t name, const VoterConfig& seat)
 {
     return after(now, [&] {
         State& s = *state_;
@@ -536,7 +537,7 @@
         const int error = there
                               ? raft_assign(&s.core, &asked->request, seat.disk, RAFT_VOTER, over)
                               : raft_add(&s.core, &asked->request, seat.disk, address_of(seat).c_str(), over);
-        if (error) return s.effects.push_back(Proposed{name, false, raft_errmsg(&s.core)});
+        if (error) return s.effects.push_back(ProposalResult{name, false, raft_errmsg(&s.core)});
         (void)asked.release();
     });
 }
@@ -549,7 +550,7 @@
         asked->name = name, asked->effects = &s.effects, asked->request.data = asked.get();
         const auto over = [](raft_change* r, int status) { Asked<raft_change>::over(r, status); };
         if (raft_remove(&s.core, &asked->request, disk, over))
-            return s.effects.push_back(Proposed{name, false, raft_errmsg(&s.core)});
+            return s.effects.push_back(ProposalResult{name, false, raft_errmsg(&s.core)});
         (void)asked.release();
     });
 }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -57,8 +57,8 @@
         }
         if (!firtide::net::start_log(config.name, level))
             throw std::runtime_error("--log-level: no such level");
-        std::optional<std::pair<firtide::fleet::FleetFile, std::string>> member;
-        if (!fleet_path.empty()) member.emplace(firtide::fleet::read_fleet_file(fleet_path), fleet_path);
+        std::optional<std::pair<firtide::fleet::FleetConfig, std::string>> member;
+        if (!fleet_path.empty()) member.emplace(firtide::fleet::read_fleet_config(fleet_path), fleet_path);
         firtide::net::Service(
             std::move(config), [&path] { return firtide::net::read_config(path); }, std::move(member))
             .run();
--- a/src/net/reducer.cpp
+++ b/src/net/reducer.cpp
@@ -65,7 +65,7 @@
     for (const auto& name : setup.operations) outcomes_[name];
 }
 
-void Reducer::join(fleet::View::Rules rules)
+void Reducer::join(fleet::EndpointView::Rules rules)
 {
     const Settings& set = setup_.settings;
     rules.zone = set.zone, rules.cold = set.cold + set.ready_margin,
@@ -243,7 +243,7 @@
 
 void Reducer::on(const Remembered& remembered)
 {
-    const fleet::Memory& m = remembered.memory;
+    const fleet::MemberSnapshot& m = remembered.memory;
     may_have_run_ = {m.open.begin(), m.open.end()};
     if (recovery_) recovery_->remembered(now_, m.rate, m.sharers, m.size);
     if (view_) view_->recall(now_, m.reductions);
@@ -277,7 +277,7 @@
 }
 
 // What is told to the fleet for its snapshot.
-void Reducer::remember(Observed& observed)
+void Reducer::remember(LocalObservations& observed)
 {
     observed.recovery = recovery_->lines(now_);
     for (Tgt t = 0; t < upstreams_.size() && t < real_.size(); ++t) {
@@ -294,7 +294,7 @@
             observed.open.push_back(i.request.id);
 }
 
-void Reducer::on(Ticked)
+void Reducer::on(Tick)
 {
     look_at_return();
     if (!view_) return;
--- a/src/net/reducer.h
+++ b/src/net/reducer.h
@@ -133,26 +133,26 @@
 };
 // Of the fleet that this balancer is a member of.
 struct FleetIs {
-    std::vector<fleet::Sharer> sharers;
+    std::vector<fleet::SubsetPeer> sharers;
 };
 struct SignalsUpdate {
-    std::map<uint64_t, fleet::Signals::Result> results;
+    std::map<uint64_t, fleet::OutlierGossip::Result> results;
 };
 struct PartsAre {
-    std::vector<fleet::Part> parts;
+    std::vector<fleet::QuotaLease> parts;
 };
 struct Remembered {  // from before this start
-    fleet::Memory memory;
+    fleet::MemberSnapshot memory;
 };
 struct FleetStateIs {
     fleet::FleetState state;
 };
-struct Ticked {  // every tenth of a second or so, as a member of a fleet
+struct Tick {  // every tenth of a second or so, as a member of a fleet
 };
 using Event = std::variant<Started, ListUpdate, ListRemembered, ListFailed, Arrived, CallerLeft, HalfClosed,
                            RequestData, WriteDrained, Connected, Answered, ResponseData, Failed, Written,
                            TurnedAway, Ordered, Woken, Shared, Stopping, Reread, ProbeDue, ReportHeard,
-                           FleetIs, SignalsUpdate, PartsAre, Remembered, FleetStateIs, Ticked>;
+                           FleetIs, SignalsUpdate, PartsAre, Remembered, FleetStateIs, Tick>;
 
 // Effects.
 struct Answer {
@@ -222,9 +222,9 @@
     Life life = Life::starting;
     std::optional<Figures> figures;
 };
-using fleet::Observed;  // for the fleet
+using fleet::LocalObservations;  // for the fleet
 using Effect = std::variant<Answer, Pass, Cut, Hear, Dial, Write, Limit, Read, HangUp, Withdraw, CloseIdle,
-                            Wake, WatchList, MoveWatch, Obeyed, Probed, Observed>;
+                            Wake, WatchList, MoveWatch, Obeyed, Probed, LocalObservations>;
 
 // The same at every instance, whatever the order in which upstreams are met.
 uint64_t id_of(std::string_view uid);
@@ -237,9 +237,9 @@
     Reducer(Setup& setup, uint64_t seed, std::string discovery, size_t room = size_t{1} << 30);
 
     // As a member of a fleet: what the module is shown follows the choices of all. Before the first event.
-    void join(fleet::View::Rules rules);
+    void join(fleet::EndpointView::Rules rules);
     // And its return is in stages, with what it remembers.
-    void recover(fleet::RecoveryRule rule) { recovery_.emplace(rule); }
+    void recover(fleet::StartupConfig rule) { recovery_.emplace(rule); }
 
     // The effects are to be carried out in their order.
     std::vector<Effect> reduce(Point now, Event event);
@@ -324,7 +324,7 @@
     void on(FleetIs& fleet);
     void on(const SignalsUpdate& told);
     void on(const PartsAre& parts);
-    void on(Ticked);
+    void on(Tick);
     void on(const Remembered& remembered);
     void on(const FleetStateIs& fleet);
 
@@ -335,7 +335,7 @@
     std::optional<Span> over_rate(const Request& request);
     bool turned_away(Arrived& arrived);
     void look_at_return();
-    void remember(Observed& observed);
+    void remember(LocalObservations& observed);
     double rank_of(uint32_t operation) const;
 
     void settings_are(Setup setup);
@@ -388,10 +388,10 @@
     std::map<std::string, Outcomes> outcomes_;
     uint64_t backend_calls_ = 0, taken_ = 0, left_ = 0;
     std::string discovery_;
-    std::optional<fleet::View> view_;  // as a member of a fleet with choices that add up
-    std::vector<Listing> real_;        // by place, where there is one
+    std::optional<fleet::EndpointView> view_;  // as a member of a fleet with choices that add up
+    std::vector<Listing> real_;                // by place, where there is one
     double sharers_ = 0;
-    std::optional<fleet::Recovery> recovery_;
+    std::optional<fleet::StartupSequencer> recovery_;
     std::unordered_set<std::string> may_have_run_;  // before this start, by id
     bool list_told_ = false;
     uint64_t went_well_ = 0;
--- a/src/net/service.cpp
+++ b/src/net/service.cpp
@@ -61,13 +61,13 @@
 }
 
 // One way each to and from every member, the folder and the log, at the most.
-size_t descriptors_of(const std::optional<std::pair<fleet::FleetFile, std::string>>& fleet)
+size_t descriptors_of(const std::optional<std::pair<fleet::FleetConfig, std::string>>& fleet)
 {
     return fleet ? fleet->first.members.size() * 3 + fleet->first.duties.size() + 32 : 0;
 }
 
 // Where one balancer probes for all, none does for itself.
-Config in_fleet(Config config, const fleet::FleetFile* fleet)
+Config in_fleet(Config config, const fleet::FleetConfig* fleet)
 {
     if (fleet && fleet->probe) config.setup.settings.may_probe = false;
     return config;
@@ -88,7 +88,7 @@
 size_t Service::part(double of) const { return static_cast<size_t>(static_cast<double>(descriptors_) * of); }
 
 Service::Service(Config config, std::function<Config()> read_again,
-                 std::optional<std::pair<fleet::FleetFile, std::string>> fleet)
+                 std::optional<std::pair<fleet::FleetConfig, std::string>> fleet)
     : config_(in_fleet(std::move(config), fleet ? &fleet->first : nullptr)),
       read_again_(std::move(read_again)),
       epoch_(epoch()),
@@ -150,11 +150,12 @@
 {
     if (fleet_->file().deltas)
         return discovery_.tell_lines([this](uint64_t version, auto lines, auto uids) {
-            fleet_->tell(
-                fleet::ListSeen{text_of(config_.discovery), version, "", std::move(lines), std::move(uids)});
+            fleet_->tell(fleet::EndpointListFetched{text_of(config_.discovery), version, "", std::move(lines),
+                                                    std::move(uids)});
         });
     discovery_.tell_whole([this](uint64_t version, std::string text) {
-        fleet_->tell(fleet::ListSeen{text_of(config_.discovery), version, std::move(text), nullptr, {}});
+        fleet_->tell(
+            fleet::EndpointListFetched{text_of(config_.discovery), version, std::move(text), nullptr, {}});
     });
 }
 
@@ -168,35 +169,37 @@
     h.drain = [this] { post(Ordered{0, Order::drain}); };
     h.resume = [this] { post(Ordered{0, Order::resume}); };
     h.ask_discovery = [this](bool on) { on ? discovery_.ask() : discovery_.rest(); };
-    h.use_list = [this](const fleet::UseList& list) {
+    h.use_list = [this](const fleet::ApplyEndpointList& list) {
         auto decoded = decode_list(config_.setup, list.text, epoch_);
         if (!decoded) return;
         post(std::move(decoded->told));
         spdlog::debug("fleet list {} in force at boot_us {}", list.version, fleet::fleet_now().us);
     };
-    h.probe = [this](const fleet::ProbeNow& now, const std::string& duty, fleet::Epoch epoch) {
+    h.probe = [this](const fleet::StartProbes& now, const std::string& duty, fleet::Epoch epoch) {
         stamps_[next_stamp_] = {duty, epoch};
         while (stamps_.size() > most_stamps) stamps_.erase(stamps_.begin());
         post(ProbeDue{now.part, fleet_->file().probe->parts, now.slice, fleet::probe_slices, next_stamp_++});
     };
-    h.use_state = [this](const fleet::UseState& uses) { post(FleetStateIs{uses.state}); };
-    h.use_memory = [this](fleet::UseMemory& uses) {
+    h.use_state = [this](const fleet::ApplyFleetState& uses) { post(FleetStateIs{uses.state}); };
+    h.use_memory = [this](fleet::ApplySnapshot& uses) {
         const auto list = std::exchange(uses.memory.list, {});
         post(Remembered{std::move(uses.memory)});
         if (list.empty()) return;
         if (auto decoded = decode_list(config_.setup, list, epoch_))
             post(ListRemembered{std::move(decoded->told.entries)});
     };
-    h.use_fleet = [this](fleet::UseFleet& uses) { post(FleetIs{std::move(uses.sharers)}); };
-    h.use_signals = [this](fleet::UseSignals& uses) { post(SignalsUpdate{std::move(uses.results)}); };
-    h.use_parts = [this](fleet::UseParts& uses) {
+    h.use_fleet = [this](fleet::ApplySubsetPeers& uses) { post(FleetIs{std::move(uses.sharers)}); };
+    h.use_signals = [this](fleet::ApplyOutlierReports& uses) {
+        post(SignalsUpdate{std::move(uses.results)});
+    };
+    h.use_parts = [this](fleet::ApplyQuotas& uses) {
         // Of the fleet's clock, which also counts what the machine was suspended for, to the loop's.
         const Span apart = monotonic_now() - fleet::fleet_now();
-        for (fleet::Part& p : uses.parts)
+        for (fleet::QuotaLease& p : uses.parts)
             p.full_until = p.full_until + apart, p.none_from = p.none_from + apart;
         post(PartsAre{std::move(uses.parts)});
     };
-    h.use_reports = [this](const fleet::UseReports& reports) {
+    h.use_reports = [this](const fleet::ApplyProbeReports& reports) {
         const auto all = fleet::unpack<std::vector<fleet::ProbeReport>>(reports.bytes);
         if (!all) return;
         for (const auto& r : *all) post(ReportHeard{r.upstream, r.well, r.report});
@@ -204,13 +207,13 @@
     return h;
 }
 
-// What leaves for a duty passes the fleet's gate once more, right before its bytes: getting a connection
+// What leaves for a duty authorize the fleet's gate once more, right before its bytes: getting a connection
 // takes time.
 void Service::carry_out(const Write& write)
 {
     const auto at = stamps_.find(write.stamp);
     if (!write.stamp ||
-        (at != stamps_.end() && fleet_->passes(at->second.duty, at->second.epoch, fleet::probe_lasts)))
+        (at != stamps_.end() && fleet_->authorize(at->second.duty, at->second.epoch, fleet::probe_lasts)))
         return upstreams_.write(write);
     upstreams_.hang_up(write.attempt);
     post(Failed{write.attempt, {Progress::not_connected, Cause::no_descriptor}});
@@ -233,7 +236,7 @@
     if (found_.empty() || now - passed_on_ < pass_on_every) return;
     passed_on_ = now;
     for (auto& [duty, found] : std::exchange(found_, {}))
-        fleet_->tell(fleet::ProbesSeen{duty, found.first, fleet::pack(found.second)});
+        fleet_->tell(fleet::ProbesCompleted{duty, found.first, fleet::pack(found.second)});
 }
 
 // False: it is no order that the fleet knows.
@@ -301,7 +304,7 @@
     if (auto* dial = std::get_if<Dial>(&effect)) return upstreams_.dial(*dial);
     if (auto* write = std::get_if<Write>(&effect)) return carry_out(*write);
     if (auto* probed = std::get_if<Probed>(&effect)) return carry_out(*probed);
-    if (auto* observed = std::get_if<Observed>(&effect)) return fleet_->tell(std::move(*observed));
+    if (auto* observed = std::get_if<LocalObservations>(&effect)) return fleet_->tell(std::move(*observed));
     if (auto* up = std::get_if<HangUp>(&effect)) return upstreams_.hang_up(up->attempt);
     if (auto* back = std::get_if<Withdraw>(&effect)) return upstreams_.withdraw(back->attempt);
     if (auto* idle = std::get_if<CloseIdle>(&effect)) return upstreams_.close_idle(idle->tgt);
@@ -359,7 +362,7 @@
     stopping_since_ = monotonic_now();
     spdlog::info("stopping: {} in flight; what still comes is answered within {} ms", reducer_.in_flight(),
                  reducer_.answers_for().us / 1000);
-    if (fleet_) fleet_->tell(fleet::Stops{});
+    if (fleet_) fleet_->tell(fleet::ShutdownRequested{});
     post(Stopping{config_.passed_socket.has_value()});
     if (config_.passed_socket) return stop_accepting();
     stop_accepting_.reset(evtimer_new(
@@ -404,7 +407,7 @@
     pass_on_probes();
     if (fleet_ && monotonic_now() - ticked_ >= tick_every) {
         ticked_ = monotonic_now();
-        post(Ticked{});
+        post(Tick{});
     }
     // Guards against turning callers out while the next balancer of a rolling restart is not back yet: those
     // that are here are served for as long as their answers can still come in time.
--- a/src/net/service.h
+++ b/src/net/service.h
@@ -22,7 +22,7 @@
     // fleet: the file of the fleet that this balancer is a member of, and its path; where there is none,
     // nothing of it exists.
     explicit Service(Config config, std::function<Config()> read_again = {},
-                     std::optional<std::pair<fleet::FleetFile, std::string>> fleet = {});
+                     std::optional<std::pair<fleet::FleetConfig, std::string>> fleet = {});
     ~Service();
 
     // Serves until a SIGTERM or SIGINT has come and everything in flight is answered.
--- a/tests/adding_up.cpp
+++ b/tests/adding_up.cpp
@@ -16,17 +16,17 @@
 const char* yes(bool b) { return b ? "yes" : "NO"; }
 
 struct Ring {
-    std::vector<Sharer> members;
-    std::vector<Choosable> upstreams;
+    std::vector<SubsetPeer> members;
+    std::vector<SubsetCandidate> upstreams;
 
     Ring(size_t m, size_t u)
     {
         for (size_t i = 0; i < m; ++i) members.push_back({i + 1, true, 1.0 + static_cast<double>(i % 3)});
         for (size_t i = 0; i < u; ++i) upstreams.push_back({i + 77, 1.0 + static_cast<double>(i % 2), true});
     }
-    Parts of(Key self, uint32_t size) const
+    SubsetWeights of(MemberKey self, uint32_t size) const
     {
-        SubsetRule rule;
+        SubsetConfig rule;
         rule.size = size;
         return choose(rule, members, self, upstreams, 1);
     }
@@ -34,8 +34,8 @@
     {
         std::vector<double> load(upstreams.size(), 0);
         double all = 0;
-        for (const Sharer& s : members) {
-            const Parts p = of(s.key, size);
+        for (const SubsetPeer& s : members) {
+            const SubsetWeights p = of(s.key, size);
             double sum = 0;
             for (size_t u = 0; u < p.size(); ++u) sum += p[u] * upstreams[u].size;
             for (size_t u = 0; u < p.size(); ++u)
@@ -45,7 +45,7 @@
     }
 };
 
-size_t used(const Parts& p)
+size_t used(const SubsetWeights& p)
 {
     return static_cast<size_t>(std::count_if(p.begin(), p.end(), [](double x) { return x > 0; }));
 }
@@ -55,31 +55,31 @@
     Ring r(90, 30);
     std::printf("-- subsets\n90 members of three weights, 30 upstreams of two sizes, 9 each: even %s\n",
                 yes(r.greatest_over_mean(9) < 1.05));
-    const Parts before = r.of(5, 9);
+    const SubsetWeights before = r.of(5, 9);
     std::printf("uses 8 to 11: %s\n", yes(used(before) >= 8 && used(before) <= 11));
     std::reverse(r.members.begin(), r.members.end());
     std::printf("the order of the file is nothing: %s\n", yes(r.of(5, 9) == before));
     size_t moved = 0, all = 0;
     Ring less = r;
     less.members.erase(less.members.begin() + 40);
-    for (const Sharer& s : less.members) {
-        const Parts a = r.of(s.key, 9), b = less.of(s.key, 9);
+    for (const SubsetPeer& s : less.members) {
+        const SubsetWeights a = r.of(s.key, 9), b = less.of(s.key, 9);
         for (size_t u = 0; u < a.size(); ++u) moved += b[u] > 0 && !(a[u] > 0), all += a[u] > 0;
     }
     std::printf("one member less moves under two of 90 shares: %s\n", yes(moved < all / 90 * 2));
     std::printf("alone in the world: %zu of 30\n", used(Ring(0, 30).of(5, 9)));
     std::printf("a subset greater than the list: %zu\n", used(r.of(5, 100)));
 
-    SubsetRule zones;
+    SubsetConfig zones;
     zones.size = 4, zones.zones = true, zones.beyond = 2;
     for (size_t u = 0; u < r.upstreams.size(); ++u) r.upstreams[u].own_zone = u % 3 == 0;
-    const Parts z = choose(zones, r.members, 5, r.upstreams, 1);
+    const SubsetWeights z = choose(zones, r.members, 5, r.upstreams, 1);
     size_t own = 0;
     for (size_t u = 0; u < z.size(); ++u) own += z[u] > 0 && r.upstreams[u].own_zone;
     std::printf("by zones, 4 of the own and 2 beyond: %s\n",
                 yes(own >= 4 && used(z) - own >= 2 && used(z) <= 9));
 
-    Width w(seconds(10));
+    SubsetSize w(seconds(10));
     Point now{1'000'000};
     std::printf("-- width\nhalf is free: %s\n", w.look(now, 0.6, 0, false) ? "WIDER" : "as it was");
     for (int i = 0; i < 3; ++i) w.look(now, 0, 0, false);
@@ -98,10 +98,10 @@
 }
 
 struct Teller {
-    Signals signals;
-    Key key;
-    explicit Teller(Key k) : signals(SignalRule{}, k, k * 10), key(k) {}
-    Digest finds(Point now, uint64_t upstream, double reduction)
+    OutlierGossip signals;
+    MemberKey key;
+    explicit Teller(MemberKey k) : signals(OutlierGossipConfig{}, k, k * 10), key(k) {}
+    OutlierDigest finds(Point now, uint64_t upstream, double reduction)
     {
         signals.seen(now, {{upstream, reduction, 0, 3, {}, seconds(9), {}}});
         return signals.take(now, 1);
@@ -113,13 +113,13 @@
     std::printf("-- signals\n");
     Point now{100'000'000};
     Teller a(1), b(2), c(3);
-    Signals own(SignalRule{}, 9, 90);
+    OutlierGossip own(OutlierGossipConfig{}, 9, 90);
     const auto counts = [&](uint64_t upstream) {
         const auto all = own.results(now);
         const auto at = all.find(upstream);
         return at == all.end() ? 0.0 : at->second.reduction;
     };
-    const Digest first = a.finds(now, 7, 1);
+    const OutlierDigest first = a.finds(now, 7, 1);
     own.heard(now, first);
     std::printf("one says it is gone: counts %.2f\n", counts(7));
     own.heard(now, b.finds(now, 7, 0.8));
@@ -139,13 +139,13 @@
     std::printf("past its validity: %.2f\n", counts(7));
     own.heard(now, first);
     std::printf("repeated later: %.2f\n", counts(7));
-    const Digest again = a.finds(now, 7, 1);
+    const OutlierDigest again = a.finds(now, 7, 1);
     own.heard(now + seconds(1), again);
     now = now + seconds(1.6);
     std::printf("a finding that was a second on its way holds from when it was found: %.2f\n", counts(7));
 
     // What holds is passed on with its age, and never said anew.
-    Signals next(SignalRule{}, 10, 100);
+    OutlierGossip next(OutlierGossipConfig{}, 10, 100);
     Teller d(4);
     const Point found = now;
     own.take(now, 1);
@@ -159,14 +159,14 @@
     std::printf("nothing new: %zu to tell\n", own.take(now, 3).all.size());
 
     Teller many(uint64_t{5} << 56);
-    std::vector<Evidence> all;
+    std::vector<OutlierEvidence> all;
     for (uint64_t u = 0; u < 500; ++u)
         all.push_back({~u * 0x9e3779b97f4a7c15u, 0.5, 0, 3, {}, seconds(9), {}});
     size_t bytes = 0;
     for (int i = 0; i < 200; ++i) {
         now = now + seconds(0.05);
         many.signals.seen(now, all);
-        const Digest digest = many.signals.take(now, 3);
+        const OutlierDigest digest = many.signals.take(now, 3);
         if (!digest.all.empty()) bytes += 3 * encode_frame(digest, 0).size();
     }
     std::printf("500 upstreams in trouble for 10 s: within 2,000 bytes a second %s, says something %s\n",
@@ -179,31 +179,31 @@
 {
     std::ranlux24_base chance(seed);
     const auto roll = [&] { return std::uniform_real_distribution<>(0, 1)(chance); };
-    TurnsRule rule;
+    QuotaConfig rule;
     rule.whole["retries"] = 100;
     const BudgetName name{Budget::retries, 0};
     constexpr size_t n = 30;
     struct One {
-        Life life = 0;
-        std::optional<Shares> shares;
+        InstanceId instance = 0;
+        std::optional<QuotaClient> shares;
         Point next;
         bool up = true;
     };
     std::vector<One> all(n);
-    Life lives = 0;
+    InstanceId lives = 0;
     const auto start = [&](One& o) {
-        o.life = ++lives;
-        o.shares.emplace(rule, static_cast<size_t>(n * (1 - wrong_files)), o.life);
+        o.instance = ++lives;
+        o.shares.emplace(rule, static_cast<size_t>(n * (1 - wrong_files)), o.instance);
         o.up = true;
     };
     for (One& o : all) start(o);
-    Allocator allocator(rule, 0.02);
+    QuotaAllocator allocator(rule, 0.02);
     Epoch epoch = 1;
     struct Late {
         Point at;
         size_t to;
-        Life life;
-        GivenParts parts;
+        InstanceId instance;
+        QuotaResponse parts;
     };
     std::vector<Late> late;
     double most = 0;
@@ -229,16 +229,17 @@
             if (roll() < 0.15) continue;
             auto parts = allocator.answer(now, i + 1, want);
             if (roll() < 0.15) continue;
-            late.push_back({now + seconds(roll() < 0.2 ? 1.5 * roll() : 0.01), i, o.life, std::move(parts)});
+            late.push_back(
+                {now + seconds(roll() < 0.2 ? 1.5 * roll() : 0.01), i, o.instance, std::move(parts)});
         }
         for (Late& l : late)
-            if (l.at <= now && all[l.to].up && all[l.to].life == l.life)
+            if (l.at <= now && all[l.to].up && all[l.to].instance == l.instance)
                 all[l.to].shares->given_to(now, l.parts);
         std::erase_if(late, [&](const Late& l) { return l.at <= now; });
         double sum = 0;
         for (const One& o : all)
             if (o.up)
-                for (const Part& p : o.shares->parts(now)) sum += p.at(now);
+                for (const QuotaLease& p : o.shares->parts(now)) sum += p.at(now);
         most = std::max(most, sum);
     }
     return most;
@@ -261,14 +262,14 @@
     std::printf("a holder that takes nothing for given away: %s\n",
                 forgets > 100 ? "over the whole" : "NOT SEEN");
 
-    TurnsRule rule;
+    QuotaConfig rule;
     rule.whole["retries"] = 100;
     const BudgetName name{Budget::retries, 0};
-    Allocator allocator(rule, 0.02);
+    QuotaAllocator allocator(rule, 0.02);
     Point now{1'000'000'000};
     allocator.begin(now - seconds(60), 3);
-    std::vector<Shares> all;
-    for (Life i = 0; i < 10; ++i) all.emplace_back(rule, 10, i + 1);
+    std::vector<QuotaClient> all;
+    for (InstanceId i = 0; i < 10; ++i) all.emplace_back(rule, 10, i + 1);
     const auto round = [&](size_t busy) {
         now = now + seconds(0.25);
         for (size_t i = 0; i < all.size(); ++i) {
@@ -286,13 +287,13 @@
     std::printf("cut off for 1.5 s it has less: %s; for 3 s its floor: ", yes(part(1) < held));
     now = now + seconds(1.5);
     std::printf("%.1f\n", part(1));
-    Shares other(rule, 10, 99);
+    QuotaClient other(rule, 10, 99);
     other.asked(now, {{name, 10}});
     const auto stale = other.want(now, 2);
     std::printf("asked as a holder that it is not any more: %zu parts\n",
                 allocator.answer(now, 50, stale).all.size());
-    Bucket bucket;
-    Part p{name, 10, 0, now + seconds(100), now + seconds(200)};
+    TokenBucket bucket;
+    QuotaLease p{name, 10, 0, now + seconds(100), now + seconds(200)};
     size_t got = 0;
     for (int i = 0; i < 1000; ++i) got += bucket.take(now + seconds(0.01 * i), p);
     std::printf("ten a second for 10 s: %s\n", yes(got >= 98 && got <= 101));
--- a/tests/compatibility.cpp
+++ b/tests/compatibility.cpp
@@ -23,9 +23,9 @@
 }
 
 // The fleet that the voter's store was written in.
-FleetFile recorded_fleet()
+FleetConfig recorded_fleet()
 {
-    FleetFile file;
+    FleetConfig file;
     file.name = "edge";
     file.id = "m-1";
     file.members.push_back({"m-1", 0, "127.0.0.1:7946", "a", true, 1});
@@ -46,8 +46,8 @@
 {
     place("voter.log");
     Store store(disk_);
-    ASSERT_EQ(store.open("edge", "m-1", 9), Opened::whole);
-    EXPECT_EQ(store.owner(), (Owner{"edge", "m-1", 12941553096165680594u}));
+    ASSERT_EQ(store.open("edge", "m-1", 9), OpenResult::whole);
+    EXPECT_EQ(store.owner(), (StoreOwner{"edge", "m-1", 12941553096165680594u}));
     EXPECT_EQ(store.kept().term, 1u);
     EXPECT_EQ(store.kept().vote, 0u);
     EXPECT_EQ(store.kept().writes, 604u);
@@ -64,12 +64,12 @@
 {
     place("voter.log");
     Store store(disk_);
-    ASSERT_EQ(store.open("edge", "m-1", 9), Opened::whole);
-    Table table;
+    ASSERT_EQ(store.open("edge", "m-1", 9), OpenResult::whole);
+    LeaseTable table;
     ASSERT_TRUE(table.decode(store.kept().snapshot.bytes));
     EXPECT_EQ(table.version(), 511u);
     ASSERT_EQ(table.entries().size(), 1u);
-    EXPECT_EQ(table.of("reports"), (Table::Entry{key_of("m-2"), 355, 256, "handed over", true}));
+    EXPECT_EQ(table.of("reports"), (LeaseTable::Entry{key_of("m-2"), 355, 256, "handed over", true}));
     EXPECT_EQ(key_of("m-2"), 11121217268466692007u);
 }
 
@@ -77,8 +77,8 @@
 {
     place("voter.log");
     Store store(disk_);
-    ASSERT_EQ(store.open("edge", "m-1", 9), Opened::whole);
-    const Kept& kept = store.kept();
+    ASSERT_EQ(store.open("edge", "m-1", 9), OpenResult::whole);
+    const PersistentState& kept = store.kept();
     EXPECT_EQ(kept.first, 449u);
     EXPECT_EQ(kept.last(), 601u);
     ASSERT_EQ(kept.entries.size(), 153u);
@@ -86,14 +86,14 @@
         EXPECT_EQ(entry.term, 1u);
         EXPECT_EQ(entry.kind, 1u);
     }
-    const auto last = unpack<std::vector<Command>>(kept.entries.back().bytes);
+    const auto last = unpack<std::vector<LeaseCommand>>(kept.entries.back().bytes);
     ASSERT_TRUE(last && last->size() == 1);
-    const Command& command = last->front();
-    EXPECT_EQ(command.what, Command::grant);
+    const LeaseCommand& command = last->front();
+    EXPECT_EQ(command.what, LeaseCommand::grant);
     EXPECT_EQ(command.duty, "exports");
     EXPECT_EQ(command.epoch, 41u);
     EXPECT_EQ(command.holder, key_of("m-2"));
-    EXPECT_EQ(command.life, 77u);
+    EXPECT_EQ(command.instance, 77u);
     EXPECT_EQ(command.why, "its turn");
     EXPECT_FALSE(command.placed);
 }
@@ -101,15 +101,15 @@
 TEST_F(StoredVoter, VotesAgainWithAllThatWasCommitted)
 {
     place("voter.log");
-    const FleetFile file = recorded_fleet();
+    const FleetConfig file = recorded_fleet();
     VoterAgent agent(file, disk_, VoterTimes{}, 3);
     Point now{5'000'000};
     std::optional<VoterStatus> status;
-    std::optional<Table> table;
+    std::optional<LeaseTable> table;
     const auto take = [&](std::vector<VoterAgentEffect> effects) {
         for (VoterAgentEffect& effect : effects) {
             if (auto* said = std::get_if<VoterStatus>(&effect)) status = std::move(*said);
-            if (auto* said = std::get_if<TableIs>(&effect)) table = std::move(said->table);
+            if (auto* said = std::get_if<TableUpdated>(&effect)) table = std::move(said->table);
         }
     };
     take(agent.start(now));
@@ -118,22 +118,22 @@
         take(agent.tick(now));
     }
     ASSERT_TRUE(status);
-    EXPECT_EQ(status->stage, Stage::voting);
-    EXPECT_EQ(status->standing.role, Role::leader);
+    EXPECT_EQ(status->stage, VoterStage::voting);
+    EXPECT_EQ(status->standing.role, RaftRole::leader);
     EXPECT_EQ(status->disk, 12941553096165680594u);
-    EXPECT_EQ(status->standing.seats, (std::vector<Seat>{{12941553096165680594u, "m-1", true}}));
+    EXPECT_EQ(status->standing.seats, (std::vector<VoterConfig>{{12941553096165680594u, "m-1", true}}));
     ASSERT_TRUE(table);
     EXPECT_EQ(table->version(), 600u);
-    EXPECT_EQ(table->of("reports"), (Table::Entry{key_of("m-2"), 399, 300, "nobody held it", false}));
-    EXPECT_EQ(table->of("exports"), (Table::Entry{key_of("m-2"), 77, 42, "its turn", false}));
+    EXPECT_EQ(table->of("reports"), (LeaseTable::Entry{key_of("m-2"), 399, 300, "nobody held it", false}));
+    EXPECT_EQ(table->of("exports"), (LeaseTable::Entry{key_of("m-2"), 77, 42, "its turn", false}));
 }
 
 TEST_F(StoredVoter, HasRecordsOfEveryKind)
 {
     place("voter-records.log");
     Store store(disk_);
-    ASSERT_EQ(store.open("edge", "m-1", 8), Opened::whole);
-    const Kept& kept = store.kept();
+    ASSERT_EQ(store.open("edge", "m-1", 8), OpenResult::whole);
+    const PersistentState& kept = store.kept();
     EXPECT_EQ(store.owner().disk, 7u);
     EXPECT_EQ(kept.term, 3u);
     EXPECT_EQ(kept.vote, 9u);
@@ -146,9 +146,9 @@
 
 TEST(StoredSnapshot, IsReadFieldByField)
 {
-    const auto decoded = decode_memory(read_data("snapshot"));
-    ASSERT_TRUE(std::holds_alternative<Memory>(decoded));
-    const auto& memory = std::get<Memory>(decoded);
+    const auto decoded = decode_member_snapshot(read_data("snapshot"));
+    ASSERT_TRUE(std::holds_alternative<MemberSnapshot>(decoded));
+    const auto& memory = std::get<MemberSnapshot>(decoded);
     EXPECT_EQ(memory.fleet, "edge");
     EXPECT_EQ(memory.member, "m-1");
     EXPECT_EQ(memory.incarnation, 12u);
@@ -172,49 +172,49 @@
     EXPECT_EQ(memory.epochs[1].duty, "reports");
     EXPECT_EQ(memory.epochs[1].epoch, 9u);
     EXPECT_EQ(memory.open, (std::vector<std::string>{"9b1f03aa5c7e2d41", "b-2"}));
-    EXPECT_EQ(encode_memory(memory), read_data("snapshot"));
+    EXPECT_EQ(encode_member_snapshot(memory), read_data("snapshot"));
 }
 
 // Each message with the values that it was recorded with.
 std::vector<Message> recorded_messages()
 {
-    const auto raft = [](std::string bytes) { return RaftSent{41, 42, 43, std::move(bytes)}; };
+    const auto raft = [](std::string bytes) { return RaftMessage{41, 42, 43, std::move(bytes)}; };
     std::vector<Message> messages;
     messages.push_back(Hello{"edge", 1, 11, 12, 13});
     messages.push_back(Ping{1, 2, 3, 4, 5, 1, 6, 7, 8, 9, 10, 120, 0xfedcba9876543210});
-    messages.push_back(Ask{21});
-    messages.push_back(Reached{22, 23});
+    messages.push_back(IndirectProbeRequest{21});
+    messages.push_back(IndirectProbeAck{22, 23});
     messages.push_back(MembershipUpdates{{{31, 1, 32, 33, 34}, {35, 2, 36, 37, 0}}, true});
     messages.push_back(raft("\x92\x03\xa7\x96\x33\x34\x35\x36\xc3\xc3"));
     messages.push_back(DiskReport{61, 2, 62, {{63, 64}, {65, 66}}});
-    messages.push_back(Founded{{{"m-1", 71}, {"m-2", 72}}});
-    messages.push_back(Renew{81, 82, 83, {"drain"}, {{"list", 84}}, true, 85, {{"reports", 86}}});
-    messages.push_back(Renewed{91, 92, 93, true, {{"list", 94, 95, 96}}});
-    messages.push_back(Refer{101, 102});
-    messages.push_back(Revoke{"list", 111});
-    messages.push_back(Released{"list", 121, 122});
-    messages.push_back(Order{131, "hand-over", "list", "m-2"});
-    messages.push_back(Obeyed{141, true, "done"});
-    messages.push_back(News{"list", 151, 152, 153, 154,
-                            "\x93\xae"
-                            "127.0.0.1:8500"
-                            "\x29\xa2{}"});
-    messages.push_back(WantNews{"list"});
-    messages.push_back(Digest{{{161, 162, 163, 164, 165, 166, 167, 168}}});
-    messages.push_back(WantParts{171, 172, 173, 174, {{3, 175, 1.5f, 0.25f}}});
-    messages.push_back(GivenParts{181, 182, 183, {{2, 184, 2.5f}}});
-    messages.push_back(ListDelta{{191, 192},
-                                 {191, 193},
-                                 {"127.0.0.1:8500", 194},
-                                 {{"s-1", "{1}"}},
-                                 {"s-2"},
-                                 195,
-                                 true,
-                                 true,
-                                 true,
-                                 196});
-    messages.push_back(WantListDeltas{{201, 202}, {"127.0.0.1:8500", 203}, 204, true, {205, 206}, 207});
-    messages.push_back(ListSnapshotChunk{
+    messages.push_back(BootstrapConfig{{{"m-1", 71}, {"m-2", 72}}});
+    messages.push_back(LeaseRenewRequest{81, 82, 83, {"drain"}, {{"list", 84}}, true, 85, {{"reports", 86}}});
+    messages.push_back(LeaseRenewResponse{91, 92, 93, true, {{"list", 94, 95, 96}}});
+    messages.push_back(LeaderRedirect{101, 102});
+    messages.push_back(LeaseRevoke{"list", 111});
+    messages.push_back(LeaseRelease{"list", 121, 122});
+    messages.push_back(AdminCommand{131, "hand-over", "list", "m-2"});
+    messages.push_back(AdminCommandResult{141, true, "done"});
+    messages.push_back(Broadcast{"list", 151, 152, 153, 154,
+                                 "\x93\xae"
+                                 "127.0.0.1:8500"
+                                 "\x29\xa2{}"});
+    messages.push_back(BroadcastRequest{"list"});
+    messages.push_back(OutlierDigest{{{161, 162, 163, 164, 165, 166, 167, 168}}});
+    messages.push_back(QuotaRequest{171, 172, 173, 174, {{3, 175, 1.5f, 0.25f}}});
+    messages.push_back(QuotaResponse{181, 182, 183, {{2, 184, 2.5f}}});
+    messages.push_back(EndpointDelta{{191, 192},
+                                     {191, 193},
+                                     {"127.0.0.1:8500", 194},
+                                     {{"s-1", "{1}"}},
+                                     {"s-2"},
+                                     195,
+                                     true,
+                                     true,
+                                     true,
+                                     196});
+    messages.push_back(EndpointDeltaRequest{{201, 202}, {"127.0.0.1:8500", 203}, 204, true, {205, 206}, 207});
+    messages.push_back(EndpointSnapshotChunk{
         {211, 212}, {"127.0.0.1:8500", 213}, 214, true, 1, 2, 215, {{"s-1", "{1}"}, {"s-2", "{2}"}}});
     return messages;
 }
@@ -238,7 +238,7 @@
     std::string again;
     uint32_t number = 0;
     while (reader.next() == FrameReader::State::message) {
-        const size_t kind = number < std::variant_size_v<Message> ? number : Message(RaftSent{}).index();
+        const size_t kind = number < std::variant_size_v<Message> ? number : Message(RaftMessage{}).index();
         EXPECT_EQ(reader.message().index(), kind);
         again += encode_frame(reader.message(), number++);
     }
--- a/tests/fleet_config.cpp
+++ b/tests/fleet_config.cpp
@@ -11,12 +11,12 @@
 
 void show(const char* what, const std::string& text)
 {
-    const auto got = decode_fleet_file(text);
+    const auto got = decode_fleet_config(text);
     if (const auto* fault = std::get_if<Fault>(&got)) {
         std::printf("%s: %s\n", what, text_of(*fault).c_str());
         return;
     }
-    const auto& f = std::get<FleetFile>(got);
+    const auto& f = std::get<FleetConfig>(got);
     std::printf("%s: %s of %s, %zu members, %zu voters, lease %.2f s, drift %.3f, duties", what, f.id.c_str(),
                 f.name.c_str(), f.members.size(), f.voters(), f.lease.length.seconds(), f.lease.drift);
     for (const Duty& d : f.duties) std::printf(" %s", d.name.c_str());
--- a/tests/fleet_store.cpp
+++ b/tests/fleet_store.cpp
@@ -16,7 +16,7 @@
 // Acknowledged after each sync: how long the file was, and what it held.
 struct Said {
     size_t bytes;
-    Kept kept;
+    PersistentState kept;
 };
 
 std::vector<Said> write(lab::Disk& disk)
@@ -44,7 +44,7 @@
     return text.value_or("");
 }
 
-Opened open(const std::string& bytes, Kept& kept, const char* member = "a")
+OpenResult open(const std::string& bytes, PersistentState& kept, const char* member = "a")
 {
     lab::Disk disk;
     (void)disk.replace(file, bytes);
@@ -86,10 +86,10 @@
     std::map<std::string, size_t> seen;
     size_t wrong = 0;
     for (size_t cut = 0; cut <= whole.size(); ++cut) {
-        Kept kept;
+        PersistentState kept;
         const auto opened = open(whole.substr(0, cut), kept);
         ++seen[text_of(opened)];
-        if (opened != Opened::whole && opened != Opened::cut) continue;
+        if (opened != OpenResult::whole && opened != OpenResult::cut) continue;
         // No more than was written, no less than was acknowledged with so many bytes.
         const Said* last = nullptr;
         for (const Said& s : said)
@@ -104,16 +104,16 @@
     for (size_t bit = 0; bit < whole.size() * 8; ++bit) {
         auto bytes = whole;
         bytes[bit / 8] = static_cast<char>(bytes[bit / 8] ^ 1 << bit % 8);
-        Kept kept;
+        PersistentState kept;
         const auto opened = open(bytes, kept);
         ++seen[text_of(opened)];
         // What can't be told from half a record at the end knows of fewer records: other voters tell.
-        if (opened == Opened::whole || opened == Opened::fresh) ++wrong;
-        if (opened == Opened::cut && kept.writes >= said.back().kept.writes) ++wrong;
+        if (opened == OpenResult::whole || opened == OpenResult::fresh) ++wrong;
+        if (opened == OpenResult::cut && kept.writes >= said.back().kept.writes) ++wrong;
     }
     std::printf("each bit turned: %zu wrong\n", wrong);
     for (const auto& [what, n] : seen) std::printf("  %s%s\n", what.c_str(), n ? "" : " never");
-    Kept kept;
+    PersistentState kept;
     std::printf("another member's: %s\n", text_of(open(whole, kept, "b")));
     {
         lab::Disk small;
@@ -127,8 +127,9 @@
                     static_cast<unsigned long long>(store.kept().last()),
                     store.kept().writes > before ? "yes" : "no");
         const auto held = store.kept();
-        std::printf("  read again: %s\n",
-                    open(bytes_of(small), kept) == Opened::whole && kept == held ? "the same" : "OTHERWISE");
+        std::printf("  read again: %s\n", open(bytes_of(small), kept) == OpenResult::whole && kept == held
+                                              ? "the same"
+                                              : "OTHERWISE");
     }
     errors();
 }
--- a/tests/latency.cpp
+++ b/tests/latency.cpp
@@ -183,9 +183,9 @@
     EXPECT_EQ(loop.outstanding(), 0u);
 }
 
-TEST(ListChanges, AreTheSameForTheSameSeedAndDrainAQuarterAtMost)
+TEST(EndpointChanges, AreTheSameForTheSameSeedAndDrainAQuarterAtMost)
 {
-    ListChanges first(20, 3), second(20, 3);
+    EndpointChanges first(20, 3), second(20, 3);
     std::vector<size_t> draining;
     int restarts = 0;
     for (int i = 0; i < 1000; ++i) {
--- a/tests/list_deltas.cpp
+++ b/tests/list_deltas.cpp
@@ -42,14 +42,14 @@
         return all.size() == 1 ? all[0] : SIZE_MAX;
     }
     size_t other_than(size_t node) const { return (node + 1) % world.size(); }
-    const ListReplica& replica(size_t node) { return *world.fleet(node).replica(); }
+    const EndpointReplica& replica(size_t node) { return *world.fleet(node).replica(); }
     std::string shown(size_t node) { return world.show(node); }
 
     // All that live have what the holder has, which is what discovery has.
     void expect_all_alike()
     {
         ASSERT_NE(holder(), SIZE_MAX) << "list is held by nobody";
-        const ListReplica& published = replica(holder());
+        const EndpointReplica& published = replica(holder());
         EXPECT_EQ(published.version().number, version);
         EXPECT_EQ(published.lines(), world.discovery_lines(version));
         for (size_t i = 0; i < world.size(); ++i) {
@@ -70,20 +70,20 @@
     void count(const FleetEffect& effect)
     {
         if (const auto* send = std::get_if<Send>(&effect)) return count(send->message);
-        const auto* act = std::get_if<Act>(&effect);
+        const auto* act = std::get_if<LeasedEffect>(&effect);
         const auto* publish = act ? std::get_if<Publish>(&act->what) : nullptr;
         if (!publish) return;
         for (const Send& send : publish->sends) count(send.message);
     }
     void count(const Message& message)
     {
-        sent.deltas += std::get_if<ListDelta>(&message) != nullptr;
-        sent.chunks += std::get_if<ListSnapshotChunk>(&message) != nullptr;
-        sent.wants += std::get_if<WantListDeltas>(&message) != nullptr;
+        sent.deltas += std::get_if<EndpointDelta>(&message) != nullptr;
+        sent.chunks += std::get_if<EndpointSnapshotChunk>(&message) != nullptr;
+        sent.wants += std::get_if<EndpointDeltaRequest>(&message) != nullptr;
     }
 };
 
-World::Options options(size_t members = 7, DeltasRule deltas = {})
+World::Options options(size_t members = 7, EndpointDeltaConfig deltas = {})
 {
     World::Options o;
     o.members = members;
@@ -305,7 +305,7 @@
 {
     Lists lists(options());
     lists.change(3);
-    const ListReplica& replica = lists.replica(0);
+    const EndpointReplica& replica = lists.replica(0);
     const auto line = "list revision " + std::to_string(replica.revision().epoch) + "." +
                       std::to_string(replica.revision().number) + " entries " +
                       std::to_string(replica.lines().size()) + " behind no\n";
--- a/tests/list_replica.cpp
+++ b/tests/list_replica.cpp
@@ -13,22 +13,22 @@
 namespace
 {
 
-using Result = ListReplica::Result;
+using Result = EndpointReplica::Result;
 
-constexpr Member first = 1, second = 2;
+constexpr MemberIndex first = 1, second = 2;
 constexpr Epoch epoch = 3;
 const Point start{1'000'000'000};
 
-ListVersion version(uint64_t number, const std::string& source = "agent") { return {source, number}; }
+EndpointListVersion version(uint64_t number, const std::string& source = "agent") { return {source, number}; }
 
 std::string line(const std::string& uid, int port = 1)
 {
     return R"({"endpoint":"127.0.0.1:)" + std::to_string(port) + R"(","state":"ready","uid":")" + uid + "\"}";
 }
 
-ListLines lines_of(size_t count, int port = 1)
+EndpointTexts lines_of(size_t count, int port = 1)
 {
-    ListLines lines;
+    EndpointTexts lines;
     for (size_t i = 0; i < count; ++i) {
         const auto uid = "u" + std::to_string(i);
         lines[uid] = line(uid, port);
@@ -36,18 +36,18 @@
     return lines;
 }
 
-std::vector<ListDelta> publish(ListReplica& replica, uint64_t number, const ListLines& lines,
-                               Epoch at = epoch)
+std::vector<EndpointDelta> publish(EndpointReplica& replica, uint64_t number, const EndpointTexts& lines,
+                                   Epoch at = epoch)
 {
     return replica.publish(at, version(number), replica.difference(lines));
 }
 
-void apply_all(ListReplica& replica, const std::vector<ListDelta>& deltas)
+void apply_all(EndpointReplica& replica, const std::vector<EndpointDelta>& deltas)
 {
-    for (const ListDelta& delta : deltas) ASSERT_EQ(replica.apply(delta), Result::applied);
+    for (const EndpointDelta& delta : deltas) ASSERT_EQ(replica.apply(delta), Result::applied);
 }
 
-void expect_same(const ListReplica& replica, const ListReplica& other)
+void expect_same(const EndpointReplica& replica, const EndpointReplica& other)
 {
     EXPECT_EQ(replica.revision(), other.revision());
     EXPECT_EQ(replica.digest(), other.digest());
@@ -57,22 +57,22 @@
 
 // ---- deltas ----
 
-TEST(ListReplica, DifferenceNamesWhatIsNewChangedAndGone)
+TEST(EndpointReplica, DifferenceNamesWhatIsNewChangedAndGone)
 {
-    ListReplica replica{DeltasRule{}};
+    EndpointReplica replica{EndpointDeltaConfig{}};
     publish(replica, 1, {{"a", "1"}, {"b", "1"}, {"d", "1"}});
-    const ListChanges changes = replica.difference({{"a", "1"}, {"b", "2"}, {"c", "1"}});
+    const EndpointChanges changes = replica.difference({{"a", "1"}, {"b", "2"}, {"c", "1"}});
     ASSERT_EQ(changes.changed.size(), 2u);
     EXPECT_EQ(changes.changed[0].uid, "b");
     EXPECT_EQ(changes.changed[1].uid, "c");
     EXPECT_EQ(changes.removed, std::vector<std::string>{"d"});
 }
 
-TEST(ListReplica, DifferenceOfNamedUidsIsThatOfTheWhole)
+TEST(EndpointReplica, DifferenceOfNamedUidsIsThatOfTheWhole)
 {
-    ListReplica replica{DeltasRule{}};
+    EndpointReplica replica{EndpointDeltaConfig{}};
     publish(replica, 1, {{"a", "1"}, {"b", "1"}, {"d", "1"}});
-    const ListChanges changes =
+    const EndpointChanges changes =
         replica.difference({{"a", "1"}, {"b", "2"}, {"c", "1"}}, {"a", "b", "c", "d", "unknown"});
     ASSERT_EQ(changes.changed.size(), 2u);
     EXPECT_EQ(changes.changed[0].text, "2");
@@ -80,9 +80,9 @@
     EXPECT_EQ(changes.removed, std::vector<std::string>{"d"});
 }
 
-TEST(ListReplica, DigestDoesNotDependOnTheOrderOfChanges)
+TEST(EndpointReplica, DigestDoesNotDependOnTheOrderOfChanges)
 {
-    ListReplica one{DeltasRule{}}, other{DeltasRule{}};
+    EndpointReplica one{EndpointDeltaConfig{}}, other{EndpointDeltaConfig{}};
     publish(one, 1, {{"a", "1"}});
     publish(one, 2, {{"a", "1"}, {"b", "1"}});
     publish(other, 1, {{"b", "1"}, {"c", "1"}});
@@ -92,40 +92,41 @@
     EXPECT_NE(digest_of("a", "b"), digest_of("b", "a"));
 }
 
-TEST(ListReplica, DeltasInOrderAreApplied)
+TEST(EndpointReplica, DeltasInOrderAreApplied)
 {
-    ListReplica holder{DeltasRule{}}, member{DeltasRule{}};
+    EndpointReplica holder{EndpointDeltaConfig{}}, member{EndpointDeltaConfig{}};
     apply_all(member, publish(holder, 1, lines_of(5)));
     apply_all(member, publish(holder, 2, lines_of(4, 2)));
     apply_all(member, publish(holder, 3, {}));
     expect_same(member, holder);
-    EXPECT_EQ(member.revision(), (ListRevision{epoch, 3}));
+    EXPECT_EQ(member.revision(), (EndpointRevision{epoch, 3}));
     EXPECT_TRUE(member.lines().empty());
     EXPECT_EQ(member.digest(), 0u);
 }
 
-TEST(ListReplica, DeltaAfterAGapIsNotApplied)
+TEST(EndpointReplica, DeltaAfterAGapIsNotApplied)
 {
-    ListReplica holder{DeltasRule{}}, member{DeltasRule{}};
+    EndpointReplica holder{EndpointDeltaConfig{}}, member{EndpointDeltaConfig{}};
     apply_all(member, publish(holder, 1, lines_of(5)));
     publish(holder, 2, lines_of(6));
     const auto third = publish(holder, 3, lines_of(7));
     EXPECT_EQ(member.apply(third[0]), Result::behind);
-    EXPECT_EQ(member.revision(), (ListRevision{epoch, 1}));
+    EXPECT_EQ(member.revision(), (EndpointRevision{epoch, 1}));
     EXPECT_EQ(member.lines(), lines_of(5));
 }
 
-TEST(ListReplica, RepeatedDeltaIsStale)
+TEST(EndpointReplica, RepeatedDeltaIsStale)
 {
-    ListReplica holder{DeltasRule{}}, member{DeltasRule{}};
+    EndpointReplica holder{EndpointDeltaConfig{}}, member{EndpointDeltaConfig{}};
     const auto deltas = publish(holder, 1, lines_of(5));
     apply_all(member, deltas);
     EXPECT_EQ(member.apply(deltas[0]), Result::stale);
 }
 
-TEST(ListReplica, OlderListOfTheSameSourceIsRefused)
+TEST(EndpointReplica, OlderListOfTheSameSourceIsRefused)
 {
-    ListReplica holder{DeltasRule{}}, member{DeltasRule{}}, behind{DeltasRule{}};
+    EndpointReplica holder{EndpointDeltaConfig{}}, member{EndpointDeltaConfig{}},
+        behind{EndpointDeltaConfig{}};
     apply_all(member, publish(holder, 8, lines_of(5)));
     const auto older = behind.publish(epoch + 1, version(7), behind.difference(lines_of(6)));
     EXPECT_EQ(member.apply(older[0]), Result::older);
@@ -133,19 +134,19 @@
     EXPECT_FALSE(version(7, "another").older_than(version(8)));
 }
 
-TEST(ListReplica, DeltaWithAnotherDigestIsNotApplied)
+TEST(EndpointReplica, DeltaWithAnotherDigestIsNotApplied)
 {
-    ListReplica holder{DeltasRule{}}, member{DeltasRule{}};
+    EndpointReplica holder{EndpointDeltaConfig{}}, member{EndpointDeltaConfig{}};
     apply_all(member, publish(holder, 1, lines_of(5)));
     member.corrupt("u1", line("u1", 9));
     EXPECT_FALSE(member.intact());
     EXPECT_EQ(member.apply(publish(holder, 2, lines_of(6))[0]), Result::diverged);
-    EXPECT_EQ(member.revision(), (ListRevision{epoch, 1}));
+    EXPECT_EQ(member.revision(), (EndpointRevision{epoch, 1}));
 }
 
-TEST(ListReplica, StateThatIsHeldAlreadyIsAdoptedAtItsRevision)
+TEST(EndpointReplica, StateThatIsHeldAlreadyIsAdoptedAtItsRevision)
 {
-    ListReplica holder{DeltasRule{}}, member{DeltasRule{}}, next{DeltasRule{}};
+    EndpointReplica holder{EndpointDeltaConfig{}}, member{EndpointDeltaConfig{}}, next{EndpointDeltaConfig{}};
     const auto once = publish(holder, 1, lines_of(5));
     apply_all(member, once);
     apply_all(next, once);
@@ -158,9 +159,9 @@
     EXPECT_TRUE(member.reaches({epoch, 1}));
 }
 
-TEST(ListReplica, NewHolderPublishesAnEmptyDeltaOfItsEpoch)
+TEST(EndpointReplica, NewHolderPublishesAnEmptyDeltaOfItsEpoch)
 {
-    ListReplica holder{DeltasRule{}}, next{DeltasRule{}};
+    EndpointReplica holder{EndpointDeltaConfig{}}, next{EndpointDeltaConfig{}};
     apply_all(next, publish(holder, 1, lines_of(500)));
     const auto taken_over = publish(next, 1, lines_of(500), epoch + 1);
     ASSERT_EQ(taken_over.size(), 1u);
@@ -169,13 +170,13 @@
     expect_same(holder, next);
 }
 
-TEST(ListReplica, LargeChangeIsSplitIntoChunks)
+TEST(EndpointReplica, LargeChangeIsSplitIntoChunks)
 {
-    const DeltasRule rule{1000, seconds(1), 1024};
-    ListReplica holder{rule}, member{rule};
+    const EndpointDeltaConfig rule{1000, seconds(1), 1024};
+    EndpointReplica holder{rule}, member{rule};
     const auto deltas = publish(holder, 1, lines_of(200));
     ASSERT_GT(deltas.size(), 10u);
-    for (const ListDelta& delta : deltas) {
+    for (const EndpointDelta& delta : deltas) {
         EXPECT_LE(encode_payload(delta).size(), 1024u + 200u);
         EXPECT_EQ(delta.partial, &delta != &deltas.back());
         EXPECT_EQ(delta.version.number, delta.partial ? 0u : 1u);
@@ -184,17 +185,17 @@
     expect_same(member, holder);
 }
 
-TEST(ListReplica, NewEntriesComeBeforeRemovals)
+TEST(EndpointReplica, NewEntriesComeBeforeRemovals)
 {
-    const DeltasRule rule{1000, seconds(1), 1024};
-    ListReplica holder{rule}, member{rule};
+    const EndpointDeltaConfig rule{1000, seconds(1), 1024};
+    EndpointReplica holder{rule}, member{rule};
     apply_all(member, publish(holder, 1, lines_of(100)));
-    ListLines others;
+    EndpointTexts others;
     for (size_t i = 0; i < 100; ++i) {
         const auto uid = "v" + std::to_string(i);
         others[uid] = line(uid);
     }
-    for (const ListDelta& delta : publish(holder, 2, others)) {
+    for (const EndpointDelta& delta : publish(holder, 2, others)) {
         ASSERT_EQ(member.apply(delta), Result::applied);
         EXPECT_GE(member.lines().size(), 100u);
     }
@@ -203,48 +204,48 @@
 
 // ---- the log, and snapshots ----
 
-TEST(ListReplica, LogHasWhatFollowsARevision)
+TEST(EndpointReplica, LogHasWhatFollowsARevision)
 {
-    ListReplica holder{DeltasRule{}};
+    EndpointReplica holder{EndpointDeltaConfig{}};
     for (uint64_t number = 1; number <= 5; ++number) publish(holder, number, lines_of(number));
     const auto missing = holder.since({epoch, 3});
     ASSERT_EQ(missing.size(), 2u);
-    EXPECT_EQ(missing[0].from, (ListRevision{epoch, 3}));
+    EXPECT_EQ(missing[0].from, (EndpointRevision{epoch, 3}));
     EXPECT_EQ(missing[1].to, holder.revision());
     EXPECT_TRUE(holder.since(holder.revision()).empty());
     EXPECT_TRUE(holder.since({epoch - 1, 3}).empty()) << "of another line of revisions";
 }
 
-TEST(ListReplica, LogKeepsNoMoreThanItsHistory)
+TEST(EndpointReplica, LogKeepsNoMoreThanItsHistory)
 {
-    ListReplica holder{DeltasRule{3, seconds(1), 65536}};
+    EndpointReplica holder{EndpointDeltaConfig{3, seconds(1), 65536}};
     for (uint64_t number = 1; number <= 5; ++number) publish(holder, number, lines_of(number));
     EXPECT_TRUE(holder.since({epoch, 1}).empty());
     EXPECT_FALSE(holder.reaches({epoch, 1}));
     EXPECT_EQ(holder.since({epoch, 2}).size(), 3u);
 }
 
-TEST(ListReplica, AnswerHoldsAboutOneChunkOfDeltas)
+TEST(EndpointReplica, AnswerHoldsAboutOneChunkOfDeltas)
 {
-    ListReplica holder{DeltasRule{1000, seconds(1), 1024}};
+    EndpointReplica holder{EndpointDeltaConfig{1000, seconds(1), 1024}};
     for (uint64_t number = 1; number <= 100; ++number) publish(holder, number, lines_of(number));
     const auto missing = holder.since({epoch, 1});
     EXPECT_GT(missing.size(), 1u);
     EXPECT_LT(missing.size(), 20u);
 }
 
-ListSnapshot assembled(const std::vector<ListSnapshotChunk>& chunks)
+EndpointSnapshot assembled(const std::vector<EndpointSnapshotChunk>& chunks)
 {
-    ListSnapshot whole{chunks[0].revision, chunks[0].version, chunks[0].digest, chunks[0].partial, {}};
-    for (const ListSnapshotChunk& chunk : chunks)
-        for (const ListEntry& entry : chunk.entries) whole.lines[entry.uid] = entry.text;
+    EndpointSnapshot whole{chunks[0].revision, chunks[0].version, chunks[0].digest, chunks[0].partial, {}};
+    for (const EndpointSnapshotChunk& chunk : chunks)
+        for (const EndpointEntry& entry : chunk.entries) whole.lines[entry.uid] = entry.text;
     return whole;
 }
 
-TEST(ListReplica, SnapshotInChunksMakesTheSameReplica)
+TEST(EndpointReplica, SnapshotInChunksMakesTheSameReplica)
 {
-    const DeltasRule rule{1000, seconds(1), 1024};
-    ListReplica holder{rule}, member{rule};
+    const EndpointDeltaConfig rule{1000, seconds(1), 1024};
+    EndpointReplica holder{rule}, member{rule};
     publish(holder, 1, lines_of(200));
     const auto chunks = holder.snapshot();
     ASSERT_GT(chunks.size(), 10u);
@@ -259,9 +260,9 @@
     expect_same(member, holder);
 }
 
-TEST(ListReplica, SnapshotTellsNothingButWhatDiffers)
+TEST(EndpointReplica, SnapshotTellsNothingButWhatDiffers)
 {
-    ListReplica holder{DeltasRule{}}, member{DeltasRule{}};
+    EndpointReplica holder{EndpointDeltaConfig{}}, member{EndpointDeltaConfig{}};
     apply_all(member, publish(holder, 1, lines_of(200)));
     auto lines = lines_of(199);
     lines["u7"] = line("u7", 2);
@@ -273,9 +274,9 @@
     EXPECT_EQ(changes->removed, std::vector<std::string>{"u199"});
 }
 
-TEST(ListReplica, SnapshotThatIsWrongOrOlderIsRefused)
+TEST(EndpointReplica, SnapshotThatIsWrongOrOlderIsRefused)
 {
-    ListReplica holder{DeltasRule{}}, member{DeltasRule{}};
+    EndpointReplica holder{EndpointDeltaConfig{}}, member{EndpointDeltaConfig{}};
     apply_all(member, publish(holder, 2, lines_of(5)));
     auto wrong = assembled(holder.snapshot());
     wrong.lines.erase("u1");
@@ -294,7 +295,7 @@
 
 // Hands over what one says to the other until neither says anything.
 struct Pair {
-    explicit Pair(const DeltasRule& rule) : holder(rule), member(rule) {}
+    explicit Pair(const EndpointDeltaConfig& rule) : holder(rule), member(rule) {}
 
     void settle(Point now)
     {
@@ -304,17 +305,17 @@
             for (Send& send : holder.take_sends()) more = true, hear(now, member, first, send.message);
         }
     }
-    void hear(Point now, ListDistribution& by, Member from, Message& message)
+    void hear(Point now, EndpointDistribution& by, MemberIndex from, Message& message)
     {
-        if (const auto* want = std::get_if<WantListDeltas>(&message)) {
+        if (const auto* want = std::get_if<EndpointDeltaRequest>(&message)) {
             ++wants;
             return by.hear(now, from, *want, Span{});
         }
-        if (const auto* chunk = std::get_if<ListSnapshotChunk>(&message)) {
+        if (const auto* chunk = std::get_if<EndpointSnapshotChunk>(&message)) {
             ++chunks;
             return (void)by.hear(now, from, *chunk);
         }
-        by.hear(now, from, std::get<ListDelta>(message));
+        by.hear(now, from, std::get<EndpointDelta>(message));
     }
     void ping(Point now)
     {
@@ -322,13 +323,13 @@
         settle(now);
     }
 
-    ListDistribution holder, member;
+    EndpointDistribution holder, member;
     size_t wants = 0, chunks = 0;
 };
 
-TEST(ListDistribution, PingOfANewerRevisionIsRepairedByDeltas)
+TEST(EndpointDistribution, PingOfANewerRevisionIsRepairedByDeltas)
 {
-    Pair pair{DeltasRule{}};
+    Pair pair{EndpointDeltaConfig{}};
     pair.holder.publish(epoch, version(1), lines_of(5), {});
     pair.holder.publish(epoch, version(2), lines_of(6), {});
     pair.ping(start);
@@ -338,9 +339,9 @@
     EXPECT_FALSE(pair.member.behind());
 }
 
-TEST(ListDistribution, LongRepairGoesOnWithoutWaiting)
+TEST(EndpointDistribution, LongRepairGoesOnWithoutWaiting)
 {
-    Pair pair{DeltasRule{1000, seconds(1), 1024}};
+    Pair pair{EndpointDeltaConfig{1000, seconds(1), 1024}};
     for (uint64_t number = 1; number <= 100; ++number)
         pair.holder.publish(epoch, version(number), lines_of(number), {});
     pair.ping(start);
@@ -349,9 +350,9 @@
     EXPECT_EQ(pair.chunks, 0u);
 }
 
-TEST(ListDistribution, RevisionBeforeTheHistoryIsRepairedByASnapshot)
+TEST(EndpointDistribution, RevisionBeforeTheHistoryIsRepairedByASnapshot)
 {
-    Pair pair{DeltasRule{3, seconds(1), 1024}};
+    Pair pair{EndpointDeltaConfig{3, seconds(1), 1024}};
     for (uint64_t number = 1; number <= 10; ++number)
         pair.holder.publish(epoch, version(number), lines_of(100 + number), {});
     pair.ping(start);
@@ -359,9 +360,9 @@
     EXPECT_GT(pair.chunks, 5u);
 }
 
-TEST(ListDistribution, SnapshotThatIsBeingSentStaysWhileItsSenderGoesOn)
+TEST(EndpointDistribution, SnapshotThatIsBeingSentStaysWhileItsSenderGoesOn)
 {
-    Pair pair{DeltasRule{3, seconds(1), 1024}};
+    Pair pair{EndpointDeltaConfig{3, seconds(1), 1024}};
     for (uint64_t number = 1; number <= 10; ++number)
         pair.holder.publish(epoch, version(number), lines_of(100 + number), {});
     pair.member.hear_revision(start, first, pair.holder.replica().revision(), pair.holder.replica().digest());
@@ -376,9 +377,9 @@
     expect_same(pair.member.replica(), pair.holder.replica());
 }
 
-TEST(ListDistribution, EqualRevisionWithAnotherDigestIsRepairedAtWhoIsWrong)
+TEST(EndpointDistribution, EqualRevisionWithAnotherDigestIsRepairedAtWhoIsWrong)
 {
-    Pair pair{DeltasRule{}};
+    Pair pair{EndpointDeltaConfig{}};
     pair.holder.publish(epoch, version(1), lines_of(5), {});
     pair.ping(start);
     pair.member.replica().corrupt("u1", line("u1", 9));
@@ -391,10 +392,10 @@
     EXPECT_EQ(pair.chunks, 1u);
 }
 
-TEST(ListDistribution, WhoDoesNotAnswerIsAskedAgainOnlyAfterAnother)
+TEST(EndpointDistribution, WhoDoesNotAnswerIsAskedAgainOnlyAfterAnother)
 {
-    const DeltasRule rule;
-    ListDistribution member(rule);
+    const EndpointDeltaConfig rule;
+    EndpointDistribution member(rule);
     member.hear_revision(start, first, {epoch, 5}, 7);
     member.hear_revision(start, second, {epoch, 5}, 7);
     auto sends = member.take_sends();
@@ -408,24 +409,24 @@
     EXPECT_EQ(sends[0].to, second);
 }
 
-TEST(ListDistribution, OlderListIsNotSentToWhoHasANewerOne)
+TEST(EndpointDistribution, OlderListIsNotSentToWhoHasANewerOne)
 {
-    ListDistribution behind{DeltasRule{}};
+    EndpointDistribution behind{EndpointDeltaConfig{}};
     behind.publish(epoch, version(7), lines_of(5), {});
-    behind.hear(start, second, WantListDeltas{{epoch - 1, 4}, version(8), 1, false, {}, 0}, Span{});
+    behind.hear(start, second, EndpointDeltaRequest{{epoch - 1, 4}, version(8), 1, false, {}, 0}, Span{});
     EXPECT_TRUE(behind.take_sends().empty());
 }
 
 // ---- what the balancer uses ----
 
-TEST(ListDistribution, BalancerIsToldTheWholeListOnceAndThenChanges)
+TEST(EndpointDistribution, BalancerIsToldTheWholeListOnceAndThenChanges)
 {
-    ListDistribution holder{DeltasRule{}};
+    EndpointDistribution holder{EndpointDeltaConfig{}};
     holder.publish(epoch, version(1), lines_of(50), {});
     auto use = holder.take_use();
     ASSERT_TRUE(use);
     EXPECT_TRUE(use->all);
-    ListLines used;
+    EndpointTexts used;
     net::take_in(used, use->text);
     EXPECT_EQ(used, lines_of(50));
 
@@ -442,9 +443,9 @@
     EXPECT_FALSE(holder.take_use());
 }
 
-TEST(ListDistribution, NewVersionWithoutChangesIsTold)
+TEST(EndpointDistribution, NewVersionWithoutChangesIsTold)
 {
-    ListDistribution holder{DeltasRule{}};
+    EndpointDistribution holder{EndpointDeltaConfig{}};
     holder.publish(epoch, version(1), lines_of(5), {});
     holder.take_use();
     EXPECT_EQ(holder.publish(epoch, version(2), lines_of(5), {}).size(), 1u);
@@ -454,33 +455,33 @@
     EXPECT_TRUE(holder.publish(epoch, version(2), lines_of(5), {}).empty()) << "nothing is new";
 }
 
-TEST(ListDistribution, VersionThatHasComeInPartIsNotUsed)
+TEST(EndpointDistribution, VersionThatHasComeInPartIsNotUsed)
 {
-    const DeltasRule rule{1000, seconds(1), 1024};
-    ListDistribution holder(rule), member(rule);
+    const EndpointDeltaConfig rule{1000, seconds(1), 1024};
+    EndpointDistribution holder(rule), member(rule);
     const auto deltas = holder.publish(epoch, version(1), lines_of(50), {});
     ASSERT_GT(deltas.size(), 1u);
-    for (const ListDelta& delta : deltas) {
+    for (const EndpointDelta& delta : deltas) {
         EXPECT_FALSE(member.take_use());
         member.hear(start, first, delta);
     }
     EXPECT_TRUE(member.take_use());
 }
 
-TEST(ListDistribution, OwnNewerListStaysWhileTheFleetsChangesBelowIt)
+TEST(EndpointDistribution, OwnNewerListStaysWhileTheFleetsChangesBelowIt)
 {
-    ListDistribution holder{DeltasRule{}}, member{DeltasRule{}};
-    ListLines used;
+    EndpointDistribution holder{EndpointDeltaConfig{}}, member{EndpointDeltaConfig{}};
+    EndpointTexts used;
     const auto take = [&] {
         if (const auto use = member.take_use()) net::take_in(used, use->text);
     };
-    const auto hear = [&](const std::vector<ListDelta>& deltas) {
-        for (const ListDelta& delta : deltas) member.hear(start, first, delta);
+    const auto hear = [&](const std::vector<EndpointDelta>& deltas) {
+        for (const EndpointDelta& delta : deltas) member.hear(start, first, delta);
         take();
     };
     hear(holder.publish(epoch, version(1), {{"a", line("a", 1)}, {"b", line("b", 1)}}, {}));
     // `a` changes at version 2 and back at 3, which this member knows from its own discovery.
-    const ListLines newest{{"a", line("a", 1)}, {"b", line("b", 3)}};
+    const EndpointTexts newest{{"a", line("a", 1)}, {"b", line("b", 3)}};
     member.use_own(version(3), newest);
     take();
     EXPECT_EQ(used, newest);
@@ -494,10 +495,10 @@
     EXPECT_TRUE(member.hear_unchanged(start, first, {epoch, 3}));
 }
 
-TEST(ListDistribution, NewHolderWithoutAReplicaWaitsForRepair)
+TEST(EndpointDistribution, NewHolderWithoutAReplicaWaitsForRepair)
 {
-    const DeltasRule rule;
-    ListDistribution holder(rule);
+    const EndpointDeltaConfig rule;
+    EndpointDistribution holder(rule);
     EXPECT_TRUE(holder.must_wait_to_publish(start, epoch, start));
     EXPECT_FALSE(holder.must_wait_to_publish(start + rule.repair, epoch, start)) << "nobody has a list";
     holder.hear_revision(start, first, {epoch - 1, 4}, 7);
@@ -505,9 +506,9 @@
     EXPECT_FALSE(holder.must_wait_to_publish(start + rule.repair * 3, epoch, start)) << "and does not answer";
 }
 
-TEST(ListDistribution, ChangesThatDoNotFollowThePublishedAnswerAreNotTrusted)
+TEST(EndpointDistribution, ChangesThatDoNotFollowThePublishedAnswerAreNotTrusted)
 {
-    ListDistribution holder{DeltasRule{}};
+    EndpointDistribution holder{EndpointDeltaConfig{}};
     holder.publish(epoch, version(1), lines_of(5), {});
     holder.skip();  // version 2, which added u5
     holder.publish(epoch, version(3), lines_of(7), std::vector<std::string>{"u6"});
@@ -517,7 +518,7 @@
 TEST(ListText, UidsAreQuoted)
 {
     const std::string uid = "a\"b\\c\n";
-    ListLines lines{{uid, "x"}};
+    EndpointTexts lines{{uid, "x"}};
     net::take_in(lines, list_changes_text(1, {uid}, {}));
     EXPECT_TRUE(lines.empty());
 }
@@ -536,13 +537,13 @@
 
 TEST(ListMessages, ComeAsTheyWereSent)
 {
-    ListReplica holder{DeltasRule{}};
+    EndpointReplica holder{EndpointDeltaConfig{}};
     auto delta = publish(holder, 1, lines_of(3))[0];
     delta.answer = true, delta.more = true, delta.age_us = 5;
     const auto got = over_the_wire(delta);
     ASSERT_TRUE(got);
     EXPECT_EQ(pack(*got), pack(delta));
-    const WantListDeltas want{{1, 2}, version(3), 4, true, {5, 6}, 7};
+    const EndpointDeltaRequest want{{1, 2}, version(3), 4, true, {5, 6}, 7};
     const auto wanted = over_the_wire(want);
     ASSERT_TRUE(wanted);
     EXPECT_EQ(pack(*wanted), pack(want));
@@ -554,26 +555,26 @@
 
 TEST(ListMessages, EarlierKindsKeepTheirNumbers)
 {
-    EXPECT_EQ(Message(GivenParts{}).index(), 19u);
-    EXPECT_EQ(Message(ListDelta{}).index(), 20u);
-    EXPECT_EQ(Message(WantListDeltas{}).index(), 21u);
-    EXPECT_EQ(Message(ListSnapshotChunk{}).index(), 22u);
+    EXPECT_EQ(Message(QuotaResponse{}).index(), 19u);
+    EXPECT_EQ(Message(EndpointDelta{}).index(), 20u);
+    EXPECT_EQ(Message(EndpointDeltaRequest{}).index(), 21u);
+    EXPECT_EQ(Message(EndpointSnapshotChunk{}).index(), 22u);
 }
 
 struct PingWithoutDigest {
     uint64_t number = 0, answers = 0;
     Incarnation incarnation = 0;
-    Life life = 0;
+    InstanceId instance = 0;
     uint64_t view = 0;
     uint8_t held = 0;
     Incarnation held_at = 0;
-    Key leader = 0;
+    MemberKey leader = 0;
     Term term = 0;
     uint64_t list = 0;
     Epoch list_epoch = 0;
     uint8_t weight = 0;
-    MSGPACK_DEFINE(number, answers, incarnation, life, view, held, held_at, leader, term, list, list_epoch,
-                   weight)
+    MSGPACK_DEFINE(number, answers, incarnation, instance, view, held, held_at, leader, term, list,
+                   list_epoch, weight)
 };
 
 TEST(ListMessages, PingsOfBuildsWithoutDigestsAreUnderstoodBothWays)
@@ -604,16 +605,16 @@
 
 std::string fault_of(const std::string& more)
 {
-    const auto got = decode_fleet_file(fleet_file(more));
+    const auto got = decode_fleet_config(fleet_file(more));
     const auto* fault = std::get_if<Fault>(&got);
     return fault ? text_of(*fault) : "none";
 }
 
 TEST(DeltasTable, IsOffWithoutItAndHasDefaults)
 {
-    const auto without = std::get<FleetFile>(decode_fleet_file(fleet_file("[list]\n")));
+    const auto without = std::get<FleetConfig>(decode_fleet_config(fleet_file("[list]\n")));
     EXPECT_FALSE(without.deltas);
-    const auto with = std::get<FleetFile>(decode_fleet_file(fleet_file("[list]\n[deltas]\n")));
+    const auto with = std::get<FleetConfig>(decode_fleet_config(fleet_file("[list]\n[deltas]\n")));
     ASSERT_TRUE(with.deltas);
     EXPECT_EQ(with.deltas->history, 1000u);
     EXPECT_EQ(with.deltas->repair, seconds(1));
@@ -623,8 +624,8 @@
 TEST(DeltasTable, TakesSizesWithAndWithoutAUnit)
 {
     const auto chunk = [](const std::string& value) {
-        const auto file = decode_fleet_file(fleet_file("[list]\n[deltas]\nchunk = " + value + "\n"));
-        return std::get<FleetFile>(file).deltas->chunk;
+        const auto file = decode_fleet_config(fleet_file("[list]\n[deltas]\nchunk = " + value + "\n"));
+        return std::get<FleetConfig>(file).deltas->chunk;
     };
     EXPECT_EQ(chunk("2048"), 2048u);
     EXPECT_EQ(chunk("\"16KB\""), 16384u);
--- a/tests/members.cpp
+++ b/tests/members.cpp
@@ -16,11 +16,11 @@
 constexpr Span period = seconds(0.4);
 constexpr Point began{1'000'000};
 
-FleetFile file_of(size_t members, Member self = 0)
+FleetConfig file_of(size_t members, MemberIndex self = 0)
 {
-    FleetFile file;
+    FleetConfig file;
     for (size_t i = 0; i < members; ++i) {
-        MemberLine line;
+        MemberConfig line;
         line.id = "m" + std::to_string(i);
         line.voter = i < 3;
         file.members.push_back(std::move(line));
@@ -30,41 +30,41 @@
     return file;
 }
 
-FleetFile for_another(const FleetFile& file, Member self)
+FleetConfig for_another(const FleetConfig& file, MemberIndex self)
 {
-    FleetFile other = file;
+    FleetConfig other = file;
     other.self = self;
     other.id = file.members[self].id;
     return other;
 }
 
-MembershipUpdate update(const FleetFile& file, Member of, Health health, Incarnation incarnation)
+MembershipUpdate update(const FleetConfig& file, MemberIndex of, Health health, Incarnation incarnation)
 {
     return {file.members[of].key, static_cast<uint8_t>(health), incarnation, 7, 0};
 }
 
 // As digests have it: those that were ever heard of, at which incarnation and health.
-std::vector<std::tuple<Member, Incarnation, Health>> view_of(const Members& members, size_t size)
+std::vector<std::tuple<MemberIndex, Incarnation, Health>> view_of(const Membership& members, size_t size)
 {
-    std::vector<std::tuple<Member, Incarnation, Health>> view;
-    for (Member m = 0; m < size; ++m)
+    std::vector<std::tuple<MemberIndex, Incarnation, Health>> view;
+    for (MemberIndex m = 0; m < size; ++m)
         if (const auto& one = members.of(m); one.incarnation)
             view.emplace_back(m, one.incarnation, one.health);
     return view;
 }
 
-size_t asks_in(const std::vector<Send>& sends, std::set<Member>& of)
+size_t asks_in(const std::vector<Send>& sends, std::set<MemberIndex>& of)
 {
     size_t asks = 0;
     for (const Send& s : sends)
-        if (std::get_if<fleet::Ask>(&s.message)) ++asks, of.insert(s.to);
+        if (std::get_if<fleet::IndirectProbeRequest>(&s.message)) ++asks, of.insert(s.to);
     return asks;
 }
 
 TEST(Roster, IsHeldOnceByCopiesOfAFleetFile)
 {
-    const FleetFile file = file_of(100);
-    const FleetFile other = for_another(file, 42);
+    const FleetConfig file = file_of(100);
+    const FleetConfig other = for_another(file, 42);
     EXPECT_TRUE(other.members.shares_with(file.members));
     EXPECT_EQ(&other.members[7], &file.members[7]);
     EXPECT_EQ(&other.members.rings(), &file.members.rings());
@@ -72,8 +72,8 @@
 
 TEST(Roster, ACopyThatIsChangedLeavesTheOthersAlone)
 {
-    const FleetFile file = file_of(3);
-    FleetFile other = file;
+    const FleetConfig file = file_of(3);
+    FleetConfig other = file;
     ASSERT_EQ(file.members.rings()[0].order.size(), 3u);
     other.members.push_back({"m3", 0, "", "", true, 0});
     EXPECT_FALSE(other.members.shares_with(file.members));
@@ -87,33 +87,33 @@
 
 TEST(Roster, FindsMembersByKeyAndId)
 {
-    const FleetFile file = file_of(50);
-    for (Member m = 0; m < 50; ++m) {
+    const FleetConfig file = file_of(50);
+    for (MemberIndex m = 0; m < 50; ++m) {
         EXPECT_EQ(file.members[m].key, key_of(file.members[m].id));
         EXPECT_EQ(file.member_of(file.members[m].key), m);
         EXPECT_EQ(file.member_of(std::string_view(file.members[m].id)), m);
     }
     EXPECT_FALSE(file.member_of(std::string_view("somebody")));
-    EXPECT_FALSE(file.member_of(Key{0}));
+    EXPECT_FALSE(file.member_of(MemberKey{0}));
 }
 
 TEST(Roster, EachRingHasEachMemberOnce)
 {
-    const FleetFile file = file_of(50);
+    const FleetConfig file = file_of(50);
     for (const auto& ring : file.members.rings()) {
         ASSERT_EQ(ring.order.size(), 50u);
-        for (Member m = 0; m < 50; ++m) EXPECT_EQ(ring.order[ring.place[m]], m);
+        for (MemberIndex m = 0; m < 50; ++m) EXPECT_EQ(ring.order[ring.place[m]], m);
     }
 }
 
 // What three members are told, in whatever order: equal digests stand for equal views, and only for these.
-TEST(Members, DigestsAreEqualExactlyIfViewsAre)
+TEST(Membership, DigestsAreEqualExactlyIfViewsAre)
 {
     constexpr size_t size = 8;
-    const FleetFile files[] = {file_of(size), for_another(file_of(size), 1), for_another(file_of(size), 2)};
-    std::vector<std::unique_ptr<Members>> members;
-    for (const FleetFile& file : files) {
-        members.push_back(std::make_unique<Members>(file, 7, 1, period, 1));
+    const FleetConfig files[] = {file_of(size), for_another(file_of(size), 1), for_another(file_of(size), 2)};
+    std::vector<std::unique_ptr<Membership>> members;
+    for (const FleetConfig& file : files) {
+        members.push_back(std::make_unique<Membership>(file, 7, 1, period, 1));
         members.back()->start(began);
     }
     std::mt19937 chance(1);
@@ -142,10 +142,10 @@
     EXPECT_GT(different, 100u);
 }
 
-TEST(Members, CountsThoseThatAreAlive)
+TEST(Membership, CountsThoseThatAreAlive)
 {
-    const FleetFile file = file_of(5);
-    Members members(file, 7, 1, period, 1);
+    const FleetConfig file = file_of(5);
+    Membership members(file, 7, 1, period, 1);
     members.start(began);
     EXPECT_EQ(members.alive(), 1u);
     members.on(began, 1, MembershipUpdates{{update(file, 1, Health::alive, 1)}, false});
@@ -159,39 +159,39 @@
     EXPECT_EQ(members.version(), version);
 }
 
-TEST(Members, WhoWasNeverHeardOfIsGoneAfterAWhileAndTriedInTurn)
+TEST(Membership, WhoWasNeverHeardOfIsGoneAfterAWhileAndTriedInTurn)
 {
-    const FleetFile file = file_of(5);
-    Members members(file, 7, 1, period, 1);
+    const FleetConfig file = file_of(5);
+    Membership members(file, 7, 1, period, 1);
     members.start(began);
     Point now = began;
     for (; now - began <= period * 4; now = now + seconds(0.05)) members.tick(now);
     EXPECT_EQ(members.of(4).health, Health::suspect);
     members.take_sends();
     members.tick(now);
-    std::set<Member> gone;
+    std::set<MemberIndex> gone;
     for (const HealthChange& change : members.take_changes()) {
         EXPECT_EQ(change.health, Health::gone);
         gone.insert(change.member);
     }
-    EXPECT_EQ(gone, (std::set<Member>{1, 2, 3, 4}));
+    EXPECT_EQ(gone, (std::set<MemberIndex>{1, 2, 3, 4}));
     EXPECT_TRUE(members.neighbours().empty());
     members.take_sends();
-    std::vector<Member> tried;
+    std::vector<MemberIndex> tried;
     for (int i = 0; i < 8; ++i) {
         now = now + period;
         members.tick(now);
         for (const Send& s : members.take_sends()) tried.push_back(s.to);
     }
-    EXPECT_EQ(tried, (std::vector<Member>{1, 2, 3, 4, 1, 2, 3, 4}));
+    EXPECT_EQ(tried, (std::vector<MemberIndex>{1, 2, 3, 4, 1, 2, 3, 4}));
 }
 
-TEST(Members, ASuspectIsGoneAfterItsOwnWhile)
+TEST(Membership, ASuspectIsGoneAfterItsOwnWhile)
 {
-    const FleetFile file = file_of(5);
-    Members members(file, 7, 1, period, 1);
+    const FleetConfig file = file_of(5);
+    Membership members(file, 7, 1, period, 1);
     members.start(began);
-    members.acquaint(std::vector<Members::One>(5, {1, 7, Health::alive, 0}));
+    members.seed_members(std::vector<Membership::MemberState>(5, {1, 7, Health::alive, 0}));
     const Point suspected = began + period;
     members.on(suspected, 1, MembershipUpdates{{update(file, 2, Health::suspect, 1)}, false});
     members.tick(suspected + period * 4);
@@ -200,36 +200,36 @@
     EXPECT_EQ(members.of(2).health, Health::gone);
 }
 
-TEST(Members, ThreeOthersThatAreAliveAreAskedAboutASilentNeighbour)
+TEST(Membership, ThreeOthersThatAreAliveAreAskedAboutASilentNeighbour)
 {
     constexpr size_t size = 100;
-    const FleetFile file = file_of(size);
-    Members members(file, 7, 1, period, 1);
+    const FleetConfig file = file_of(size);
+    Membership members(file, 7, 1, period, 1);
     members.start(began);
-    std::vector<Members::One> all(size, {1, 7, Health::alive, 0});
+    std::vector<Membership::MemberState> all(size, {1, 7, Health::alive, 0});
     // Most are gone, so that drawing meets them, and few enough are left to be counted.
-    for (Member m = 20; m < size; ++m) all[m].health = Health::gone;
-    members.acquaint(all);
+    for (MemberIndex m = 20; m < size; ++m) all[m].health = Health::gone;
+    members.seed_members(all);
     members.tick(began);
     members.take_sends();
-    std::set<Member> asked;
+    std::set<MemberIndex> asked;
     for (Point now = began; now - began <= period * 3; now = now + seconds(0.05)) members.tick(now);
     members.take_sends();
     members.tick(began + period * 3 + seconds(0.05));
     const size_t asks = asks_in(members.take_sends(), asked);
     EXPECT_EQ(asks, members.neighbours().size() * 3);
-    for (const Member m : asked) EXPECT_LT(m, 20u);
+    for (const MemberIndex m : asked) EXPECT_LT(m, 20u);
     EXPECT_EQ(asked.count(0), 0u);
 }
 
-TEST(Members, AcquaintedOnesHoldOneView)
+TEST(Membership, AcquaintedOnesHoldOneView)
 {
-    const FleetFile file = file_of(10), other = for_another(file, 4);
-    Members first(file, 7, 1, period, 1), second(other, 7, 1, period, 2);
-    const std::vector<Members::One> all(10, {1, 7, Health::alive, 0});
-    for (Members* members : {&first, &second}) {
+    const FleetConfig file = file_of(10), other = for_another(file, 4);
+    Membership first(file, 7, 1, period, 1), second(other, 7, 1, period, 2);
+    const std::vector<Membership::MemberState> all(10, {1, 7, Health::alive, 0});
+    for (Membership* members : {&first, &second}) {
         members->start(began);
-        members->acquaint(all);
+        members->seed_members(all);
         EXPECT_EQ(members->alive(), 10u);
         EXPECT_TRUE(members->take_sends().empty());
         EXPECT_TRUE(members->take_changes().empty());
--- a/tests/recovery.cpp
+++ b/tests/recovery.cpp
@@ -11,9 +11,9 @@
 namespace
 {
 
-Memory some()
+MemberSnapshot some()
 {
-    Memory m;
+    MemberSnapshot m;
     m.fleet = "edge", m.member = "a", m.incarnation = 7, m.boot = "this", m.boot_us = 5;
     m.list_version = 3, m.list = "a list", m.rate = 100, m.size = 4, m.sharers = 3;
     m.reductions = {{11, 0.5F, 1'000'000}};
@@ -24,52 +24,52 @@
 
 void files()
 {
-    const auto whole = encode_memory(some());
-    const auto back = std::get<Memory>(decode_memory(whole));
+    const auto whole = encode_member_snapshot(some());
+    const auto back = std::get<MemberSnapshot>(decode_member_snapshot(whole));
     std::printf("-- the snapshot\nback: list %llu, epoch %llu, open %s\n",
                 static_cast<unsigned long long>(back.list_version),
                 static_cast<unsigned long long>(back.epochs[0].epoch), back.open[0].c_str());
     size_t cut = 0, flipped = 0;
     for (size_t n = 0; n < whole.size(); ++n) {
-        cut += std::get_if<std::string>(&*std::make_unique<std::variant<Memory, std::string>>(
-                   decode_memory(std::string_view(whole).substr(0, n)))) != nullptr;
+        cut += std::get_if<std::string>(&*std::make_unique<std::variant<MemberSnapshot, std::string>>(
+                   decode_member_snapshot(std::string_view(whole).substr(0, n)))) != nullptr;
         for (int bit = 0; bit < 8; ++bit) {
             std::string other = whole;
             other[n] = static_cast<char>(other[n] ^ (1 << bit));
-            const auto got = decode_memory(other);
+            const auto got = decode_member_snapshot(other);
             flipped += std::get_if<std::string>(&got) != nullptr;
         }
     }
     std::printf("cut at every byte: %s refused; every bit flipped: %s refused\n",
                 cut == whole.size() ? "all" : "NOT ALL", flipped == whole.size() * 8 ? "all" : "NOT ALL");
-    std::printf("more behind it: %s\n", std::get<std::string>(decode_memory(whole + "x")).c_str());
+    std::printf("more behind it: %s\n", std::get<std::string>(decode_member_snapshot(whole + "x")).c_str());
     std::printf("another fleet's: %s; another member's: %s; its own: '%s'\n",
                 not_of(back, "core", "a").c_str(), not_of(back, "edge", "b").c_str(),
                 not_of(back, "edge", "a").c_str());
 }
 
-FleetFile file()
+FleetConfig file()
 {
-    FleetFile f;
+    FleetConfig f;
     f.name = "edge", f.id = "a";
     for (const char* id : {"a", "b", "c"}) f.members.push_back({id, key_of(id), "", "", true, 0});
-    f.recovery = RecoveryRule{};
-    f.list = ListDuty{};
+    f.recovery = StartupConfig{};
+    f.list = EndpointListConfig{};
     f.duties.push_back({"list", DutyKind::list, "", {}, 0});
     return f;
 }
 
-void believed(const char* what, Recalled recalled)
+void believed(const char* what, SnapshotLoaded recalled)
 {
-    const FleetFile f = file();
+    const FleetConfig f = file();
     Fleet fleet(f, 1, 1, 1);
     const Point now{1'000'000};
     std::printf("%s:", what);
     const auto effects = fleet.reduce(now, std::move(recalled));
     for (const FleetEffect& e : effects)
-        if (const auto* use = std::get_if<UseMemory>(&e))
+        if (const auto* use = std::get_if<ApplySnapshot>(&e))
             std::printf(" used, %zu reductions;", use->memory.reductions.size());
-    fleet.reduce(now, Begun{});
+    fleet.reduce(now, StartupEvent{});
     for (const FleetEffect& e : fleet.reduce(now, AdminRequest{1, "show-recovery", "", ""}))
         if (const auto* r = std::get_if<Reply>(&e))
             std::printf(" %s\n", r->text.substr(0, r->text.find('\n')).c_str());
@@ -77,38 +77,38 @@
 
 void lists()
 {
-    const FleetFile f = file();
+    const FleetConfig f = file();
     Fleet fleet(f, 1, 1, 1);
     Point now{1'000'000};
-    fleet.reduce(now, Recalled{some(), {}});
-    fleet.reduce(now, Begun{});
+    fleet.reduce(now, SnapshotLoaded{some(), {}});
+    fleet.reduce(now, StartupEvent{});
     const auto takes = [&](uint64_t version) {
         bool taken = false;
-        for (const FleetEffect& e : fleet.reduce(now, ListSeen{"here", version, "list"}))
-            taken = taken || std::get_if<UseList>(&e);
+        for (const FleetEffect& e : fleet.reduce(now, EndpointListFetched{"here", version, "list"}))
+            taken = taken || std::get_if<ApplyEndpointList>(&e);
         return taken ? "taken" : "not taken";
     };
     std::printf("-- lists\nolder than what is remembered: %s\n", takes(2));
     std::printf("as new: %s\n", takes(3));
     Fleet later(f, 1, 1, 1);
-    later.reduce(now, Recalled{some(), {}});
-    later.reduce(now, Begun{});
+    later.reduce(now, SnapshotLoaded{some(), {}});
+    later.reduce(now, StartupEvent{});
     now = now + f.recovery->wait * 4 + seconds(1);
     bool taken = false;
-    for (const FleetEffect& e : later.reduce(now, ListSeen{"here", 2, "list"}))
-        taken = taken || std::get_if<UseList>(&e);
+    for (const FleetEffect& e : later.reduce(now, EndpointListFetched{"here", 2, "list"}))
+        taken = taken || std::get_if<ApplyEndpointList>(&e);
     std::printf("an older one that is all there is, after a while: %s\n", taken ? "taken" : "NOT TAKEN");
 }
 
 void stages()
 {
     std::printf("-- stages, alone in the world\n");
-    Recovery r{RecoveryRule{}};
+    StartupSequencer r{StartupConfig{}};
     Point now{1'000'000};
     r.start(now);
     FleetState alone{9, 1, false, 2, 0};
     r.fleet_is(alone);
-    ReturnStage last = ReturnStage::disk;
+    StartupStage last = StartupStage::disk;
     for (int i = 0; i < 1000; ++i, now = now + seconds(0.1)) {
         r.tick(now, 10, 10, false);
         if (r.stage() == last) continue;
@@ -116,7 +116,7 @@
         std::printf("%s at %.1f s, %s\n", text_of(last), i * 0.1, r.ready() ? "ready" : "not ready");
     }
     std::printf("-- all there, upstreams cold\n");
-    Recovery s{RecoveryRule{}};
+    StartupSequencer s{StartupConfig{}};
     now = Point{1'000'000};
     s.start(now);
     s.remembered(now, 100, 9, 10);
@@ -131,7 +131,7 @@
                     text_of(s.stage()), static_cast<double>(admitted + least) / 10,
                     least * 4 < admitted ? "few" : "as many");
     }
-    Recovery t{RecoveryRule{}};
+    StartupSequencer t{StartupConfig{}};
     now = Point{1'000'000};
     t.start(now);
     t.remembered(now, 100, 9, 10);
@@ -182,8 +182,8 @@
     std::printf("an empty list leaves %zu\n", reducer.figures().hosts_listed);
     tell(net::ListUpdate{true, {{"u", "1.1.1.1:1", Presence::ready, 0, 0, 1, {}}}});
     for (int i = 0; i < 12; ++i)
-        for (const auto& e : tell(net::Ticked{}))
-            if (const auto* o = std::get_if<Observed>(&e); o && i > 8)
+        for (const auto& e : tell(net::Tick{}))
+            if (const auto* o = std::get_if<LocalObservations>(&e); o && i > 8)
                 std::printf("a loss in the middle: %.0f a second among %u are remembered\n", o->accepted,
                             o->sharers),
                     i = 12;
