--- a/drill/instance.cpp
+++ b/drill/instance.cpp
@@ -8,17 +8,17 @@
 namespace
 {
 
-Result result_of(uint16_t code)
+AttemptResult result_of(uint16_t code)
 {
     switch (code) {
-        case 100: return Result::succeeded;
-        case 301: return Result::errored;
-        case 302: return Result::full;
-        case 303: return Result::timed_out;
-        case 304: return Result::unreachable;
-        case 305: return Result::reset;
-        case 306: return Result::cancelled;
-        case 307: return Result::not_sent;
+        case 100: return AttemptResult::succeeded;
+        case 301: return AttemptResult::errored;
+        case 302: return AttemptResult::full;
+        case 303: return AttemptResult::timed_out;
+        case 304: return AttemptResult::unreachable;
+        case 305: return AttemptResult::reset;
+        case 306: return AttemptResult::cancelled;
+        case 307: return AttemptResult::not_sent;
     }
     throw Malformed("unknown outcome " + std::to_string(code));
 }
@@ -35,9 +35,9 @@
 {
 }
 
-Tgt Instance::upstream(uint32_t id)
+UpstreamId Instance::upstream(uint32_t id)
 {
-    const auto [at, fresh] = upstream_of_.try_emplace(id, static_cast<Tgt>(upstreams_.size()));
+    const auto [at, fresh] = upstream_of_.try_emplace(id, static_cast<UpstreamId>(upstreams_.size()));
     if (fresh) upstreams_.push_back(id);
     return at->second;
 }
@@ -49,7 +49,8 @@
     listings_.clear();
     for (const Entry& e : entries) {
         if (e.state > 2) throw Malformed("unknown state of an upstream");
-        Listing l{upstream(e.upstream), e.upstream, static_cast<Presence>(e.state), e.zone, e.cell, 1, {}};
+        EndpointState l{
+            upstream(e.upstream), e.upstream, static_cast<EndpointPhase>(e.state), e.zone, e.cell, 1, {}};
         if (setup_.sizes_listed && std::isfinite(e.nominal) && e.nominal > 0) l.size = e.nominal;
         l.kind = e.kind;
         if (e.ready_at) l.started = Point{static_cast<int64_t>(e.ready_at)};
@@ -62,9 +63,9 @@
     if (scope != 2) balancer_.list_answered(now, true);
 }
 
-Report Instance::report(Reader& in) const
+LoadReport Instance::report(Reader& in) const
 {
-    Report report;
+    LoadReport report;
     const auto n = in.get<uint8_t>();
     for (size_t i = 0; i < n; ++i) {
         const auto value = in.get<float>();
@@ -77,7 +78,7 @@
 void Instance::demand(Point now, Reader& in)
 {
     const auto id = in.get<uint32_t>();
-    Ask ask;
+    InvocationRequest ask;
     ask.operation = in.get<uint8_t>();
     ask.tenant = in.get<uint32_t>();
     ask.key = in.get<uint64_t>();
@@ -86,7 +87,7 @@
     in.get<uint16_t>();  // marks
     if (ask.operation >= setup_.settings.operations.size()) throw Malformed("unknown operation");
     if (free_.empty()) {
-        free_.push_back(static_cast<Inv>(invocations_.size()));
+        free_.push_back(static_cast<InvocationId>(invocations_.size()));
         invocations_.emplace_back();
     }
     const auto inv = free_.back();
@@ -128,25 +129,25 @@
     balancer_.probed(now, at->second, result, load);
 }
 
-void Instance::forward(Inv inv, Tgt tgt, Span limit)
+void Instance::forward(InvocationId inv, UpstreamId upstream_id, Span limit)
 {
     ++invocations_[inv].forwards;
-    act(91).put(invocations_[inv].id).put(wire_span(limit)).put(upstreams_[tgt]);
+    act(91).put(invocations_[inv].id).put(wire_span(limit)).put(upstreams_[upstream_id]);
 }
 
-void Instance::throttle(Inv inv, Span come_back)
+void Instance::throttle(InvocationId inv, Span retry_after)
 {
-    act(81).put(invocations_[inv].id).put(wire_span(come_back));
+    act(81).put(invocations_[inv].id).put(wire_span(retry_after));
 }
 
-void Instance::error(Inv inv) { act(83).put(invocations_[inv].id); }
+void Instance::error(InvocationId inv) { act(83).put(invocations_[inv].id); }
 
-void Instance::cancel(Inv inv, uint32_t forward)
+void Instance::cancel(InvocationId inv, uint32_t forward)
 {
     act(80).put(invocations_[inv].id).put(static_cast<uint16_t>(forward));
 }
 
-void Instance::released(Inv inv)
+void Instance::released(InvocationId inv)
 {
     invocation_of_.erase(invocations_[inv].id);
     free_.push_back(inv);
@@ -154,9 +155,9 @@
 
 void Instance::wake(Point at, uint64_t name) { act(84).put(name).put(static_cast<uint64_t>(at.us)); }
 
-void Instance::probe(Tgt tgt) { act(87).put(upstreams_[tgt]); }
+void Instance::probe(UpstreamId upstream_id) { act(87).put(upstreams_[upstream_id]); }
 
-void Instance::close_idle(Tgt tgt) { act(86).put(upstreams_[tgt]); }
+void Instance::close_idle(UpstreamId upstream_id) { act(86).put(upstreams_[upstream_id]); }
 
 void Instance::watch_list() { act(85).put(uint8_t{1}); }
 
--- a/drill/instance.h
+++ b/drill/instance.h
@@ -23,7 +23,7 @@
     uint64_t ready_at;
 };
 
-class Instance : private Outlet
+class Instance : private BalancerDelegate
 {
   public:
     Instance(uint16_t name, uint64_t seed, std::string_view setup, Writer& out);
@@ -43,31 +43,31 @@
         uint32_t forwards = 0;
     };
 
-    void forward(Inv inv, Tgt tgt, Span limit) override;
-    void throttle(Inv inv, Span come_back) override;
-    void error(Inv inv) override;
-    void cancel(Inv inv, uint32_t forward) override;
-    void limit(Inv, uint32_t, Span) override {}  // requests come whole here
-    void released(Inv inv) override;
+    void forward(InvocationId inv, UpstreamId upstream_id, Span limit) override;
+    void throttle(InvocationId inv, Span retry_after) override;
+    void error(InvocationId inv) override;
+    void cancel(InvocationId inv, uint32_t forward) override;
+    void limit(InvocationId, uint32_t, Span) override {}  // requests come whole here
+    void released(InvocationId inv) override;
     void wake(Point at, uint64_t name) override;
-    void probe(Tgt tgt) override;
-    void close_idle(Tgt tgt) override;
+    void probe(UpstreamId upstream_id) override;
+    void close_idle(UpstreamId upstream_id) override;
     void watch_list() override;
     void tell(const std::string& message) override;
 
     Writer& act(uint8_t code) { return out_.record(code).put(name_); }
-    Tgt upstream(uint32_t id);
-    Report report(Reader& in) const;
+    UpstreamId upstream(uint32_t id);
+    LoadReport report(Reader& in) const;
 
     uint16_t name_;
     Writer& out_;
-    Setup setup_;
-    std::unordered_map<uint32_t, Inv> invocation_of_;
+    ServiceConfig setup_;
+    std::unordered_map<uint32_t, InvocationId> invocation_of_;
     std::vector<Invocation> invocations_;
-    std::vector<Inv> free_;
-    std::unordered_map<uint32_t, Tgt> upstream_of_;
+    std::vector<InvocationId> free_;
+    std::unordered_map<uint32_t, UpstreamId> upstream_of_;
     std::vector<uint32_t> upstreams_;
-    std::vector<Listing> listings_;
+    std::vector<EndpointState> listings_;
     Balancer balancer_;
 };
 
--- a/lab/service_simulation.cpp
+++ b/lab/service_simulation.cpp
@@ -25,11 +25,11 @@
 }  // namespace
 
 struct ServiceSimulation::Node {
-    Setup setup;
+    ServiceConfig setup;
     std::unique_ptr<net::Reducer> reducer;
     uint64_t run = 0;
-    net::CallerId next_caller = 1;
-    std::map<net::CallerId, Point> asked;
+    net::RequestId next_caller = 1;
+    std::map<net::RequestId, Point> asked;
     struct Attempt {
         size_t upstream = 0;
         std::optional<uint64_t> job;
@@ -67,18 +67,18 @@
     since_ = world_.now();
     world_.on_effect = [this](size_t node, FleetEffect& e) {
         if (auto* uses = std::get_if<ApplySubsetPeers>(&e)) {
-            tell(node, net::FleetIs{std::move(uses->sharers)});
+            tell(node, net::SubsetPeersUpdated{std::move(uses->sharers)});
         } else if (auto* signals = std::get_if<ApplyOutlierReports>(&e)) {
-            tell(node, net::SignalsUpdate{std::move(signals->results)});
+            tell(node, net::OutlierReportsUpdated{std::move(signals->results)});
         } else if (auto* memory = std::get_if<ApplySnapshot>(&e)) {
-            tell(node, net::Remembered{std::move(memory->memory)});
+            tell(node, net::SnapshotRestored{std::move(memory->memory)});
         } else if (auto* state = std::get_if<ApplyFleetState>(&e)) {
-            tell(node, net::FleetStateIs{state->state});
+            tell(node, net::FleetStateUpdated{state->state});
         } else if (auto* parts = std::get_if<ApplyQuotas>(&e)) {
             const Span apart = world_.now() - world_.clock_of(node);
             for (QuotaLease& p : parts->parts)
                 p.full_until = p.full_until + apart, p.none_from = p.none_from + apart;
-            tell(node, net::PartsAre{std::move(parts->parts)});
+            tell(node, net::QuotasUpdated{std::move(parts->parts)});
         } else if (auto* sends = std::get_if<Send>(&e);
                    sends && std::get_if<OutlierDigest>(&sends->message)) {
             ++count.digests;
@@ -89,11 +89,11 @@
 
 ServiceSimulation::~ServiceSimulation() = default;
 
-net::Entry ServiceSimulation::entry(size_t upstream) const
+net::ListedEndpoint ServiceSimulation::entry(size_t upstream) const
 {
     const Up& up = *servers_[upstream];
     const auto name = "u" + std::to_string(upstream + 1);
-    return {name,      "10.0.0.1:" + std::to_string(upstream + 1), Presence::ready, 0, 0, up.server.size,
+    return {name,      "10.0.0.1:" + std::to_string(upstream + 1), EndpointPhase::ready, 0, 0, up.server.size,
             up.started};
 }
 
@@ -106,21 +106,21 @@
     n.broken_roads = keep;
     Settings s;
     Operation op;
-    op.repeat = Repeat::idempotent;
-    op.group = Group::all;
+    op.repeat = Idempotency::idempotent;
+    op.group = DeduplicationScope::all;
     op.latency_objective = options_.objective;
     op.client_timeout = options_.client_timeout;
     s.operations = {op};
     s.balancers = static_cast<uint32_t>(options_.balancers);
     s.self = static_cast<uint32_t>(b);
     s.max_forwards = 3, s.may_cancel = true;
-    s.max_come_back = seconds(0.5);
+    s.max_retry_after = seconds(0.5);
     s.cold = options_.cold, s.cold_share = options_.cold_share, s.fall_multiple = options_.push,
     s.fall = options_.falls_after;
     n.setup.settings = s;
     n.setup.operations = {"op"};
     n.setup.report_names = {"q"};
-    n.setup.report = {&Report::queue};
+    n.setup.report = {&LoadReport::queue};
     n.setup.sizes_listed = true;
     static uint64_t runs = 0;
     n.run = ++runs;
@@ -136,7 +136,7 @@
                          0.1});
     world_.start(b);
     world_.schedule({}, b, [this, b] {
-        tell(b, net::Started{});
+        tell(b, net::ServiceStarted{});
         list_to(b, nodes_[b]->without);
         tick(b);
         ask(b);
@@ -169,12 +169,12 @@
     world_.schedule(next, b, [this, b] {
         Node& n = *nodes_[b];
         if (!n.reducer) return;
-        const net::CallerId caller = n.next_caller++;
+        const net::RequestId caller = n.next_caller++;
         n.asked[caller] = world_.now();
         ++count.asked;
         net::Request request{"GET", "/op", "", 0, 0, options_.client_timeout, {}, ""};
         request.id = std::to_string(caller);
-        tell(b, net::Arrived{caller, std::move(request)});
+        tell(b, net::RequestReceived{caller, std::move(request)});
         ask(b);
     });
 }
@@ -189,7 +189,7 @@
 {
     Node& n = *nodes_[b];
     for (net::Effect& e : effects) {
-        if (auto* a = std::get_if<net::Answer>(&e)) {
+        if (auto* a = std::get_if<net::SendResponse>(&e)) {
             const auto at = n.asked.find(a->caller);
             if (at == n.asked.end()) continue;
             const bool well = a->response.status == 200;
@@ -202,24 +202,26 @@
             count.throttled += a->response.status == 503;
             count.errored += !well && a->response.status != 503;
             n.asked.erase(at);
-        } else if (auto* d = std::get_if<net::Dial>(&e)) {
+        } else if (auto* d = std::get_if<net::ConnectUpstream>(&e)) {
             const size_t up = std::stoul(d->endpoint.substr(d->endpoint.find(':') + 1)) - 1;
             n.attempts[d->attempt] = {up, {}, true};
             const bool whole = !n.broken_roads.count(up);
             world_.schedule(whole ? one_way * 2 : seconds(0.05), b, [this, b, id = d->attempt, whole] {
                 if (!nodes_[b]->attempts.count(id)) return;
-                if (whole) return tell(b, net::Connected{id});
+                if (whole) return tell(b, net::UpstreamConnected{id});
                 nodes_[b]->attempts.erase(id);
-                tell(b, net::Failed{id, {net::Progress::not_connected, net::Cause::no_answer_in_time}});
+                tell(b, net::AttemptFailed{
+                            id, {net::AttemptProgress::not_connected, net::FailureCause::no_answer_in_time}});
             });
             world_.schedule(d->limit, b, [this, b, id = d->attempt] {
                 const auto open = nodes_[b]->attempts.find(id);
                 if (open == nodes_[b]->attempts.end()) return;
                 if (open->second.job) servers_[open->second.upstream]->called_off.insert(*open->second.job);
                 nodes_[b]->attempts.erase(open);
-                tell(b, net::Failed{id, {net::Progress::written, net::Cause::no_answer_in_time}});
+                tell(b, net::AttemptFailed{
+                            id, {net::AttemptProgress::written, net::FailureCause::no_answer_in_time}});
             });
-        } else if (auto* w = std::get_if<net::Write>(&e)) {
+        } else if (auto* w = std::get_if<net::WriteUpstream>(&e)) {
             const auto at = n.attempts.find(w->attempt);
             if (at == n.attempts.end()) continue;
             at->second.probe = w->bytes.find("/op") == std::string::npos;
@@ -231,14 +233,14 @@
                 ++count.cold_forwards;
             }
             world_.schedule(one_way, SIZE_MAX, [this, up = at->second.upstream, job] { reach(up, job); });
-        } else if (auto* up = std::get_if<net::HangUp>(&e)) {
+        } else if (auto* up = std::get_if<net::CloseUpstream>(&e)) {
             const auto at = n.attempts.find(up->attempt);
             if (at == n.attempts.end()) continue;
             if (at->second.job) servers_[at->second.upstream]->called_off.insert(*at->second.job);
             n.attempts.erase(at);
-        } else if (auto* wake = std::get_if<net::Wake>(&e)) {
+        } else if (auto* wake = std::get_if<net::StartTimer>(&e)) {
             world_.schedule(wake->at - world_.now(), b,
-                            [this, b, name = wake->name] { tell(b, net::Woken{name}); });
+                            [this, b, name = wake->name] { tell(b, net::TimerFired{name}); });
         } else if (auto* observed = std::get_if<net::LocalObservations>(&e)) {
             count.widened += observed->wider > n.wider, count.narrowed += observed->wider < n.wider;
             n.shown = observed->shown, n.wider = observed->wider;
@@ -325,7 +327,7 @@
         if (!n.reducer || n.run != job.run || !n.attempts.erase(job.attempt)) return;
         // A process that stands still reads it later.
         world_.schedule({}, job.node, [this, job, response = std::move(response)]() mutable {
-            tell(job.node, net::Answered{job.attempt, std::move(response)});
+            tell(job.node, net::ResponseReceived{job.attempt, std::move(response)});
         });
     });
 }
@@ -347,7 +349,7 @@
         for (const net::AttemptId id : broken) {
             nodes_[b]->attempts.erase(id);
             world_.schedule(one_way, b, [this, b, id] {
-                tell(b, net::Failed{id, {net::Progress::written, net::Cause::broken}});
+                tell(b, net::AttemptFailed{id, {net::AttemptProgress::written, net::FailureCause::broken}});
             });
         }
     }
@@ -366,7 +368,7 @@
 {
     nodes_[b]->without = std::move(without);
     if (!nodes_[b]->reducer) return;
-    net::ListUpdate list{true, {}};
+    net::EndpointListUpdated list{true, {}};
     for (size_t u = 0; u < servers_.size(); ++u)
         if (std::find(nodes_[b]->without.begin(), nodes_[b]->without.end(), u) == nodes_[b]->without.end())
             list.entries.push_back(entry(u));
--- a/lab/service_simulation.h
+++ b/lab/service_simulation.h
@@ -91,7 +91,7 @@
     void answer(const Job& job, net::Response response);
     size_t slots_now(const Up& up) const;
     void judge_cold(size_t upstream);
-    net::Entry entry(size_t upstream) const;
+    net::ListedEndpoint entry(size_t upstream) const;
 
     Options options_;
     World world_;
--- a/scale/load_generator.cpp
+++ b/scale/load_generator.cpp
@@ -36,7 +36,7 @@
 
 // A connection to one of the ports, with at most one call at a time.
 struct Connection {
-    Connection(int fd, size_t port_index, const Setup& setup)
+    Connection(int fd, size_t port_index, const ServiceConfig& setup)
         : socket(fd), port(port_index), reader(std::make_unique<net::ResponseReader>(setup))
     {
     }
@@ -211,7 +211,7 @@
 
     const LoadTarget& target_;
     OpenLoop& loop_;
-    const Setup setup_;
+    const ServiceConfig setup_;
     Clock::time_point start_;
     std::optional<Nanoseconds> give_up_at_;
     std::list<Connection> connections_;
--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -70,18 +70,18 @@
 constexpr double typical_use = 1.25;    // a middling tenant's share over what it uses of it
 constexpr double saved_up = 4;  // invocations that a tenant under its share may save, where its part is thin
 
-bool proves_not_run(Result r)
+bool proves_not_run(AttemptResult r)
 {
-    return r == Result::full || r == Result::unreachable || r == Result::not_sent;
+    return r == AttemptResult::full || r == AttemptResult::unreachable || r == AttemptResult::not_sent;
 }
 
 // Lives as long as one forward.
 struct Forward {
-    Tgt tgt = 0;
+    UpstreamId upstream_id = 0;
     Point sent;
     bool out = true, overdue = false, proven_not_run = false;
     bool rested = false;  // sent to an upstream that nothing was out to for longer than an answer takes
-    std::function<void(Point, Result)> next;  // what to do with its result
+    std::function<void(Point, AttemptResult)> next;  // what to do with its result
 };
 
 // Lives from its acceptance until it is answered and nothing is out for it.
@@ -105,7 +105,7 @@
 };
 
 // Lives while its key is among the last that failed.
-struct Subject {
+struct FailingKey {
     uint64_t key = 0;
     double failed = 0, answered = 0;  // of its last answers: their share, how many
     Entry entry;
@@ -114,7 +114,7 @@
 
 // Lives as long as the list names the upstream (its past is kept when it leaves).
 struct Upstream {
-    Listing listing;
+    EndpointState listing;
     bool known = false;
     Entry entry;
     std::optional<Point> unpaired;  // a timeout or reset that waits for its fellow
@@ -173,7 +173,7 @@
 
 // Lives as long as the instance.
 struct Balancer::State {
-    State(Settings settings, uint64_t seed, Outlet& outlet)
+    State(Settings settings, uint64_t seed, BalancerDelegate& outlet)
         : set(std::move(settings)),
           out(outlet),
           chance(static_cast<std::ranlux24_base::result_type>(seed ^ (seed >> 32)))
@@ -183,7 +183,7 @@
     }
 
     Settings set;
-    Outlet& out;
+    BalancerDelegate& out;
     std::ranlux24_base chance;
     Point now, born;
 
@@ -191,11 +191,11 @@
     std::vector<Upstream> ups;
     std::vector<OperationView> ops;
 
-    std::unordered_map<uint64_t, std::function<void()>> sleeping;
+    std::unordered_map<uint64_t, std::function<void()>> timers;
     uint64_t next_name = 0;
 
     std::vector<Kind> kinds;
-    std::vector<Subject> subjects;
+    std::vector<FailingKey> failing_keys;
     double mean_failed = 0, outcomes = 0;  // of what no entry by key holds back: share, how many
 
     double mean_load = 0, mean_errors = 0;
@@ -215,9 +215,9 @@
     double pressure = usual_calm, slow_pressure = 0;  // mean of answer time over latency objective
     double calm = usual_calm;                         // what it is with next to no load
     Point round_at, share_at, weighed_at{INT64_MIN / 2}, told_at{INT64_MIN / 2};
-    std::vector<double> felts;
+    std::vector<double> round_latencies;
     double first_felt = 0, first_n = 0;
-    double room = 0;              // upstreams' worth, see weigh_room
+    double capacity = 0;          // upstreams' worth, see weigh_room
     double listed = 1;            // of what all balancers share
     double limit = 1e9;           // mean own outstanding work
     double good_outstanding = 0;  // the most it was while the aim was met, forgotten slowly
@@ -230,23 +230,24 @@
     bool queues_told = false, times_told = false;  // by the upstreams
 
     std::vector<Peer> peers;
-    double peers_out = 0;                              // outstanding work of all of them
-    size_t heard = 0;                                  // of them, lately
-    std::vector<std::pair<uint16_t, Tgt>> told_names;  // of upstreams in messages, in order
+    double peers_out = 0;                                     // outstanding work of all of them
+    size_t heard = 0;                                         // of them, lately
+    std::vector<std::pair<uint16_t, UpstreamId>> told_names;  // of upstreams in messages, in order
     bool tell_due = false, telling = false, probing = false;
     double may_spend = 0;  // bytes delivered to others
     double may_probe = 0;  // upstreams
-    Tgt probe_next = 0;
+    UpstreamId probe_next = 0;
 
-    std::vector<Tgt> near, far;  // all that have a place, each in this instance's own order of preference
-    std::vector<std::pair<Tgt, double>> weights;
+    std::vector<UpstreamId> near,
+        far;  // all that have a place, each in this instance's own order of preference
+    std::vector<std::pair<UpstreamId, double>> weights;
     double near_met = 1, near_told = 1;  // the own zone's favour in the draw
 
-    double roll() { return std::generate_canonical<double, 24>(chance); }
+    double uniform_random() { return std::generate_canonical<double, 24>(chance); }
 
-    void later(Point at, std::function<void()> what)
+    void schedule(Point at, std::function<void()> what)
     {
-        sleeping.emplace(next_name, std::move(what));
+        timers.emplace(next_name, std::move(what));
         out.wake(at, next_name++);
     }
 
@@ -275,7 +276,7 @@
         double warm = 0;
         size_t in_own_zone = 0, beyond = 0;
         for (const Upstream& u : ups) {
-            if (u.listing.presence != Presence::ready) continue;
+            if (u.listing.phase != EndpointPhase::ready) continue;
             ++(is_far(u) ? beyond : in_own_zone);
             warm += !is_cold(u) && (u.out > 0 || now - u.last_end < lately);
         }
@@ -295,23 +296,23 @@
         return u.cold_tokens >= 1;
     }
 
-    bool in_group(const Invocation& inv, Tgt a, Tgt b) const
+    bool in_group(const Invocation& inv, UpstreamId a, UpstreamId b) const
     {
         const auto &x = ups[a].listing, &y = ups[b].listing;
-        if (inv.op.group == Group::zone) return x.zone == y.zone;
-        if (inv.op.group == Group::cell) return x.cell == y.cell;
+        if (inv.op.group == DeduplicationScope::zone) return x.zone == y.zone;
+        if (inv.op.group == DeduplicationScope::cell) return x.cell == y.cell;
         return true;
     }
 
     // Rule 2. What earlier forwards allow.
-    bool effect_allows(const Invocation& inv, Tgt tgt) const
+    bool effect_allows(const Invocation& inv, UpstreamId upstream_id) const
     {
         for (const Forward& f : inv.forwards) {
             if (f.proven_not_run) continue;
             if (f.out && !(inv.may_overlap && set.may_overlap)) return false;
-            if (inv.op.repeat == Repeat::idempotent) continue;
-            if (inv.op.repeat == Repeat::non_idempotent) return false;
-            if (!in_group(inv, f.tgt, tgt) || now - f.sent >= inv.op.window) return false;
+            if (inv.op.repeat == Idempotency::idempotent) continue;
+            if (inv.op.repeat == Idempotency::non_idempotent) return false;
+            if (!in_group(inv, f.upstream_id, upstream_id) || now - f.sent >= inv.op.window) return false;
         }
         return true;
     }
@@ -319,69 +320,72 @@
     bool may_throttle(const Invocation& inv) const
     {
         for (const Forward& f : inv.forwards) {
-            if (f.proven_not_run || inv.op.repeat == Repeat::idempotent) continue;
-            if (inv.op.repeat == Repeat::non_idempotent || inv.op.group != Group::all) return false;
+            if (f.proven_not_run || inv.op.repeat == Idempotency::idempotent) continue;
+            if (inv.op.repeat == Idempotency::non_idempotent || inv.op.group != DeduplicationScope::all)
+                return false;
         }
         return true;
     }
 
-    bool may_send(const Invocation& inv, Tgt tgt)
+    bool may_send(const Invocation& inv, UpstreamId upstream_id)
     {
-        Upstream& u = ups[tgt];
+        Upstream& u = ups[upstream_id];
         return !inv.over && now < inv.leaves &&
                inv.forwards.size() < std::min(inv.max_forwards, set.max_forwards) &&
-               u.listing.presence == Presence::ready && effect_allows(inv, tgt) && cold_budget(u);
+               u.listing.phase == EndpointPhase::ready && effect_allows(inv, upstream_id) && cold_budget(u);
     }
 
     // The gate: nothing is forwarded but here.
-    bool send(Inv id, Tgt tgt, Span at_most, std::function<void(Point, Result)> next)
+    bool send(InvocationId id, UpstreamId upstream_id, Span at_most,
+              std::function<void(Point, AttemptResult)> next)
     {
         Invocation& inv = invs[id];
-        if (!may_send(inv, tgt)) return false;
-        Upstream& u = ups[tgt];
+        if (!may_send(inv, upstream_id)) return false;
+        Upstream& u = ups[upstream_id];
         if (is_cold(u))
             u.cold_tokens -= 1;
         else
             warm_sends.count(now);
         bool rested = u.out == 0 && (now - u.last_end).seconds() > ops[inv.operation].usual;
         if (rested && now < distrust_idle_until) {
-            out.close_idle(tgt);
+            out.close_idle(upstream_id);
             rested = false;
         }
         if (u.out++ == 0) u.waiting_since = now;
         ++outstanding;
         tell_soon();
-        inv.forwards.push_back({.tgt = tgt, .sent = now, .rested = rested, .next = std::move(next)});
-        if (set.may_tell && late_any > 0)
-            later(now + seconds(late_any * overdue_at),
-                  [this, id, nth = inv.forwards.size() - 1, sent = now] { overdue_if_out(id, nth, sent); });
-        out.forward(id, tgt, std::min(at_most, inv.leaves - now));
+        inv.forwards.push_back(
+            {.upstream_id = upstream_id, .sent = now, .rested = rested, .next = std::move(next)});
+        if (set.may_message_peers && late_any > 0)
+            schedule(now + seconds(late_any * overdue_at), [this, id, nth = inv.forwards.size() - 1,
+                                                            sent = now] { overdue_if_out(id, nth, sent); });
+        out.forward(id, upstream_id, std::min(at_most, inv.leaves - now));
         return true;
     }
 
     // Guards against answers that are lost in silence: their upstreams would seem to hold them to the end.
-    void overdue_if_out(Inv id, size_t nth, Point sent)
+    void overdue_if_out(InvocationId id, size_t nth, Point sent)
     {
         if (nth >= invs[id].forwards.size()) return;
         Forward& f = invs[id].forwards[nth];
         if (!f.out || f.sent != sent) return;
-        f.overdue = true, ++ups[f.tgt].overdue, ++overdue;
+        f.overdue = true, ++ups[f.upstream_id].overdue, ++overdue;
         tell_soon();
     }
 
     // Rule 1: an invocation is finished here or by its first success, once.
-    void finish(Inv id, bool throttled, Span come_back = {})
+    void finish(InvocationId id, bool throttled, Span retry_after = {})
     {
         Invocation& inv = invs[id];
         if (inv.over) return;
         if (throttled && may_throttle(inv))
-            out.throttle(id, std::min(come_back, set.max_come_back));
+            out.throttle(id, std::min(retry_after, set.max_retry_after));
         else
             out.error(id);
         close(id);
     }
 
-    void close(Inv id)
+    void close(InvocationId id)
     {
         Invocation& inv = invs[id];
         inv.over = true;
@@ -390,7 +394,7 @@
         release(id);
     }
 
-    void release(Inv id)
+    void release(InvocationId id)
     {
         Invocation& inv = invs[id];
         if (!inv.over) return;
@@ -400,16 +404,17 @@
 
     // ---- what is learnt from answers ----
 
-    Subject* subject(uint64_t key)
+    FailingKey* failing_key(uint64_t key)
     {
-        const auto at = std::find_if(subjects.begin(), subjects.end(), [&](auto& s) { return s.key == key; });
-        return key && at != subjects.end() ? &*at : nullptr;
+        const auto at =
+            std::find_if(failing_keys.begin(), failing_keys.end(), [&](auto& s) { return s.key == key; });
+        return key && at != failing_keys.end() ? &*at : nullptr;
     }
 
     // The entry of a key now: past its expiry it falls one step a second.
-    double held_back(uint64_t key)
+    double key_reduction(uint64_t key)
     {
-        const Subject* s = subject(key);
+        const FailingKey* s = failing_key(key);
         if (!s || now < s->entry.expires) return s ? s->entry.reduction : 0;
         return std::max(0.0, s->entry.reduction - step * (now - s->entry.expires).seconds());
     }
@@ -418,17 +423,17 @@
     // what waits fills them all, and what is refused there looks like their errors. With nothing to divert
     // to, an entry throttles. Harm: a key whose work is long by nature, or many that fail by chance, if all
     // do.
-    void judge_subject(uint64_t key, bool failed)
+    void record_key_outcome(uint64_t key, bool failed)
     {
-        Subject* s = subject(key);
-        const double standing = held_back(key);
+        FailingKey* s = failing_key(key);
+        const double standing = key_reduction(key);
         if (standing <= 0) mean_failed += std::max(0.02, 1 / ++outcomes) * (failed - mean_failed);
         if (!key || (!s && !failed)) return;
-        if (!s && subjects.size() < most_subjects) s = &subjects.emplace_back();
+        if (!s && failing_keys.size() < most_subjects) s = &failing_keys.emplace_back();
         if (!s)
-            s = &*std::min_element(subjects.begin(), subjects.end(),
+            s = &*std::min_element(failing_keys.begin(), failing_keys.end(),
                                    [](auto& a, auto& b) { return a.failed_at < b.failed_at; });
-        if (s->key != key) *s = Subject{}, s->key = key;
+        if (s->key != key) *s = FailingKey{}, s->key = key;
         s->answered = std::min(s->answered + 1, recent / 2.0);
         s->failed += (failed - s->failed) / s->answered;
         s->entry.reduction = standing;
@@ -469,13 +474,13 @@
 
     static double busy(double used) { return used / std::max(0.05, 1.05 - used); }
 
-    static std::optional<double> load_of(const Report& r)
+    static std::optional<double> load_of(const LoadReport& r)
     {
         if (r.queue || r.inflight) return r.queue ? r.queue : r.inflight;
         return r.utilisation ? std::optional(busy(*r.utilisation)) : std::nullopt;
     }
 
-    void reported(Upstream& u, const Report& r)
+    void reported(Upstream& u, const LoadReport& r)
     {
         refresh_fellows();
         if (const auto load = load_of(r)) {
@@ -495,7 +500,7 @@
         double errors = 0, judged = 0;
         std::array<double, 2> load{}, used{}, loads{};
         for (const Upstream& u : ups) {
-            if (u.listing.presence != Presence::ready) continue;
+            if (u.listing.phase != EndpointPhase::ready) continue;
             if (u.load) load[is_far(u)] += *u.load, used[is_far(u)] += u.busy, ++loads[is_far(u)];
             if (u.answered >= enough) errors += u.errors, ++judged;
         }
@@ -531,12 +536,12 @@
         if (broke_rested > 0.2 && broke_rested > 3 * broke_busy) distrust_idle_until = now + distrust_for;
     }
 
-    void learn(const Invocation& inv, Upstream& u, Result result, Span took, bool stuck)
+    void learn(const Invocation& inv, Upstream& u, AttemptResult result, Span took, bool stuck)
     {
         OperationView& op = ops[inv.operation];
         const double t = took.seconds();
         switch (result) {
-            case Result::succeeded:
+            case AttemptResult::succeeded:
                 if (op.usual <= 0) op.usual = t;
                 op.usual += 0.03 * (t - op.usual);
                 if (op.quick <= 0) op.quick = std::min(t, usual_calm * inv.op.latency_objective.seconds());
@@ -544,58 +549,62 @@
                 late_any = late_any <= 0 ? t : late_any * (t > late_any ? 1.095 : 0.995);
                 judge(u, t / std::max(1e-6, op.usual));
                 break;
-            case Result::errored:
+            case AttemptResult::errored:
                 if (!stuck) judge(u, {});
                 break;
-            case Result::full:
+            case AttemptResult::full:
                 raise(u, step, true);
                 // Guards against a tier that turns most away, and looks well by the times of its answers.
-                return feel(inv, 1);
-            case Result::unreachable:
+                return record_latency(inv, 1);
+            case AttemptResult::unreachable:
                 // Guards against a dead upstream: every forward to it costs a connect timeout.
                 raise(u, 2 * sure_step, false);
                 break;
-            case Result::timed_out:
+            case AttemptResult::timed_out:
                 if (op.usual > 0) judge(u, t / op.usual);
                 [[fallthrough]];
-            case Result::reset:
+            case AttemptResult::reset:
                 if (u.unpaired && now - *u.unpaired < expiry) raise(u, step, true);
                 u.unpaired = now;
                 break;
             default: return;
         }
         if (stuck) return;  // its own trouble, not load
-        if (inv.op.latency_objective > Span{} && (result == Result::succeeded || result == Result::timed_out))
-            feel(inv, took / inv.op.latency_objective);
+        if (inv.op.latency_objective > Span{} &&
+            (result == AttemptResult::succeeded || result == AttemptResult::timed_out))
+            record_latency(inv, took / inv.op.latency_objective);
     }
 
     // ---- own outstanding work against the latency objective ----
 
     // About two for each upstream from all instances together: less would leave them idle.
-    double two_each() const { return 2 * room / (heard > 0 ? 1 : std::max(1.0, set.balancers * listed)); }
+    double two_per_upstream() const
+    {
+        return 2 * capacity / (heard > 0 ? 1 : std::max(1.0, set.balancers * listed));
+    }
 
     // Own work out; where the others tell theirs, all of it.
     double held() const { return outstanding - overdue + peers_out; }
 
     // How many warm upstreams' worth of work the listed ones can take, by those lately used. The limit and
     // what went well follow at once: answer times tell a thin instance of a zone lost or back many late.
-    void weigh_room()
+    void update_capacity()
     {
-        if (room > 0 && now - weighed_at < seconds(0.02)) return;
+        if (capacity > 0 && now - weighed_at < seconds(0.02)) return;
         weighed_at = now;
         double ready = 0, used = 0, able = 0;
         stuck_out = 0;
         for (const Upstream& u : ups) {
             if (stalled(u)) stuck_out += u.out;
-            if (u.listing.presence != Presence::ready) continue;
+            if (u.listing.phase != EndpointPhase::ready) continue;
             ++ready;
             if (u.out == 0 && now - u.last_end >= lately && !is_cold(u)) continue;
             ++used;
             if (reduction(u) < 0.5) able += warm_share(u);
         }
         const double is = ready * (used > 0 ? std::max(least_able, able / used) : 1);
-        if (room > 0 && is > 0) limit *= is / room, good_outstanding *= is / room;
-        if (is > 0) room = is;
+        if (capacity > 0 && is > 0) limit *= is / capacity, good_outstanding *= is / capacity;
+        if (is > 0) capacity = is;
     }
 
     // Guards against a burst that finds no limit at all, since nothing was pressed before it; what thin
@@ -603,42 +612,43 @@
     double most_limit() const
     {
         const double chance_of_it = for_chance * std::sqrt(good_outstanding);
-        return std::max(untried * two_each(), over_good * good_outstanding + chance_of_it);
+        return std::max(untried * two_per_upstream(), over_good * good_outstanding + chance_of_it);
     }
 
-    double least_limit() const { return std::max(two_each(), least_of_good * good_outstanding); }
+    double least_limit() const { return std::max(two_per_upstream(), least_of_good * good_outstanding); }
 
     // The mean answer time that is still well. Guards against a ratchet: throttling makes answers quicker.
-    double aim() const
+    double latency_target() const
     {
         return std::max(never_pressed, std::min(calm * most_over_calm, calm + pressed * (1 - calm)));
     }
 
     // Of the round. Guards, where instances are small, against a few bad upstreams being taken for pressure.
-    double middle()
+    double round_latency()
     {
         if (!queues_told && heard == 0)
-            return std::accumulate(felts.begin(), felts.end(), 0.0) / static_cast<double>(felts.size());
-        const auto half = felts.begin() + static_cast<std::ptrdiff_t>(felts.size() / 2);
-        std::nth_element(felts.begin(), half, felts.end());
+            return std::accumulate(round_latencies.begin(), round_latencies.end(), 0.0) /
+                   static_cast<double>(round_latencies.size());
+        const auto half = round_latencies.begin() + static_cast<std::ptrdiff_t>(round_latencies.size() / 2);
+        std::nth_element(round_latencies.begin(), half, round_latencies.end());
         return *half;
     }
 
     // Each round of answers scales the limit by how far their mean time is from where it should be. A lagging
     // mean would cut again for what an earlier cut has already mended.
-    void feel(const Invocation& inv, double of_objective)
+    void record_latency(const Invocation& inv, double of_objective)
     {
         of_objective = std::min(of_objective, 2.0);
         const Span since_start = inv.arrived - born;
         // Those accepted right after the start meet the least load; all of them count, the quick come first.
         if (inv.early || since_start < inv.op.latency_objective * 0.25) first_felt += of_objective, ++first_n;
-        felts.push_back(of_objective);
+        round_latencies.push_back(of_objective);
         // Guards against a limit cut by chance: answer times scatter so far that a few of them tell nothing.
-        const auto n = static_cast<double>(felts.size());
+        const auto n = static_cast<double>(round_latencies.size());
         if (n < least_round || (n < round_of && now - round_at < long_round)) return;
         round_at = now;
-        const double mean = middle();
-        felts.clear();
+        const double mean = round_latency();
+        round_latencies.clear();
         pressure = 0.5 * (pressure + mean);
         // Guards against instances so seldom asked that they would learn what is calm from a few answers.
         if (now - born < slowest_objective * 1.5 || first_n < round_of)
@@ -650,18 +660,18 @@
         const double mean_out = met / std::max(1.0, met_n);
         met = met_n = 0;
         good_outstanding *= 0.99;
-        if (pressure <= aim())
+        if (pressure <= latency_target())
             good_outstanding = std::max(good_outstanding, mean_out);
         else
             calm *= limit > least_limit() ? 0.997 : 1.003;
-        if (pressure > aim() && mean > aim())
-            limit = std::max(least_limit(), limit * std::max(0.75, aim() / pressure));
-        else if (pressure <= aim() && mean_out > 0.7 * limit)
-            limit *= std::min(1.3, aim() / pressure);
+        if (pressure > latency_target() && mean > latency_target())
+            limit = std::max(least_limit(), limit * std::max(0.75, latency_target() / pressure));
+        else if (pressure <= latency_target() && mean_out > 0.7 * limit)
+            limit *= std::min(1.3, latency_target() / pressure);
         limit = std::min(limit, most_limit());
     }
 
-    void weigh_rates()
+    void update_tenant_shares()
     {
         const double gone = (now - share_at).seconds();
         if (gone < 1) return;
@@ -671,7 +681,7 @@
         std::vector<double> uses;
         for (const Tenant& t : tenants)
             if (t.quota > 0) uses.push_back(t.rate / t.quota);
-        if (uses.size() < 3 || pressure > aim()) return;
+        if (uses.size() < 3 || pressure > latency_target()) return;
         const auto half = uses.begin() + static_cast<std::ptrdiff_t>(uses.size() / 2);
         std::nth_element(uses.begin(), half, uses.end());
         own_part += 0.2 * (typical_use * *half - own_part);
@@ -680,38 +690,39 @@
     // True for what a tenant asks beyond its share: of all instances, where they tell; else beyond an even
     // part of it, or a part as great as the middling tenant makes of its own here. Harm: where shares are all
     // that differs between instances, and only while the limit is near.
-    bool beyond_share(uint32_t tenant)
+    bool over_tenant_share(uint32_t tenant)
     {
         if (tenant >= tenants.size() || tenants[tenant].quota <= 0) return false;
-        weigh_rates();
+        update_tenant_shares();
         Tenant& t = tenants[tenant];
         ++t.came;
         if (heard > 0) {
             double all = t.rate;
             for (const Peer& p : peers)
                 if (tenant < p.rates.size()) all += p.rates[tenant];
-            return roll() * all > t.quota;
+            return uniform_random() * all > t.quota;
         }
         const double part = t.quota * std::max(own_part, 1.0 / std::max(1u, set.balancers));
         t.saved = std::min(std::max(saved_up, 2 * part), t.saved + (now - t.at).seconds() * part);
         t.at = now;
-        const bool beyond = t.saved + roll() < 1;
+        const bool beyond = t.saved + uniform_random() < 1;
         if (!beyond) --t.saved;
         return beyond;
     }
 
     // Only the first tier turns work away for being busy: deeper, the work done above would be lost with it.
-    bool too_busy(bool over_share)
+    bool over_concurrency_limit(bool over_share)
     {
         if (set.tier > 0) return false;
         const double moving = held() - stuck_out;
         // The limit is on the mean; own work swings about it by its root.
         const double most = std::min(limit, most_limit());
-        return (moving + roll() >= most && around >= most) || moving + roll() >= most + 2 * std::sqrt(most) ||
+        return (moving + uniform_random() >= most && around >= most) ||
+               moving + uniform_random() >= most + 2 * std::sqrt(most) ||
                (over_share && around > shared_from * most);
     }
 
-    Span come_back() { return set.max_come_back * (0.5 + 0.5 * roll()); }
+    Span retry_after() { return set.max_retry_after * (0.5 + 0.5 * uniform_random()); }
 
     // ---- the pick ----
 
@@ -758,7 +769,7 @@
 
     // Weighted random among the first in the own order that the rules let through, the next beside reduced.
     template <class Keep>
-    std::optional<Tgt> draw(const Invocation& inv, Keep keep)
+    std::optional<UpstreamId> draw(const Invocation& inv, Keep keep)
     {
         double total = 0;
         weights.clear();
@@ -768,11 +779,11 @@
             const auto first =
                 static_cast<size_t>((turn - std::floor(turn)) * static_cast<double>(order->size()));
             for (size_t n = 0; n < order->size(); ++n) {
-                const Tgt t = (*order)[(first + n) % order->size()];
+                const UpstreamId t = (*order)[(first + n) % order->size()];
                 const Upstream& u = ups[t];
                 // Guards against the budgets of all for one cold upstream, where those before it are crowded.
                 const bool near_enough = (reach > 0 && reach--) || (heard == 0 && !queues_told);
-                if (u.listing.presence != Presence::ready || !keep(t)) continue;
+                if (u.listing.phase != EndpointPhase::ready || !keep(t)) continue;
                 if ((is_cold(u) && !near_enough) || crowded(inv, u) || !may_send(inv, t)) continue;
                 const double idle = u.listing.size / (u.listing.size + expected_load(u));
                 const double slow = mean_load < tells_load || !times_told ? fourth(slowness(u)) : 1;
@@ -783,28 +794,30 @@
             }
         }
         if (weights.empty()) return {};
-        double at = roll() * total;
+        double at = uniform_random() * total;
         for (const auto& [t, weight] : weights)
             if ((at -= weight) < 0) return t;
         return weights.back().first;
     }
 
-    static bool tried(const Invocation& inv, Tgt tgt)
+    static bool tried(const Invocation& inv, UpstreamId upstream_id)
     {
-        return std::any_of(inv.forwards.begin(), inv.forwards.end(), [&](auto& f) { return f.tgt == tgt; });
+        return std::any_of(inv.forwards.begin(), inv.forwards.end(),
+                           [&](auto& f) { return f.upstream_id == upstream_id; });
     }
 
     // The ordinary path of the design: a draw, and diversion by the drawn server's reduction.
-    std::optional<Tgt> pick(const Invocation& inv)
-    {
-        auto tgt = draw(inv, [&](Tgt t) { return !tried(inv, t); });
-        if (!tgt) return draw(inv, [](Tgt) { return true; });
-        const double r = reduction(ups[*tgt]);
-        if (r > 0 && roll() < r) {
-            const auto less = draw(inv, [&](Tgt t) { return !tried(inv, t) && reduction(ups[t]) < r; });
+    std::optional<UpstreamId> pick(const Invocation& inv)
+    {
+        auto upstream_id = draw(inv, [&](UpstreamId t) { return !tried(inv, t); });
+        if (!upstream_id) return draw(inv, [](UpstreamId) { return true; });
+        const double r = reduction(ups[*upstream_id]);
+        if (r > 0 && uniform_random() < r) {
+            const auto less =
+                draw(inv, [&](UpstreamId t) { return !tried(inv, t) && reduction(ups[t]) < r; });
             if (less) return less;
         }
-        return tgt;
+        return upstream_id;
     }
 
     // Refusal of the design: every ready server's entry was raised by full answers or pairs.
@@ -812,17 +825,17 @@
     {
         double smallest = 2;
         for (const Upstream& u : ups) {
-            if (u.listing.presence != Presence::ready) continue;
+            if (u.listing.phase != EndpointPhase::ready) continue;
             const double r = entry_reduction(u);
             if (r <= 0 || !u.entry.hard) return false;
             smallest = std::min(smallest, r);
         }
-        return smallest <= 1 && roll() < smallest;
+        return smallest <= 1 && uniform_random() < smallest;
     }
 
     // ---- the steps of an invocation ----
 
-    void accept(Inv id, const Ask& ask)
+    void accept(InvocationId id, const InvocationRequest& ask)
     {
         if (id >= invs.size()) invs.resize(id + 1);
         Invocation& inv = invs[id];
@@ -833,17 +846,18 @@
         inv.key = ask.key;
         count_time(inv, ask.sending ? may_send_for : ask.time_left, !ask.sending);
         inv.over = false;
-        weigh_room();
-        inv.early = held() < two_each();
+        update_capacity();
+        inv.early = held() < two_per_upstream();
         inv.redirects = 0;
         inv.forwards.clear();
         asked.count(now);
         met += held(), ++met_n;
         around += (held() - around) / smooth;
         retry_tokens = std::min(most_retries, retry_tokens + retry_share);
-        const bool over_share = beyond_share(ask.tenant);
-        if (const double r = held_back(ask.key); r > 0 && roll() < r) return finish(id, true, come_back());
-        if (too_busy(over_share) || refused()) return finish(id, true, come_back());
+        const bool over_share = over_tenant_share(ask.tenant);
+        if (const double r = key_reduction(ask.key); r > 0 && uniform_random() < r)
+            return finish(id, true, retry_after());
+        if (over_concurrency_limit(over_share) || refused()) return finish(id, true, retry_after());
         if (set.message_price > 0)
             may_spend = std::min(may_spend + most_spent / set.message_price * most_message, 1e6);
         may_probe = std::min(may_probe + (set.probe_price > 0 ? most_probed / set.probe_price : 1e6),
@@ -863,66 +877,69 @@
     }
 
     // Work that could still run is waited for to the end; work whose answer is worthless is given up.
-    Span waits(const Invocation& inv) const
+    Span attempt_timeout(const Invocation& inv) const
     {
-        return (inv.op.repeat == Repeat::non_idempotent ? inv.leaves : inv.useful) - now;
+        return (inv.op.repeat == Idempotency::non_idempotent ? inv.leaves : inv.useful) - now;
     }
 
-    void sent(Inv id, Span left)
+    void sent(InvocationId id, Span left)
     {
         count_time(invs[id], left, true);
         for (uint32_t i = 0; i < invs[id].forwards.size(); ++i)
-            if (invs[id].forwards[i].out) out.limit(id, i, waits(invs[id]));
+            if (invs[id].forwards[i].out) out.limit(id, i, attempt_timeout(invs[id]));
     }
 
-    void route(Inv id)
+    void route(InvocationId id)
     {
-        const auto tgt = pick(invs[id]);
-        if (!tgt) return finish(id, true, come_back());
-        const Span wait = waits(invs[id]);
-        if (wait <= Span{} || !send(id, *tgt, wait, [this, id](Point, Result r) { after_forward(id, r); }))
-            finish(id, true, come_back());
+        const auto upstream_id = pick(invs[id]);
+        if (!upstream_id) return finish(id, true, retry_after());
+        const Span wait = attempt_timeout(invs[id]);
+        if (wait <= Span{} ||
+            !send(id, *upstream_id, wait, [this, id](Point, AttemptResult r) { after_forward(id, r); }))
+            finish(id, true, retry_after());
     }
 
-    void after_forward(Inv id, Result result)
+    void after_forward(InvocationId id, AttemptResult result)
     {
         Invocation& inv = invs[id];
         if (proves_not_run(result)) {
-            if (result == Result::not_sent || ++inv.redirects > most_redirects || now >= inv.useful)
-                return finish(id, true, come_back());
+            if (result == AttemptResult::not_sent || ++inv.redirects > most_redirects || now >= inv.useful)
+                return finish(id, true, retry_after());
             return route(id);
         }
-        if (result == Result::unusable) return finish(id, false);
+        if (result == AttemptResult::unusable) return finish(id, false);
         const double needed = ops[inv.operation].usual;
-        if (inv.op.repeat != Repeat::non_idempotent && retry_tokens >= 1 && held_back(inv.key) <= 0 &&
-            (inv.useful - now).seconds() > needed) {
+        if (inv.op.repeat != Idempotency::non_idempotent && retry_tokens >= 1 &&
+            key_reduction(inv.key) <= 0 && (inv.useful - now).seconds() > needed) {
             retry_tokens -= 1;
             return route(id);
         }
-        finish(id, true, come_back());
+        finish(id, true, retry_after());
     }
 
-    void ended(Inv id, uint32_t nth, Result result, Span took, bool over, const Report& report)
+    void ended(InvocationId id, uint32_t nth, AttemptResult result, Span took, bool over,
+               const LoadReport& report)
     {
         Invocation& inv = invs[id];
         Forward& f = inv.forwards[nth];
-        Upstream& u = ups[f.tgt];
+        Upstream& u = ups[f.upstream_id];
         f.out = false;
         f.proven_not_run = proves_not_run(result);
-        const bool stuck = stalled(u) || held_back(inv.key) > 0;
-        if (result == Result::succeeded || result == Result::errored || result == Result::timed_out)
-            judge_subject(inv.key,
-                          result != Result::succeeded || took > inv.op.latency_objective * nearly_late);
+        const bool stuck = stalled(u) || key_reduction(inv.key) > 0;
+        if (result == AttemptResult::succeeded || result == AttemptResult::errored ||
+            result == AttemptResult::timed_out)
+            record_key_outcome(
+                inv.key, result != AttemptResult::succeeded || took > inv.op.latency_objective * nearly_late);
         --u.out;
         if (f.overdue) --u.overdue, --overdue;
         --outstanding;
         tell_soon();
-        if (result == Result::succeeded || result == Result::errored || result == Result::full ||
-            result == Result::unusable)
+        if (result == AttemptResult::succeeded || result == AttemptResult::errored ||
+            result == AttemptResult::full || result == AttemptResult::unusable)
             u.waiting_since = now;
         u.last_end = now;
-        const bool broke = result == Result::timed_out || result == Result::reset;
-        if (result == Result::succeeded || broke) watch_idle(f.rested, broke);
+        const bool broke = result == AttemptResult::timed_out || result == AttemptResult::reset;
+        if (result == AttemptResult::succeeded || broke) watch_idle(f.rested, broke);
         learn(inv, u, result, took, stuck);
         reported(u, report);
         const auto next = std::move(f.next);
@@ -934,15 +951,15 @@
 
     // ---- the list ----
 
-    void list(const Listing& l)
+    void list(const EndpointState& l)
     {
-        if (l.tgt >= ups.size()) ups.resize(l.tgt + 1);
-        Upstream& u = ups[l.tgt];
+        if (l.upstream_id >= ups.size()) ups.resize(l.upstream_id + 1);
+        Upstream& u = ups[l.upstream_id];
         if (u.known && u.listing.id != l.id) {
             // Another one in the place of one that has gone. Guards against growing with all that ever were.
-            std::erase(near, l.tgt), std::erase(far, l.tgt);
-            std::erase_if(told_names, [&](const auto& n) { return n.second == l.tgt; });
-            for (Peer& p : peers) hold(p, l.tgt, 0);
+            std::erase(near, l.upstream_id), std::erase(far, l.upstream_id);
+            std::erase_if(told_names, [&](const auto& n) { return n.second == l.upstream_id; });
+            for (Peer& p : peers) hold(p, l.upstream_id, 0);
             u = Upstream{};
         }
         if (l.started && l.started != u.listing.started) {
@@ -953,28 +970,29 @@
             next.told_out = u.told_out;
             u = next;
             u.cold_at = now;
-            u.cold_tokens = roll();  // so that instances told together do not all send at once
+            u.cold_tokens = uniform_random();  // so that instances told together do not all send at once
         }
         u.listing = l;
         if (kinds.size() <= l.kind) kinds.resize(l.kind + 1);
-        if (!std::exchange(u.known, true)) place(l.tgt);
+        if (!std::exchange(u.known, true)) place(l.upstream_id);
     }
 
-    void place(Tgt tgt)
+    void place(UpstreamId upstream_id)
     {
-        const auto rank = [this](Tgt t) { return ups[t].listing.id * 0x9e3779b97f4a7c15u; };
-        const std::pair<uint16_t, Tgt> name{static_cast<uint16_t>(rank(tgt) >> 48), tgt};
+        const auto rank = [this](UpstreamId t) { return ups[t].listing.id * 0x9e3779b97f4a7c15u; };
+        const std::pair<uint16_t, UpstreamId> name{static_cast<uint16_t>(rank(upstream_id) >> 48),
+                                                   upstream_id};
         told_names.insert(std::lower_bound(told_names.begin(), told_names.end(), name), name);
-        auto& order = is_far(ups[tgt]) ? far : near;
-        order.insert(std::upper_bound(order.begin(), order.end(), tgt,
-                                      [&](Tgt a, Tgt b) { return rank(a) < rank(b); }),
-                     tgt);
+        auto& order = is_far(ups[upstream_id]) ? far : near;
+        order.insert(std::upper_bound(order.begin(), order.end(), upstream_id,
+                                      [&](UpstreamId a, UpstreamId b) { return rank(a) < rank(b); }),
+                     upstream_id);
     }
 
-    void list_is(const std::vector<Listing>& all)
+    void list_is(const std::vector<EndpointState>& all)
     {
-        for (Upstream& u : ups) u.listing.presence = Presence::gone;
-        for (const Listing& l : all) list(l);
+        for (Upstream& u : ups) u.listing.phase = EndpointPhase::gone;
+        for (const EndpointState& l : all) list(l);
     }
 
     Span backoff = first_backoff;
@@ -982,28 +1000,29 @@
     void list_answered(bool well)
     {
         if (!set.list_must_be_asked) return;
-        if (!well) later(now + backoff * (0.5 + roll()), [this] { out.watch_list(); });
+        if (!well) schedule(now + backoff * (0.5 + uniform_random()), [this] { out.watch_list(); });
         backoff = well ? first_backoff : std::min({set.ask_within * 0.5, longest_backoff, backoff * 2});
     }
 
     void start()
     {
         born = share_at = now;
-        if (set.list_must_be_asked) later(now + first_backoff * roll(), [this] { out.watch_list(); });
+        if (set.list_must_be_asked)
+            schedule(now + first_backoff * uniform_random(), [this] { out.watch_list(); });
         report_by_settings();
     }
 
-    bool probes() const { return set.reports_by_probe && set.may_probe && !set.may_tell; }
+    bool probes() const { return set.reports_by_probe && set.may_probe && !set.may_message_peers; }
 
     void report_by_settings()
     {
         if (probes() && !std::exchange(probing, true)) probe_later();
-        if (set.may_tell && !std::exchange(telling, true))
-            later(now + tell_all_every * roll(), [this] { tell_all(); });
+        if (set.may_message_peers && !std::exchange(telling, true))
+            schedule(now + tell_all_every * uniform_random(), [this] { tell_all(); });
     }
 
     // What is learnt follows operations and tenants; what is open keeps the stricter rules, for rule 2.
-    void take_over(const Places& operations, const Places& tenants_were)
+    void take_over(const IndexMapping& operations, const IndexMapping& tenants_were)
     {
         const auto ops_were = std::exchange(ops, std::vector<OperationView>(set.operations.size() + 1));
         const auto told_were = std::exchange(tenants, std::vector<Tenant>(set.quotas.size()));
@@ -1029,7 +1048,7 @@
         near_told = std::pow(near_met, 3.0 / 8);
     }
 
-    void settings_are(Settings settings, const Places& operations, const Places& tenants_were)
+    void settings_are(Settings settings, const IndexMapping& operations, const IndexMapping& tenants_were)
     {
         const bool asked_before = set.list_must_be_asked;
         set = std::move(settings);
@@ -1039,7 +1058,7 @@
         for (Peer& p : peers) forget(p), p.heard = Point{INT64_MIN / 2};
         heard = 0;
         near.clear(), far.clear(), told_names.clear();
-        for (Tgt t = 0; t < ups.size(); ++t)
+        for (UpstreamId t = 0; t < ups.size(); ++t)
             if (ups[t].known) place(t);
         if (set.list_must_be_asked && !asked_before) out.watch_list();
         report_by_settings();
@@ -1047,15 +1066,15 @@
 
     void probe_later()
     {
-        later(now + probe_every * (0.75 + 0.5 * roll()), [this] {
+        schedule(now + probe_every * (0.75 + 0.5 * uniform_random()), [this] {
             if (!(probing = probes())) return;
             // Guards against hundreds of instances that probe what they do not use, or for more than it is
             // worth: where that is little, each has its turn.
             for (size_t n = 0; n < ups.size() && may_probe >= 1; ++n) {
-                const Tgt t = probe_next++ % static_cast<Tgt>(ups.size());
+                const UpstreamId t = probe_next++ % static_cast<UpstreamId>(ups.size());
                 const Upstream& u = ups[t];
                 const bool used = u.out > 0 || now - u.last_end < probe_every;
-                if (used && u.listing.presence == Presence::ready) out.probe(t), may_probe -= 1;
+                if (used && u.listing.phase == EndpointPhase::ready) out.probe(t), may_probe -= 1;
             }
             probe_later();
         });
@@ -1066,35 +1085,35 @@
 
     void tell_soon()
     {
-        if (!set.may_tell || tell_due) return;
+        if (!set.may_message_peers || tell_due) return;
         tell_due = true;
-        later(std::max(now, told_at + tell_every), [this] { tell_changes(false); });
+        schedule(std::max(now, told_at + tell_every), [this] { tell_changes(false); });
     }
 
     void tell_changes(bool all)
     {
         tell_due = false;
-        if (!set.may_tell) return;
+        if (!set.may_message_peers) return;
         told_at = now;
         if (!all && set.message_price > 0 && may_spend < 0) return;
-        Told message{all, {}, {}};
+        PeerMessage message{all, {}, {}};
         if (all) {
             // The others forget what does not fit in here: it follows as changes.
             for (Upstream& u : ups) u.told_out = 0;
             for (const Tenant& t : tenants) message.rates.push_back(t.rate);
         }
-        for (const auto& [name, tgt] : told_names) {
-            Upstream& u = ups[tgt];
+        for (const auto& [name, upstream_id] : told_names) {
+            Upstream& u = ups[upstream_id];
             const auto is = static_cast<uint8_t>(std::min<uint32_t>(u.out - u.overdue, UINT8_MAX));
             if (is == u.told_out) continue;
-            if (!message.room()) {
+            if (!message.has_room()) {
                 tell_soon();
                 break;
             }
             message.out.emplace_back(name, u.told_out = is);
         }
         if (!all && message.out.empty()) return;
-        const auto bytes = encode_told(message);
+        const auto bytes = encode_peer_message(message);
         may_spend -=
             static_cast<double>(std::max(least_message, bytes.size()) * (std::max(2u, set.balancers) - 1));
         out.tell(bytes);
@@ -1102,57 +1121,58 @@
 
     void tell_all()
     {
-        if (!(telling = set.may_tell)) return;
-        weigh_rates();
+        if (!(telling = set.may_message_peers)) return;
+        update_tenant_shares();
         tell_changes(true);
         const auto silent = [&](const Peer& p) { return now - p.heard >= believed; };
         for (Peer& p : peers)
             if (silent(p)) forget(p);
         heard = peers.size() - static_cast<size_t>(std::count_if(peers.begin(), peers.end(), silent));
-        later(now + tell_all_every * (0.75 + 0.5 * roll()), [this] { tell_all(); });
+        schedule(now + tell_all_every * (0.75 + 0.5 * uniform_random()), [this] { tell_all(); });
     }
 
-    void hold(Peer& p, Tgt tgt, uint8_t n)
+    void hold(Peer& p, UpstreamId upstream_id, uint8_t n)
     {
-        if (p.out.size() <= tgt) p.out.resize(ups.size());
-        const uint32_t was = std::exchange(p.out[tgt], n);
-        ups[tgt].peers_out += n - was;
+        if (p.out.size() <= upstream_id) p.out.resize(ups.size());
+        const uint32_t was = std::exchange(p.out[upstream_id], n);
+        ups[upstream_id].peers_out += n - was;
         peers_out += static_cast<double>(n) - was;
     }
 
     void forget(Peer& p)
     {
-        for (Tgt t = 0; t < p.out.size(); ++t)
+        for (UpstreamId t = 0; t < p.out.size(); ++t)
             if (p.out[t]) hold(p, t, 0);
         p.rates.clear();
     }
 
     void told(uint32_t from, std::string_view bytes)
     {
-        const auto message = decode_told(bytes);
-        if (!set.may_tell || from >= set.balancers || from == set.self || !message) return;
+        const auto message = decode_peer_message(bytes);
+        if (!set.may_message_peers || from >= set.balancers || from == set.self || !message) return;
         if (from >= peers.size()) peers.resize(from + 1);
         Peer& p = peers[from];
         if (message->all) forget(p), p.rates = message->rates;
         if (now - p.heard >= believed || heard == 0) ++heard;
         p.heard = now;
         for (const auto& [name, n] : message->out) {
-            const auto known = std::lower_bound(told_names.begin(), told_names.end(), std::pair(name, Tgt{}));
+            const auto known =
+                std::lower_bound(told_names.begin(), told_names.end(), std::pair(name, UpstreamId{}));
             if (known != told_names.end() && known->first == name) hold(p, known->second, n);
         }
     }
 
     void wake(uint64_t name)
     {
-        const auto at = sleeping.find(name);
-        if (at == sleeping.end()) return;
+        const auto at = timers.find(name);
+        if (at == timers.end()) return;
         const auto what = std::move(at->second);
-        sleeping.erase(at);
+        timers.erase(at);
         what();
     }
 };
 
-Balancer::Balancer(Settings settings, uint64_t seed, Outlet& outlet)
+Balancer::Balancer(Settings settings, uint64_t seed, BalancerDelegate& outlet)
     : state_(std::make_unique<State>(std::move(settings), seed, outlet))
 {
 }
@@ -1167,45 +1187,46 @@
 
 void Balancer::started(Point now) { at(now).start(); }
 
-void Balancer::settings_are(Point now, Settings settings, const Places& operations, const Places& tenants)
+void Balancer::settings_are(Point now, Settings settings, const IndexMapping& operations,
+                            const IndexMapping& tenants)
 {
     at(now).settings_are(std::move(settings), operations, tenants);
 }
 
-void Balancer::list_is(Point now, const std::vector<Listing>& all) { at(now).list_is(all); }
+void Balancer::list_is(Point now, const std::vector<EndpointState>& all) { at(now).list_is(all); }
 
-void Balancer::list_changed(Point now, const std::vector<Listing>& changes)
+void Balancer::list_changed(Point now, const std::vector<EndpointState>& changes)
 {
-    for (const Listing& l : changes) at(now).list(l);
+    for (const EndpointState& l : changes) at(now).list(l);
 }
 
 void Balancer::list_answered(Point now, bool well) { at(now).list_answered(well); }
 
-void Balancer::accept(Point now, Inv inv, const Ask& ask) { at(now).accept(inv, ask); }
+void Balancer::accept(Point now, InvocationId inv, const InvocationRequest& ask) { at(now).accept(inv, ask); }
 
-void Balancer::ended(Point now, Inv inv, uint32_t forward, Result result, Span took, bool over,
-                     const Report& report)
+void Balancer::ended(Point now, InvocationId inv, uint32_t forward, AttemptResult result, Span took,
+                     bool over, const LoadReport& report)
 {
     at(now).ended(inv, forward, result, took, over, report);
 }
 
-void Balancer::client_left(Point now, Inv inv)
+void Balancer::client_left(Point now, InvocationId inv)
 {
     if (!at(now).invs[inv].over) state_->close(inv);
 }
 
-void Balancer::probed(Point now, Tgt tgt, Result result, const Report& report)
+void Balancer::probed(Point now, UpstreamId upstream_id, AttemptResult result, const LoadReport& report)
 {
-    if (result == Result::succeeded) at(now).reported(state_->ups[tgt], report);
+    if (result == AttemptResult::succeeded) at(now).reported(state_->ups[upstream_id], report);
 }
 
 void Balancer::told(Point now, uint32_t peer, std::string_view message) { at(now).told(peer, message); }
 
-void Balancer::sent(Point now, Inv inv, Span time_left) { at(now).sent(inv, time_left); }
+void Balancer::sent(Point now, InvocationId inv, Span time_left) { at(now).sent(inv, time_left); }
 
-double Balancer::reduction(Point now, Tgt tgt)
+double Balancer::reduction(Point now, UpstreamId upstream_id)
 {
-    return tgt < state_->ups.size() ? at(now).reduction(state_->ups[tgt]) : 0;
+    return upstream_id < state_->ups.size() ? at(now).reduction(state_->ups[upstream_id]) : 0;
 }
 
 void Balancer::share_of_list(double part) { state_->listed = part; }
--- a/src/balance.h
+++ b/src/balance.h
@@ -20,17 +20,27 @@
 namespace firtide
 {
 
-using Inv = uint32_t;
-using Tgt = uint32_t;
+using InvocationId = uint32_t;
+using UpstreamId = uint32_t;
 
 // Unusable: the upstream found fault with the invocation itself, which says nothing of the upstream.
-enum class Result { succeeded, errored, full, timed_out, unreachable, reset, cancelled, not_sent, unusable };
-enum class Presence { gone, ready, draining };
+enum class AttemptResult {
+    succeeded,
+    errored,
+    full,
+    timed_out,
+    unreachable,
+    reset,
+    cancelled,
+    not_sent,
+    unusable
+};
+enum class EndpointPhase { gone, ready, draining };
 
-struct Listing {
-    Tgt tgt = 0;
+struct EndpointState {
+    UpstreamId upstream_id = 0;
     uint64_t id = 0;  // the same at every instance
-    Presence presence = Presence::gone;
+    EndpointPhase phase = EndpointPhase::gone;
     uint32_t zone = 0;
     uint32_t cell = 0;
     double size = 1;
@@ -38,7 +48,7 @@
     uint32_t kind = 0;             // of machine
 };
 
-struct Report {
+struct LoadReport {
     std::optional<double> queue;
     std::optional<double> inflight;
     std::optional<double> utilisation;
@@ -46,7 +56,7 @@
     std::optional<double> errors;
 };
 
-struct Ask {
+struct InvocationRequest {
     uint32_t operation = 0;
     uint32_t tenant = 0;
     Span time_left;        // from its last byte
@@ -55,21 +65,21 @@
 };
 
 // Where each of some things was before; none: it is new.
-using Places = std::vector<std::optional<uint32_t>>;
+using IndexMapping = std::vector<std::optional<uint32_t>>;
 
-class Outlet
+class BalancerDelegate
 {
   public:
-    virtual ~Outlet() = default;
-    virtual void forward(Inv inv, Tgt tgt, Span limit) = 0;
-    virtual void throttle(Inv inv, Span come_back) = 0;
-    virtual void error(Inv inv) = 0;
-    virtual void cancel(Inv inv, uint32_t forward) = 0;
-    virtual void limit(Inv inv, uint32_t forward, Span limit) = 0;  // of one that is out, anew
-    virtual void released(Inv inv) = 0;
+    virtual ~BalancerDelegate() = default;
+    virtual void forward(InvocationId inv, UpstreamId upstream_id, Span limit) = 0;
+    virtual void throttle(InvocationId inv, Span retry_after) = 0;
+    virtual void error(InvocationId inv) = 0;
+    virtual void cancel(InvocationId inv, uint32_t forward) = 0;
+    virtual void limit(InvocationId inv, uint32_t forward, Span limit) = 0;  // of one that is out, anew
+    virtual void released(InvocationId inv) = 0;
     virtual void wake(Point at, uint64_t name) = 0;
-    virtual void probe(Tgt tgt) = 0;
-    virtual void close_idle(Tgt tgt) = 0;  // connections
+    virtual void probe(UpstreamId upstream_id) = 0;
+    virtual void close_idle(UpstreamId upstream_id) = 0;  // connections
     virtual void watch_list() = 0;
     virtual void tell(const std::string& message) = 0;  // every other instance; it may be lost
 };
@@ -77,25 +87,26 @@
 class Balancer
 {
   public:
-    Balancer(Settings settings, uint64_t seed, Outlet& outlet);
+    Balancer(Settings settings, uint64_t seed, BalancerDelegate& outlet);
     ~Balancer();
 
     void started(Point now);
     // New settings, from now on. What is open finishes under its operation as it was when accepted, and under
     // the stricter of both settings where these differ.
-    void settings_are(Point now, Settings settings, const Places& operations, const Places& tenants);
-    void list_is(Point now, const std::vector<Listing>& all);
-    void list_changed(Point now, const std::vector<Listing>& changes);
+    void settings_are(Point now, Settings settings, const IndexMapping& operations,
+                      const IndexMapping& tenants);
+    void list_is(Point now, const std::vector<EndpointState>& all);
+    void list_changed(Point now, const std::vector<EndpointState>& changes);
     void list_answered(Point now, bool well);
-    void accept(Point now, Inv inv, const Ask& ask);
-    void sent(Point now, Inv inv, Span time_left);  // the last byte of a request has come
-    void ended(Point now, Inv inv, uint32_t forward, Result result, Span took, bool over,
-               const Report& report);
-    void client_left(Point now, Inv inv);
-    void probed(Point now, Tgt tgt, Result result, const Report& report);
+    void accept(Point now, InvocationId inv, const InvocationRequest& ask);
+    void sent(Point now, InvocationId inv, Span time_left);  // the last byte of a request has come
+    void ended(Point now, InvocationId inv, uint32_t forward, AttemptResult result, Span took, bool over,
+               const LoadReport& report);
+    void client_left(Point now, InvocationId inv);
+    void probed(Point now, UpstreamId upstream_id, AttemptResult result, const LoadReport& report);
     void woken(Point now, uint64_t name);
     void told(Point now, uint32_t peer, std::string_view message);  // by another instance
-    double reduction(Point now, Tgt tgt);                           // of its entry, 1 where it stands still
+    double reduction(Point now, UpstreamId upstream_id);            // of its entry, 1 where it stands still
     void share_of_list(double part);  // what is listed is so much of what all balancers share
 
   private:
--- a/src/decode_settings.cpp
+++ b/src/decode_settings.cpp
@@ -14,7 +14,7 @@
 class Decoder
 {
   public:
-    explicit Decoder(const Flat& values) : values_(values) {}
+    explicit Decoder(const FlatSettings& values) : values_(values) {}
 
     std::string_view text(const std::string& key) const
     {
@@ -29,7 +29,7 @@
         double parsed = 0;
         const auto [end, failed] = std::from_chars(value.data(), value.data() + value.size(), parsed);
         if (failed != std::errc() || end != value.data() + value.size() || !(parsed >= 0 && parsed < 1e15))
-            throw BadSetting("unreadable setting " + key + "=" + std::string(value));
+            throw SettingError("unreadable setting " + key + "=" + std::string(value));
         return parsed;
     }
 
@@ -39,7 +39,7 @@
         const double value = number(key, absent);
         const auto as = static_cast<uint32_t>(std::min(value, double{UINT32_MAX}));
         if (!text(key).empty() && (as < 1 || as != value))
-            throw BadSetting(key + ": a whole number of 1 or more is expected");
+            throw SettingError(key + ": a whole number of 1 or more is expected");
         return as;
     }
 
@@ -59,14 +59,14 @@
         const auto value = text(key);
         if (value.empty()) return absent;
         const auto at = known.find(value);
-        if (at == known.end()) throw BadSetting("unreadable setting " + key + "=" + std::string(value));
+        if (at == known.end()) throw SettingError("unreadable setting " + key + "=" + std::string(value));
         return at->second;
     }
 
     size_t count(const std::string& list) const
     {
         const auto n = number(list + ".count", 0);
-        if (n > most_items) throw BadSetting("too many items in " + list);
+        if (n > most_items) throw SettingError("too many items in " + list);
         return static_cast<size_t>(n);
     }
 
@@ -82,51 +82,55 @@
     }
 
   private:
-    const Flat& values_;
+    const FlatSettings& values_;
 };
 
-ReportField report_field(const std::string& name)
+LoadReportField report_field(const std::string& name)
 {
-    static const std::map<std::string_view, ReportField> known = {{"depth", &Report::queue},
-                                                                  {"concurrent", &Report::inflight},
-                                                                  {"load_share", &Report::utilisation},
-                                                                  {"mean_ms", &Report::latency_ms},
-                                                                  {"err_ps", &Report::errors}};
+    static const std::map<std::string_view, LoadReportField> known = {
+        {"depth", &LoadReport::queue},
+        {"concurrent", &LoadReport::inflight},
+        {"load_share", &LoadReport::utilisation},
+        {"mean_ms", &LoadReport::latency_ms},
+        {"err_ps", &LoadReport::errors}};
     const auto at = known.find(name);
     return at == known.end() ? nullptr : at->second;
 }
 
 }  // namespace
 
-Flat split_lines(std::string_view text)
+FlatSettings split_lines(std::string_view text)
 {
-    Flat values;
+    FlatSettings values;
     while (!text.empty()) {
         const auto line = text.substr(0, text.find('\n'));
         text.remove_prefix(std::min(text.size(), line.size() + 1));
         if (line.empty()) continue;
         const auto eq = line.find('=');
-        if (eq == std::string_view::npos) throw BadSetting("a setting without '=': " + std::string(line));
+        if (eq == std::string_view::npos) throw SettingError("a setting without '=': " + std::string(line));
         values.insert_or_assign(std::string(line.substr(0, eq)), std::string(line.substr(eq + 1)));
     }
     return values;
 }
 
-Setup decode_settings(const Flat& values)
+ServiceConfig decode_settings(const FlatSettings& values)
 {
     const Decoder in(values);
-    Setup out;
+    ServiceConfig out;
     Settings& s = out.settings;
     for (size_t i = 0; i < in.count("operations"); ++i) {
         const auto at = "operations." + std::to_string(i) + ".";
         Operation op;
-        op.repeat = in.choice<Repeat>(at + "repeat",
-                                      {{"free", Repeat::idempotent},
-                                       {"guarded", Repeat::deduplicated},
-                                       {"single_shot", Repeat::non_idempotent}},
-                                      op.repeat);
-        op.group = in.choice<Group>(
-            at + "group", {{"all", Group::all}, {"zone", Group::zone}, {"cell", Group::cell}}, op.group);
+        op.repeat = in.choice<Idempotency>(at + "repeat",
+                                           {{"free", Idempotency::idempotent},
+                                            {"guarded", Idempotency::deduplicated},
+                                            {"single_shot", Idempotency::non_idempotent}},
+                                           op.repeat);
+        op.group = in.choice<DeduplicationScope>(at + "group",
+                                                 {{"all", DeduplicationScope::all},
+                                                  {"zone", DeduplicationScope::zone},
+                                                  {"cell", DeduplicationScope::cell}},
+                                                 op.group);
         op.window = in.span(at + "window_us", op.window);
         op.latency_objective = in.span(at + "latency_objective_us", op.latency_objective);
         op.late_billed_value = in.number(at + "late_billed_value", op.late_billed_value);
@@ -156,14 +160,14 @@
     s.may_cancel = in.flag("policy_limits.cancel");
     s.may_overlap = in.flag("policy_limits.may_duplicate");
     s.may_probe = in.flag("policy_limits.may_probe");
-    s.may_tell = in.flag("policy_limits.peers");
+    s.may_message_peers = in.flag("policy_limits.peers");
     s.max_forwards = static_cast<uint32_t>(in.number("policy_limits.max_forwards", s.max_forwards));
     if (in.flag("policy_limits.retry_after"))
-        s.max_come_back = in.span("policy_limits.max_retry_after_us", s.max_come_back);
+        s.max_retry_after = in.span("policy_limits.max_retry_after_us", s.max_retry_after);
     s.ask_within = in.span("contract.ask_within_us", s.ask_within);
     s.cold_share = in.number("contract.cold_share", s.cold_share);
-    if (s.cold_share > 1) throw BadSetting("contract.cold_share: 1 at most is expected");
-    if (s.balancers < 1) throw BadSetting("balancers: 1 or more is expected");
+    if (s.cold_share > 1) throw SettingError("contract.cold_share: 1 at most is expected");
+    if (s.balancers < 1) throw SettingError("balancers: 1 or more is expected");
     s.cold = in.span("contract.cold_us", s.cold);
     s.fall_multiple = in.number("contract.fall_multiple", s.fall_multiple);
     s.fall = in.span("contract.fall_us", s.fall);
--- a/src/decode_settings.h
+++ b/src/decode_settings.h
@@ -14,19 +14,19 @@
 namespace firtide
 {
 
-struct BadSetting : std::runtime_error {
+struct SettingError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-using Flat = std::map<std::string, std::string, std::less<>>;
-using ReportField = std::optional<double> Report::*;  // null: a figure nobody reads
+using FlatSettings = std::map<std::string, std::string, std::less<>>;
+using LoadReportField = std::optional<double> LoadReport::*;  // null: a figure nobody reads
 
-struct Setup {
+struct ServiceConfig {
     Settings settings;
     uint32_t edition = 0;  // counts what was loaded since the start
     std::vector<std::string>
-        report_names;                 // of the figures of a load report, in the order in which they come
-    std::vector<ReportField> report;  // and where each goes
+        report_names;                     // of the figures of a load report, in the order in which they come
+    std::vector<LoadReportField> report;  // and where each goes
     bool sizes_listed = false;
 
     std::vector<std::string> operations, tenants, zones;  // names; a number stands for the place in these
@@ -35,8 +35,8 @@
 };
 
 // Lines of key=value.
-Flat split_lines(std::string_view text);
+FlatSettings split_lines(std::string_view text);
 
-Setup decode_settings(const Flat& values);
+ServiceConfig decode_settings(const FlatSettings& values);
 
 }  // namespace firtide
--- a/src/fleet/duty_notifier.h
+++ b/src/fleet/duty_notifier.h
@@ -35,7 +35,7 @@
     event_base* base_;
     std::function<void(const std::string&, Epoch)> refused_;
     std::map<std::string, One> all_;
-    Setup setup_;  // of nothing; answers are read by the same reader as upstreams'
+    ServiceConfig setup_;  // of nothing; answers are read by the same reader as upstreams'
 };
 
 }  // namespace firtide::fleet
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -120,7 +120,7 @@
     std::vector<SubsetPeer> sharers;
 };
 struct ApplyOutlierReports {
-    std::map<uint64_t, OutlierGossip::Result> results;  // by upstream
+    std::map<uint64_t, OutlierGossip::Verdict> results;  // by upstream
 };
 struct ApplyQuotas {
     std::vector<QuotaLease> parts;
--- a/src/fleet/signals.cpp
+++ b/src/fleet/signals.cpp
@@ -125,7 +125,7 @@
 // The second greatest of what others say is agreed on; the greatest counts alone up to a part. Own good
 // answers since they found it hold both down to a part: an own road that is well says more than others' that
 // may not be.
-OutlierGossip::Result OutlierGossip::result(Point now, uint64_t upstream,
+OutlierGossip::Verdict OutlierGossip::result(Point now, uint64_t upstream,
                                             const std::map<MemberKey, Held>& by) const
 {
     double first = 0, second = 0;
@@ -144,7 +144,7 @@
                 next = s;
         }
     }
-    Result out;
+    Verdict out;
     out.reduction = std::max(second, std::min(first, rule_.alone));
     const auto at = evidence_.find(upstream);
     if (at != evidence_.end()) {
@@ -159,11 +159,11 @@
     return out;
 }
 
-std::map<uint64_t, OutlierGossip::Result> OutlierGossip::results(Point now) const
+std::map<uint64_t, OutlierGossip::Verdict> OutlierGossip::results(Point now) const
 {
-    std::map<uint64_t, Result> out;
+    std::map<uint64_t, Verdict> out;
     for (const auto& [upstream, by] : held_) {
-        const Result r = result(now, upstream, by);
+        const Verdict r = result(now, upstream, by);
         if (r.reduction > 0 || r.started) out.emplace(upstream, r);
     }
     return out;
--- a/src/fleet/signals.h
+++ b/src/fleet/signals.h
@@ -35,7 +35,7 @@
         double reduction = 0;
         Span age;
     };
-    struct Result {
+    struct Verdict {
         double reduction = 0;  // that counts
         std::optional<Span> started;
     };
@@ -49,7 +49,7 @@
     OutlierDigest take(Point now, size_t successors);
 
     // Of the upstreams that anything counts for.
-    std::map<uint64_t, Result> results(Point now) const;
+    std::map<uint64_t, Verdict> results(Point now) const;
     std::vector<Counted> told(Point now, uint64_t upstream) const;
     uint64_t dropped() const { return dropped_; }  // for want of room in what may be sent
     uint64_t stale() const { return stale_; }      // repeated or too old
@@ -60,7 +60,7 @@
         Point found, until;
     };
 
-    Result result(Point now, uint64_t upstream, const std::map<MemberKey, Held>& by) const;
+    Verdict result(Point now, uint64_t upstream, const std::map<MemberKey, Held>& by) const;
     double against(Point now, const OutlierEvidence& own, Point found) const;
     void due(uint64_t upstream, MemberKey by) { due_.emplace(upstream, by); }
 
--- a/src/fleet/view.cpp
+++ b/src/fleet/view.cpp
@@ -27,15 +27,15 @@
 {
 }
 
-void EndpointView::list_is(const std::vector<Listing>& all)
+void EndpointView::list_is(const std::vector<EndpointState>& all)
 {
     all_.resize(std::max(all_.size(), all.size()));
     choosable_.resize(all_.size());
-    for (Tgt t = 0; t < all.size(); ++t) {
+    for (UpstreamId t = 0; t < all.size(); ++t) {
         One& one = all_[t];
         if (one.real.id != all[t].id) one = {};
         one.real = all[t];
-        choosable_[t] = {all[t].id, all[t].presence == Presence::gone ? 0 : all[t].size, true};
+        choosable_[t] = {all[t].id, all[t].phase == EndpointPhase::gone ? 0 : all[t].size, true};
         choosable_[t].own_zone = all[t].zone == rules_.zone;
     }
     dirty_ = due_ = true;
@@ -47,7 +47,7 @@
     dirty_ = due_ = true;
 }
 
-void EndpointView::told(Point now, const std::map<uint64_t, OutlierGossip::Result>& results)
+void EndpointView::told(Point now, const std::map<uint64_t, OutlierGossip::Verdict>& results)
 {
     for (One& one : all_) {
         const auto at = results.find(one.real.id);
@@ -76,27 +76,27 @@
     due_ = true;
 }
 
-void EndpointView::answered(Point now, Tgt tgt, bool well)
+void EndpointView::answered(Point now, UpstreamId upstream_id, bool well)
 {
-    if (tgt >= all_.size()) return;
-    ++(well ? all_[tgt].well : all_[tgt].bad)[0];
-    (well ? all_[tgt].well_at : all_[tgt].bad_at) = now;
+    if (upstream_id >= all_.size()) return;
+    ++(well ? all_[upstream_id].well : all_[upstream_id].bad)[0];
+    (well ? all_[upstream_id].well_at : all_[upstream_id].bad_at) = now;
 }
 
-bool EndpointView::is_cold(Point now, const Listing& l) const
+bool EndpointView::is_cold(Point now, const EndpointState& l) const
 {
     return l.started && now - *l.started < rules_.cold;
 }
 
 // Of a cold one: what it can do by now, over what it could at its start.
-double EndpointView::warmth(Point now, const Listing& l) const
+double EndpointView::warmth(Point now, const EndpointState& l) const
 {
     const double age = std::clamp((now - *l.started) / rules_.cold, 0.0, 1.0);
     return (rules_.cold_share + (1 - rules_.cold_share) * age) / rules_.cold_share;
 }
 
 // The budget of a cold one grows as it warms, alike at every balancer.
-const QuotaLease* EndpointView::part_of(Point now, BudgetName name, const Listing& l)
+const QuotaLease* EndpointView::part_of(Point now, BudgetName name, const EndpointState& l)
 {
     const auto at = budgets_.find(name);
     if (at == budgets_.end()) return nullptr;
@@ -119,22 +119,24 @@
     return one.factor;
 }
 
-Listing EndpointView::wanted(Point now, Tgt tgt)
+EndpointState EndpointView::wanted(Point now, UpstreamId upstream_id)
 {
-    One& one = all_[tgt];
-    Listing l = one.real;
+    One& one = all_[upstream_id];
+    EndpointState l = one.real;
     if (one.told_start && (!l.started || *l.started < *one.told_start)) l.started = one.told_start;
-    const double part = rules_.subset && tgt < parts_.size() ? parts_[tgt] : rules_.subset ? 0 : 1;
-    if (part <= 0) l.presence = Presence::gone;
+    const double part = rules_.subset && upstream_id < parts_.size() ? parts_[upstream_id]
+                        : rules_.subset                              ? 0
+                                                                     : 1;
+    if (part <= 0) l.phase = EndpointPhase::gone;
     if (rules_.signals || !recalled_.empty()) l.size *= factor(now, one);
     l.size *= part > 0 ? part : 1;
-    if (rules_.turns && l.presence == Presence::ready && is_cold(now, l)) {
+    if (rules_.turns && l.phase == EndpointPhase::ready && is_cold(now, l)) {
         const BudgetName name{Budget::cold, l.id};
         if (rules_.turns->whole_of(name) > 0) {
             const QuotaLease* own = part_of(now, name, l);
             if (!own || !buckets_[name].has(now, *own)) {
                 if (mostly_warm_)
-                    l.presence = Presence::gone;
+                    l.phase = EndpointPhase::gone;
                 else
                     l.size *= least_drawn;
             }
@@ -148,11 +150,11 @@
 {
     double all = 0, free = 0;
     bool any = false;
-    for (Tgt t = 0; t < parts.size(); ++t) {
+    for (UpstreamId t = 0; t < parts.size(); ++t) {
         if (parts[t] <= 0) continue;
         const double size = parts[t] * choosable_[t].size;
         all += size;
-        if (all_[t].real.presence != Presence::ready) continue;
+        if (all_[t].real.phase != EndpointPhase::ready) continue;
         const double r = reduction(t);
         any = any || r <= 0;
         const double able = is_cold(now, all_[t].real) ? warmth(now, all_[t].real) * rules_.cold_share : 1;
@@ -182,24 +184,24 @@
     }
 }
 
-std::vector<Listing> EndpointView::update(Point now, const Reduction& reduction)
+std::vector<EndpointState> EndpointView::update(Point now, const Reduction& reduction)
 {
     due_ = false;
     if (rules_.subset) widen(now, reduction);
     double listed = 0, cold = 0;
     for (const One& one : all_) {
-        if (one.real.presence != Presence::ready) continue;
+        if (one.real.phase != EndpointPhase::ready) continue;
         listed += one.real.size;
         if (is_cold(now, one.real)) cold += one.real.size;
     }
     mostly_warm_ = cold * 2 < listed;
-    std::vector<Listing> out;
-    for (Tgt t = 0; t < all_.size(); ++t) {
-        const Listing l = wanted(now, t);
+    std::vector<EndpointState> out;
+    for (UpstreamId t = 0; t < all_.size(); ++t) {
+        const EndpointState l = wanted(now, t);
         if (t >= shown_.size()) shown_.resize(t + 1);
-        Listing& was = shown_[t];
-        if (l.presence == Presence::gone && was.presence == Presence::gone) continue;
-        const bool same = l.id == was.id && l.presence == was.presence && l.started == was.started &&
+        EndpointState& was = shown_[t];
+        if (l.phase == EndpointPhase::gone && was.phase == EndpointPhase::gone) continue;
+        const bool same = l.id == was.id && l.phase == was.phase && l.started == was.started &&
                           l.zone == was.zone && l.cell == was.cell && l.kind == was.kind;
         // What is whole again is shown as whole, however little was missing.
         const bool near =
@@ -214,15 +216,15 @@
 bool EndpointView::due(const Reduction& reduction) const
 {
     if (due_ || !rules_.subset) return due_;
-    for (Tgt t = 0; t < shown_.size(); ++t)
-        if (shown_[t].presence == Presence::ready && reduction(t) <= 0) return false;
+    for (UpstreamId t = 0; t < shown_.size(); ++t)
+        if (shown_[t].phase == EndpointPhase::ready && reduction(t) <= 0) return false;
     return !shown_.empty();
 }
 
 double EndpointView::part_shown() const
 {
     double shown = 0, listed = 0;
-    for (Tgt t = 0; t < all_.size(); ++t) {
+    for (UpstreamId t = 0; t < all_.size(); ++t) {
         if (choosable_[t].size <= 0) continue;
         listed += 1;
         shown += t < parts_.size() ? parts_[t] : 0;
@@ -238,13 +240,13 @@
     return at != budgets_.end() && buckets_[name].take(now, at->second);
 }
 
-bool EndpointView::take_cold(Point now, Tgt tgt)
+bool EndpointView::take_cold(Point now, UpstreamId upstream_id)
 {
-    if (tgt >= shown_.size() || !is_cold(now, shown_[tgt])) return true;
+    if (upstream_id >= shown_.size() || !is_cold(now, shown_[upstream_id])) return true;
     due_ = true;  // until its next turn it is not shown
-    const BudgetName name{Budget::cold, shown_[tgt].id};
+    const BudgetName name{Budget::cold, shown_[upstream_id].id};
     if (!rules_.turns || rules_.turns->whole_of(name) <= 0) return true;
-    const QuotaLease* own = part_of(now, name, shown_[tgt]);
+    const QuotaLease* own = part_of(now, name, shown_[upstream_id]);
     return own && buckets_[name].take(now, *own);
 }
 
@@ -262,9 +264,9 @@
     if (came_ >= least_counted) o.rate = rate_;
     o.asked = std::exchange(asked_, {});
     o.wider = width_.steps();
-    for (Tgt t = 0; t < all_.size(); ++t) {
+    for (UpstreamId t = 0; t < all_.size(); ++t) {
         One& one = all_[t];
-        if (one.real.presence == Presence::gone) continue;
+        if (one.real.phase == EndpointPhase::gone) continue;
         ++o.listed;
         if (rules_.subset && !(t < parts_.size() && parts_[t] > 0)) continue;
         ++o.shown;
--- a/src/fleet/view.h
+++ b/src/fleet/view.h
@@ -50,34 +50,37 @@
     explicit EndpointView(Rules rules);
 
     // The list as discovery has it, by place; gone ones too.
-    void list_is(const std::vector<Listing>& all);
+    void list_is(const std::vector<EndpointState>& all);
     void fleet_is(std::vector<SubsetPeer> sharers);
-    void told(Point now, const std::map<uint64_t, OutlierGossip::Result>& results);
+    void told(Point now, const std::map<uint64_t, OutlierGossip::Verdict>& results);
     void parts_are(Point now, const std::vector<QuotaLease>& parts);
     // Reductions from before the start, while they last.
     void recall(Point now, const std::vector<PersistedReduction>& reductions);
-    void answered(Point now, Tgt tgt, bool well);
+    void answered(Point now, UpstreamId upstream_id, bool well);
     void arrived() { ++arrived_; }
 
     // Where the module's own entry for an upstream stands, and whether something is out to it.
-    using Reduction = std::function<double(Tgt)>;
-    using Out = std::function<bool(Tgt)>;
+    using Reduction = std::function<double(UpstreamId)>;
+    using Out = std::function<bool(UpstreamId)>;
     // What the module has to be shown anew. Guards against refusing while an upstream beyond the subset
     // carries no reduction: it is widened before.
-    std::vector<Listing> update(Point now, const Reduction& reduction);
+    std::vector<EndpointState> update(Point now, const Reduction& reduction);
     // Whether that cannot wait for the next tick.
     bool due(const Reduction& reduction) const;
-    bool shows(Tgt tgt) const { return tgt < shown_.size() && shown_[tgt].presence != Presence::gone; }
+    bool shows(UpstreamId upstream_id) const
+    {
+        return upstream_id < shown_.size() && shown_[upstream_id].phase != EndpointPhase::gone;
+    }
     double part_shown() const;  // of the listed
 
     // The gate of budgets. True where there is none of that name.
     bool take(Point now, BudgetName name);
-    bool take_cold(Point now, Tgt tgt);
+    bool take_cold(Point now, UpstreamId upstream_id);
     std::optional<LocalObservations> observe(Point now, const Reduction& reduction, const Out& out);
 
   private:
     struct One {
-        Listing real;
+        EndpointState real;
         double told = 0, factor = 1;  // of its size: down at once, back by doublings
         Point factor_at;
         std::optional<Point> told_start;
@@ -85,11 +88,11 @@
         Point bad_at, well_at;
     };
 
-    bool is_cold(Point now, const Listing& l) const;
-    double warmth(Point now, const Listing& l) const;
-    const QuotaLease* part_of(Point now, BudgetName name, const Listing& l);
+    bool is_cold(Point now, const EndpointState& l) const;
+    double warmth(Point now, const EndpointState& l) const;
+    const QuotaLease* part_of(Point now, BudgetName name, const EndpointState& l);
     double factor(Point now, One& one) const;
-    Listing wanted(Point now, Tgt tgt);
+    EndpointState wanted(Point now, UpstreamId upstream_id);
     void widen(Point now, const Reduction& reduction);
     double free_of(Point now, const SubsetWeights& parts, const Reduction& reduction) const;
 
@@ -97,7 +100,7 @@
     std::vector<One> all_;
     std::vector<SubsetCandidate> choosable_;
     std::vector<SubsetPeer> sharers_;
-    std::vector<Listing> shown_;
+    std::vector<EndpointState> shown_;
     SubsetWeights parts_, narrower_;
     SubsetSize width_;
     bool dirty_ = true, due_ = true, mostly_warm_ = true;
--- a/src/net/callers.cpp
+++ b/src/net/callers.cpp
@@ -55,16 +55,16 @@
 }  // namespace
 
 // Lives as long as the connection.
-struct Callers::Connection {
-    explicit Connection(const Setup& setup) : reader(setup) {}
+struct DownstreamServer::Connection {
+    explicit Connection(const ServiceConfig& setup) : reader(setup) {}
 
-    Callers* owner = nullptr;
+    DownstreamServer* owner = nullptr;
     Place self;
     Phase phase = asking;
     Point since;
     Stream stream;
     RequestReader reader;
-    CallerId caller = 0;    // of the request that waits for its answer
+    RequestId caller = 0;   // of the request that waits for its answer
     size_t due = 0;         // of its body, when it had its answer before all of it had come
     bool sent_all = false;  // and closed its side
     bool last = false;      // after the answer being sent
@@ -73,8 +73,9 @@
     uint32_t in_a_row = 0;
 };
 
-Callers::Callers(event_base* base, const Config& config, Room room, std::function<bool()> ready,
-                 std::function<void()> crowded, std::function<void(Event)> tell)
+DownstreamServer::DownstreamServer(event_base* base, const Config& config, ConnectionBudget room,
+                                   std::function<bool()> ready, std::function<void()> crowded,
+                                   std::function<void(Event)> tell)
     : base_(base),
       config_(config),
       room_(std::move(room)),
@@ -90,71 +91,71 @@
         listen(config.listen);
     look_.reset(event_new(
         base_, -1, EV_PERSIST,
-        [](evutil_socket_t, short, void* self) { static_cast<Callers*>(self)->look(); }, this));
+        [](evutil_socket_t, short, void* self) { static_cast<DownstreamServer*>(self)->look(); }, this));
     const auto every = to_timeval(look_every);
     event_add(look_.get(), &every);
 }
 
-Callers::~Callers() = default;
+DownstreamServer::~DownstreamServer() = default;
 
-void Callers::listen(const Address& address)
+void DownstreamServer::listen(const Address& address)
 {
     sockaddr_storage at{};
     int length = sizeof at;
     const auto text = text_of(address);
     if (evutil_parse_sockaddr_port(text.c_str(), reinterpret_cast<sockaddr*>(&at), &length) != 0)
-        throw BadConfig("listen: '" + text + "' is no numeric address");
+        throw ConfigException("listen: '" + text + "' is no numeric address");
     listener_.reset(evconnlistener_new_bind(base_, accepted, this,
                                             LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE,
                                             1024, reinterpret_cast<sockaddr*>(&at), length));
     if (!listener_)
-        throw BadConfig("listen: cannot listen on " + text + ": " +
-                        evutil_socket_error_to_string(EVUTIL_SOCKET_ERROR()));
+        throw ConfigException("listen: cannot listen on " + text + ": " +
+                              evutil_socket_error_to_string(EVUTIL_SOCKET_ERROR()));
     heed_errors();
 }
 
 // The socket is the platform's and shared with another process of the same balancer: what this one cannot
 // serve yet is left to that one.
-void Callers::take_over(int fd)
+void DownstreamServer::take_over(int fd)
 {
     evutil_make_socket_nonblocking(fd);
     listener_.reset(
         evconnlistener_new(base_, accepted, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC, 0, fd));
-    if (!listener_) throw BadConfig("NODE_PASSED_SOCKET: cannot be listened on");
+    if (!listener_) throw ConfigException("NODE_PASSED_SOCKET: cannot be listened on");
     heed_errors();
     evconnlistener_disable(listener_.get());
     before_ready_ = true;
 }
 
-void Callers::accepted(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self)
+void DownstreamServer::accepted(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self)
 {
-    static_cast<Callers*>(self)->accept(fd);
+    static_cast<DownstreamServer*>(self)->accept(fd);
 }
 
-void Callers::heed_errors()
+void DownstreamServer::heed_errors()
 {
     evconnlistener_set_error_cb(listener_.get(), [](evconnlistener*, void* arg) {
-        auto* self = static_cast<Callers*>(arg);
+        auto* self = static_cast<DownstreamServer*>(arg);
         self->crowded_();
         self->pause_listening();
     });
 }
 
 // Until the next look. Guards against spinning: libevent would try again at once, without end.
-void Callers::pause_listening()
+void DownstreamServer::pause_listening()
 {
     paused_ = true;
     evconnlistener_disable(listener_.get());
 }
 
-size_t Callers::open() const
+size_t DownstreamServer::open() const
 {
     size_t all = 0;
     for (const auto& phase : in_) all += phase.size();
     return all;
 }
 
-void Callers::accept(int fd)
+void DownstreamServer::accept(int fd)
 {
     const int on = 1;
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
@@ -185,7 +186,7 @@
     if (room_.full(open())) pause_listening();
 }
 
-void Callers::enter(Place at, Phase phase)
+void DownstreamServer::enter(Place at, Phase phase)
 {
     in_[phase].splice(in_[phase].end(), in_[at->phase], at);
     at->phase = phase;
@@ -193,13 +194,13 @@
 }
 
 // What a connection holds of the memory for bodies, from now on.
-void Callers::hold(Connection& c, size_t bytes)
+void DownstreamServer::hold(Connection& c, size_t bytes)
 {
     held_ = held_ - c.held + bytes;
     c.held = bytes;
 }
 
-void Callers::readable(Place at)
+void DownstreamServer::readable(Place at)
 {
     auto* input = bufferevent_get_input(at->stream.get());
     const size_t size = evbuffer_get_length(input);
@@ -221,7 +222,7 @@
         const auto [status, why] = at->reader.why();
         if (const auto caller = std::exchange(at->caller, 0)) {
             waiting_.erase(caller);
-            tell_(CallerLeft{caller});
+            tell_(DownstreamDisconnected{caller});
         }
         return refuse(at, status, why);
     }
@@ -231,7 +232,7 @@
     const size_t most = at->reader.large() ? 2 * window : request.body.size() + at->reader.still_to_come();
     if (most > at->held) {
         if (held_ - at->held + most > most_held_) {
-            tell_(TurnedAway{request.operation, request.edition});
+            tell_(RequestRejected{request.operation, request.edition});
             at->due = at->reader.still_due();
             return refuse(at, 503, "no room for the body");
         }
@@ -247,16 +248,16 @@
 }
 
 // More of a request that is passed on while it comes.
-void Callers::body_piece_received(Place at, bool last)
+void DownstreamServer::body_piece_received(Place at, bool last)
 {
     enter(at, last ? waiting : bringing);
-    tell_(RequestData{at->caller, at->reader.take_piece(), last, last ? unread(at) : Span{}});
+    tell_(RequestChunkReceived{at->caller, at->reader.take_piece(), last, last ? unread(at) : Span{}});
 }
 
 // How long the last byte has waited here.
-Span Callers::unread(Place at) const { return unread_for(bufferevent_getfd(at->stream.get())); }
+Span DownstreamServer::unread(Place at) const { return unread_for(bufferevent_getfd(at->stream.get())); }
 
-void Callers::request_received(Place at, bool more)
+void DownstreamServer::request_received(Place at, bool more)
 {
     const auto input = evbuffer_get_length(bufferevent_get_input(at->stream.get()));
     at->in_a_row = input > 0 ? at->in_a_row + 1 : 0;
@@ -281,18 +282,18 @@
     enter(at, waiting);
     at->caller = next_++;
     waiting_[at->caller] = at;
-    tell_(Arrived{at->caller, std::move(request), went});
+    tell_(RequestReceived{at->caller, std::move(request), went});
 }
 
 // What could not be read may have been framed otherwise than it was taken: nothing more is read there.
-void Callers::refuse(Place at, int status, const char* why)
+void DownstreamServer::refuse(Place at, int status, const char* why)
 {
     spdlog::debug("a caller gets {}, {}, {} ms after its request began, with {} bytes of its body come",
                   status, why, (monotonic_now() - at->since).us / 1000, at->reader.come());
     reply(at, {status, false, {}, {}, std::string(why) + "\n"}, true);
 }
 
-void Callers::answer(const Answer& answer)
+void DownstreamServer::answer(const SendResponse& answer)
 {
     const auto found = waiting_.find(answer.caller);
     if (found == waiting_.end()) return;  // it has left
@@ -312,7 +313,7 @@
     reply(at, answer.response, last);
 }
 
-void Callers::pass(Pass& pass)
+void DownstreamServer::pass(SendResponseChunk& pass)
 {
     const auto found = waiting_.find(pass.caller);
     if (found == waiting_.end()) return;
@@ -328,7 +329,7 @@
 }
 
 // By a reset: its caller can tell that the answer is not whole, also where its end is the connection's.
-void Callers::cut(CallerId caller)
+void DownstreamServer::cut(RequestId caller)
 {
     const auto found = waiting_.find(caller);
     if (found == waiting_.end()) return;
@@ -337,7 +338,7 @@
     close(found->second);
 }
 
-void Callers::hear(const Hear& hear)
+void DownstreamServer::hear(const SetRequestReading& hear)
 {
     const auto found = waiting_.find(hear.caller);
     if (found == waiting_.end() || found->second->reader.done()) return;
@@ -348,7 +349,7 @@
         bufferevent_trigger(at->stream.get(), EV_READ, BEV_TRIG_IGNORE_WATERMARKS | BEV_TRIG_DEFER_CALLBACKS);
 }
 
-void Callers::reply(Place at, const Response& response, bool last)
+void DownstreamServer::reply(Place at, const Response& response, bool last)
 {
     // Guards against callers who ask once and stay, by hundreds: what rests may not be closed at once.
     const bool crowded = open() > room_.own() / 4 * 3;
@@ -361,18 +362,18 @@
     bufferevent_write(at->stream.get(), bytes.data(), bytes.size());
 }
 
-void Callers::written(Place at)
+void DownstreamServer::written(Place at)
 {
     // libevent also says so of a new connection, by when its first answer may be on its way.
     const size_t left = evbuffer_get_length(bufferevent_get_output(at->stream.get()));
     if (at->phase != telling || left > (at->in_pieces ? nearly_taken : 0)) return;
     if (at->in_pieces) {
         enter(at, telling);
-        return tell_(WriteDrained{at->caller});
+        return tell_(ResponseDrained{at->caller});
     }
     if (const auto caller = std::exchange(at->caller, 0)) {
         waiting_.erase(caller);
-        tell_(WriteDrained{caller});
+        tell_(ResponseDrained{caller});
     }
     at->to_the_end = at->chunked = false;
     bufferevent_setwatermark(at->stream.get(), EV_READ, 0, read_ahead);
@@ -390,14 +391,14 @@
 // is shut, once all that is due has come, and what still comes is read until the caller closes or its time is
 // up. Guards against an answer, or the end itself, that is lost to a reset over unread bytes. What is read
 // from here on is sent on to nobody: its caller sees the end and asks elsewhere.
-void Callers::close_lingering(Place at)
+void DownstreamServer::close_lingering(Place at)
 {
     enter(at, leaving);
     if (at->due == 0) shutdown(bufferevent_getfd(at->stream.get()), SHUT_WR);
 }
 
 // Whether bytes of a request are here, read or not.
-bool Callers::asks(Place at) const
+bool DownstreamServer::asks(Place at) const
 {
     return at->reader.begun() || evbuffer_get_length(bufferevent_get_input(at->stream.get())) > 0 ||
            shows(bufferevent_getfd(at->stream.get()), POLLIN);
@@ -406,24 +407,24 @@
 // Whether a caller that sends nothing more is taken to read its answer all the same. One that closes its
 // sending side does so with its request, one that goes away has waited for a while; one that is being told
 // shows it by what it does with the bytes.
-bool Callers::still_listens(Place at)
+bool DownstreamServer::still_listens(Place at)
 {
     const bool with_request =
         at->phase == waiting && at->reader.done() && monotonic_now() - at->since < ends_with_request;
     if (!with_request && at->phase != telling) return false;
     at->last = at->sent_all = true;
-    if (with_request) tell_(HalfClosed{at->caller});
+    if (with_request) tell_(DownstreamHalfClosed{at->caller});
     return true;
 }
 
-void Callers::ended(Place at)
+void DownstreamServer::ended(Place at)
 {
     const auto caller = at->caller;
     close(at);
-    if (caller) tell_(CallerLeft{caller});
+    if (caller) tell_(DownstreamDisconnected{caller});
 }
 
-void Callers::close(Place at)
+void DownstreamServer::close(Place at)
 {
     waiting_.erase(at->caller);
     hold(*at, 0);
@@ -431,7 +432,7 @@
 }
 
 // Ends what has had its time, and lets callers in again.
-void Callers::look()
+void DownstreamServer::look()
 {
     const Point now = monotonic_now();
     // Guards against blaming callers for a stall of this program: what they have sent meanwhile is read
@@ -473,7 +474,7 @@
 
 // Guards against a caller that has sent more behind its request and closed: its end waits behind bytes that
 // are not read before it has its answer.
-void Callers::look_for_closed()
+void DownstreamServer::look_for_closed()
 {
     for (Place at = in_[waiting].begin(), next; at != in_[waiting].end(); at = next) {
         next = std::next(at);
@@ -482,15 +483,15 @@
     }
 }
 
-bool Callers::someone_waits() const
+bool DownstreamServer::someone_waits() const
 {
     if (!listener_ || room_.full(open())) return false;
     return shows(evconnlistener_get_fd(listener_.get()), POLLIN);
 }
 
-void Callers::stop_listening() { listener_.reset(); }
+void DownstreamServer::stop_listening() { listener_.reset(); }
 
-void Callers::close_idle(Span rested, Span silent)
+void DownstreamServer::close_idle(Span rested, Span silent)
 {
     const Point now = monotonic_now();
     for (const auto phase : {resting, asking})
@@ -501,7 +502,7 @@
         }
 }
 
-void Callers::end_begun()
+void DownstreamServer::end_begun()
 {
     for (Place at = in_[asking].begin(), next; at != in_[asking].end(); at = next) {
         next = std::next(at);
@@ -509,14 +510,14 @@
     }
 }
 
-void Callers::share(size_t processes)
+void DownstreamServer::share(size_t processes)
 {
     room_.share(processes);
     most_held_ = config_.bodies / processes;
     if (open() > room_.own()) make_room(open() - room_.own());
 }
 
-size_t Callers::make_room(size_t count)
+size_t DownstreamServer::make_room(size_t count)
 {
     const Point now = monotonic_now();
     size_t made = 0;
--- a/src/net/callers.h
+++ b/src/net/callers.h
@@ -17,19 +17,20 @@
 namespace firtide::net
 {
 
-class Callers
+class DownstreamServer
 {
   public:
     // Where its room is full nobody is let in until some is made. ready: whether `GET /-/ready` is to be
     // answered 200. crowded: called when no descriptor is left.
-    Callers(event_base* base, const Config& config, Room room, std::function<bool()> ready,
-            std::function<void()> crowded, std::function<void(Event)> tell);
-    ~Callers();
+    DownstreamServer(event_base* base, const Config& config, ConnectionBudget room,
+                     std::function<bool()> ready, std::function<void()> crowded,
+                     std::function<void(Event)> tell);
+    ~DownstreamServer();
 
-    void answer(const Answer& answer);
-    void pass(Pass& pass);
-    void cut(CallerId caller);
-    void hear(const Hear& hear);
+    void answer(const SendResponse& answer);
+    void pass(SendResponseChunk& pass);
+    void cut(RequestId caller);
+    void hear(const SetRequestReading& hear);
     bool someone_waits() const;  // to be accepted
     void stop_listening();
     // Those at rest, and those that have connected and said nothing, for so long.
@@ -76,7 +77,7 @@
 
     event_base* base_;
     const Config& config_;
-    Room room_;
+    ConnectionBudget room_;
     size_t most_held_;
     size_t held_ = 0;  // bytes of bodies, taken in or promised
     std::function<bool()> ready_;
@@ -88,9 +89,9 @@
     Timer look_;
     Point looked_;
     bool waits_for_bytes_ = false;  // since the last look, after a stall
-    CallerId next_ = 1;
+    RequestId next_ = 1;
     std::array<std::list<Connection>, phases> in_;  // each: the longest in its phase first
-    std::unordered_map<CallerId, Place> waiting_;
+    std::unordered_map<RequestId, Place> waiting_;
 };
 
 }  // namespace firtide::net
--- a/src/net/config.cpp
+++ b/src/net/config.cpp
@@ -28,7 +28,7 @@
 }
 
 // Nested JSON into the flat keys that the settings have elsewhere.
-void flatten(const json& value, const std::string& at, Flat& into)
+void flatten(const json& value, const std::string& at, FlatSettings& into)
 {
     const auto under = [&](const std::string& key) {
         return at.empty() ? key : std::string(at).append(".").append(key);
@@ -57,7 +57,7 @@
         const char* told = variable ? std::getenv(variable) : nullptr;
         return told ? told : "";
     }
-    if (!at->is_string()) throw BadConfig(std::string(key) + ": a text is expected");
+    if (!at->is_string()) throw ConfigException(std::string(key) + ": a text is expected");
     return at->get<std::string>();
 }
 
@@ -66,8 +66,8 @@
     const auto at = limits.find(key);
     if (at == limits.end()) return absent;
     if (!at->is_number() || at->get<double>() < static_cast<double>(least) || at->get<double>() > 1e9)
-        throw BadConfig(std::string("limits.") + key + ": a number of " + std::to_string(least) +
-                        " or more is expected");
+        throw ConfigException(std::string("limits.") + key + ": a number of " + std::to_string(least) +
+                              " or more is expected");
     return at->get<size_t>();
 }
 
@@ -77,7 +77,8 @@
     const auto* end = text.data() + text.size();
     const auto [at, failed] = std::from_chars(text.data(), end, seed, 16);
     if (text.empty() || failed != std::errc() || at != end)
-        throw BadConfig("seed: a hexadecimal number of up to 16 digits is expected, not '" + text + "'");
+        throw ConfigException("seed: a hexadecimal number of up to 16 digits is expected, not '" + text +
+                              "'");
     return seed;
 }
 
@@ -95,7 +96,7 @@
         const auto [at, failed] = std::from_chars(text.data() + colon + 1, end, a.port);
         if (failed == std::errc() && at == end && a.port > 0) return a;
     }
-    throw BadConfig(key + ": address:port is expected, not '" + text + "'");
+    throw ConfigException(key + ": address:port is expected, not '" + text + "'");
 }
 
 namespace
@@ -111,8 +112,8 @@
     const auto* end = text + std::char_traits<char>::length(text);
     const auto [at, failed] = std::from_chars(text, end, fd);
     if (failed != std::errc() || at != end || fd < 3)
-        throw BadConfig(std::string(passed_key) + ": a descriptor of 3 or more is expected, not '" + text +
-                        "'");
+        throw ConfigException(std::string(passed_key) + ": a descriptor of 3 or more is expected, not '" +
+                              text + "'");
     return fd;
 }
 
@@ -127,14 +128,14 @@
         return getsockopt(fd, SOL_SOCKET, what, &value, &size) == 0 && value == expected;
     };
     if (!is(SO_TYPE, SOCK_STREAM) || !is(SO_ACCEPTCONN, 1))
-        throw BadConfig(std::string(passed_key) + ": descriptor " + std::to_string(*config.passed_socket) +
-                        " is no listening TCP socket");
+        throw ConfigException(std::string(passed_key) + ": descriptor " +
+                              std::to_string(*config.passed_socket) + " is no listening TCP socket");
 }
 
 Config decode_config(const std::string& text)
 {
     const auto in = json::parse(text, nullptr, false);
-    if (!in.is_object()) throw BadConfig("the configuration is not a JSON object");
+    if (!in.is_object()) throw ConfigException("the configuration is not a JSON object");
     Config out;
     size_t memory_mb = 256;
     if (const auto name = text_at(in, "name", "NODE_NAME"); !name.empty()) out.name = name;
@@ -146,7 +147,7 @@
     if (const char* folder = std::getenv("TMPDIR"); folder && out.passed_socket) out.shared_folder = folder;
     out.seed = decode_seed(text_at(in, "seed", nullptr));
     if (const auto limits = in.find("limits"); limits != in.end()) {
-        if (!limits->is_object()) throw BadConfig("limits: an object is expected");
+        if (!limits->is_object()) throw ConfigException("limits: an object is expected");
         out.descriptors = count_at(*limits, "sockets", out.descriptors, 64);
         memory_mb = count_at(*limits, "memory_mb", memory_mb, 16);
     }
@@ -155,31 +156,32 @@
     const size_t own = (own_mb << 20) + out.descriptors * 4 / 10 * most_body;
     out.bodies = std::max(least_bodies, ((memory_mb << 20) - std::min(memory_mb << 20, own)) / 2);
     const auto settings = in.find("settings");
-    if (settings == in.end() || !settings->is_object()) throw BadConfig("settings: an object is expected");
+    if (settings == in.end() || !settings->is_object())
+        throw ConfigException("settings: an object is expected");
     out.settings = settings->dump();
     out.fixed = {{"listen", text_of(out.listen)},
                  {"name", out.name},
                  {"limits", in.value("limits", json::object()).dump()},
                  {"settings.tier", settings->value("tier", json()).dump()},
                  {"settings.registry_mode", settings->value("registry_mode", json()).dump()}};
-    Flat flat;
+    FlatSettings flat;
     flatten(*settings, "", flat);
     try {
         out.setup = decode_settings(flat);
-    } catch (const BadSetting& bad) {
-        throw BadConfig(std::string("settings: ") + bad.what());
+    } catch (const SettingError& bad) {
+        throw ConfigException(std::string("settings: ") + bad.what());
     }
-    if (out.setup.operations.empty()) throw BadConfig("settings.operations: at least one is expected");
+    if (out.setup.operations.empty()) throw ConfigException("settings.operations: at least one is expected");
     for (size_t i = 0; i < out.setup.operations.size(); ++i)
         if (out.setup.operations[i].empty())
-            throw BadConfig("settings.operations." + std::to_string(i) + ".name: a name is expected");
+            throw ConfigException("settings.operations." + std::to_string(i) + ".name: a name is expected");
     if (out.setup.idle_close <= Span{})
-        throw BadConfig("settings.policy_limits.conn_idle_us: must be over 0");
+        throw ConfigException("settings.policy_limits.conn_idle_us: must be over 0");
     if (out.setup.connect_timeout <= Span{})
-        throw BadConfig("settings.policy_limits.connect_timeout_us: must be over 0");
+        throw ConfigException("settings.policy_limits.connect_timeout_us: must be over 0");
     if (!out.setup.zones.empty() && out.setup.settings.zone >= out.setup.zones.size())
-        throw BadConfig("settings.zone: a place in settings.dcs is expected");
-    out.peers = std::exchange(out.setup.settings.may_tell, false);
+        throw ConfigException("settings.zone: a place in settings.dcs is expected");
+    out.peers = std::exchange(out.setup.settings.may_message_peers, false);
     if (const auto known = in.find("known"); known != in.end() && !known->is_null())
         out.known = known->dump();
     return out;
@@ -189,14 +191,15 @@
 {
     for (size_t i = 0; i < running.fixed.size(); ++i)
         if (running.fixed[i].second != next.fixed[i].second)
-            throw BadConfig(running.fixed[i].first + ": cannot change in a running program");
+            throw ConfigException(running.fixed[i].first + ": cannot change in a running program");
 }
 
 Config read_config(const std::string& path)
 {
     std::ifstream file(path);
     std::stringstream text;
-    if (!file || !(text << file.rdbuf())) throw BadConfig("cannot read the configuration '" + path + "'");
+    if (!file || !(text << file.rdbuf()))
+        throw ConfigException("cannot read the configuration '" + path + "'");
     return decode_config(text.str());
 }
 
--- a/src/net/config.h
+++ b/src/net/config.h
@@ -9,7 +9,7 @@
 {
 
 // What is wrong, with the key at fault in the text.
-struct BadConfig : std::runtime_error {
+struct ConfigException : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
@@ -27,7 +27,7 @@
     uint64_t seed = 0;
     size_t descriptors = 1024;
     size_t bodies = 0;  // bytes that callers may have here together, out of limits.memory_mb
-    Setup setup;
+    ServiceConfig setup;
     // What holds from start to end, by key, and the settings that may change while serving, as text.
     std::vector<std::pair<std::string, std::string>> fixed;
     std::string settings;
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -42,16 +42,18 @@
         return at->is_string() ? at->get<T>() : absent;
 }
 
-std::optional<Entry> decode_entry(const Setup& setup, const json& in, Point epoch)
+std::optional<ListedEndpoint> decode_entry(const ServiceConfig& setup, const json& in, Point epoch)
 {
-    Entry e;
+    ListedEndpoint e;
     if (!in.is_object()) return {};
     e.uid = value_or<std::string>(in, "uid", "");
     e.endpoint = value_or<std::string>(in, "endpoint", "");
     const auto state = value_or<std::string>(in, "state", "");
     if (e.uid.empty()) return {};
     // A state that nobody knows yet keeps work away, as draining does.
-    e.presence = state == "ready" ? Presence::ready : state == "gone" ? Presence::gone : Presence::draining;
+    e.phase = state == "ready"  ? EndpointPhase::ready
+              : state == "gone" ? EndpointPhase::gone
+                                : EndpointPhase::draining;
     const auto zone = value_or<std::string>(in, "az", "");
     while (e.zone < setup.zones.size() && setup.zones[e.zone] != zone) ++e.zone;  // unknown: past all others
     e.cell = value_or<uint32_t>(in, "pod_group", 0);
@@ -63,7 +65,7 @@
 
 }  // namespace
 
-std::optional<List> decode_list(const Setup& setup, const std::string& text, Point epoch)
+std::optional<List> decode_list(const ServiceConfig& setup, const std::string& text, Point epoch)
 {
     const auto in = json::parse(text, nullptr, false);
     if (!in.is_object()) return {};
@@ -105,7 +107,7 @@
 void check_known(const Config& config)
 {
     if (!config.known.empty() && !decode_list(config.setup, config.known, Point{}))
-        throw BadConfig("known: is no list of upstreams, or one of its targets has no uid");
+        throw ConfigException("known: is no list of upstreams, or one of its targets has no uid");
 }
 
 Discovery::Discovery(event_base* base, const Config& config, Point epoch, std::function<void(Event)> tell)
@@ -278,8 +280,8 @@
     const bool first = !version_;
     version_ = list->version;
     resuming_ = false;
-    for (const Entry& e : list->told.entries)
-        spdlog::debug("list {}: {} {} {}", list->version, e.uid, e.endpoint, static_cast<int>(e.presence));
+    for (const ListedEndpoint& e : list->told.entries)
+        spdlog::debug("list {}: {} {} {}", list->version, e.uid, e.endpoint, static_cast<int>(e.phase));
     if (first) spdlog::info("list {} of {} upstreams", list->version, list->told.entries.size());
     // The next call goes out before anything else, so that the watch has no gap.
     call_in(Span{});
@@ -296,7 +298,7 @@
     std::optional<std::vector<std::string>> uids;
     if (!list.told.all) {
         uids.emplace();
-        for (const Entry& e : list.told.entries) uids->push_back(e.uid);
+        for (const ListedEndpoint& e : list.told.entries) uids->push_back(e.uid);
     }
     tell_lines_(list.version, lines_, std::move(uids));
 }
@@ -317,7 +319,7 @@
         resuming_ = version_.has_value();
     if (!calls_.empty()) return;                             // another is out beside it
     if (!is_pushed() && !told_elsewhere()) asking_ = false;  // the module says when to ask again
-    tell_(ListFailed{});
+    tell_(EndpointListFetchFailed{});
     if (!asking_) return;
     call_in(pause_);
     pause_ = std::min(is_pushed() ? longest_pause : longest_asked, pause_ * 2);
--- a/src/net/discovery.h
+++ b/src/net/discovery.h
@@ -19,11 +19,11 @@
 
 struct List {
     uint64_t version = 0;
-    ListUpdate told;
+    EndpointListUpdated told;
 };
 
 // Nullopt where the text is no list.
-std::optional<List> decode_list(const Setup& setup, const std::string& text, Point epoch);
+std::optional<List> decode_list(const ServiceConfig& setup, const std::string& text, Point epoch);
 
 // Takes a list, whole or changes, into the lines of what there is, by uid.
 void take_in(std::map<std::string, std::string>& lines, const std::string& text);
--- a/src/net/handover.cpp
+++ b/src/net/handover.cpp
@@ -21,7 +21,7 @@
 }  // namespace
 
 // Locked before it has its name: nobody ever sees it without its lock.
-Handover::Handover(std::string folder) : folder_(std::move(folder))
+HotRestart::HotRestart(std::string folder) : folder_(std::move(folder))
 {
     std::string unnamed = folder_ + "/start-XXXXXX";
     lock_ = Descriptor(mkostemp(unnamed.data(), O_CLOEXEC));
@@ -34,12 +34,12 @@
     own_ = failed ? unnamed : unnamed + sign;
 }
 
-Handover::~Handover()
+HotRestart::~HotRestart()
 {
     if (!own_.empty()) unlink(own_.c_str());
 }
 
-bool Handover::another_runs() const
+bool HotRestart::another_runs() const
 {
     std::error_code failed;
     for (fs::directory_iterator at(folder_, failed), end; !failed && at != end; at.increment(failed)) {
--- a/src/net/handover.h
+++ b/src/net/handover.h
@@ -10,14 +10,14 @@
 namespace firtide::net
 {
 
-class Handover
+class HotRestart
 {
   public:
     // Where the folder cannot be used, each process is on its own.
-    explicit Handover(std::string folder);
-    ~Handover();
-    Handover(const Handover&) = delete;
-    Handover& operator=(const Handover&) = delete;
+    explicit HotRestart(std::string folder);
+    ~HotRestart();
+    HotRestart(const HotRestart&) = delete;
+    HotRestart& operator=(const HotRestart&) = delete;
 
     bool another_runs() const;
 
--- a/src/net/management.cpp
+++ b/src/net/management.cpp
@@ -20,12 +20,12 @@
 constexpr Span lets_go = seconds(1);  // to be read to its end by the caller
 constexpr int first_priority = 0;
 
-const char* name_of(Life life)
+const char* name_of(ServingState serving_state)
 {
-    switch (life) {
-        case Life::starting: return "starting";
-        case Life::ready: return "ready";
-        case Life::draining: return "draining";
+    switch (serving_state) {
+        case ServingState::starting: return "starting";
+        case ServingState::ready: return "ready";
+        case ServingState::draining: return "draining";
         default: return "stopping";
     }
 }
@@ -50,22 +50,22 @@
 
 }  // namespace
 
-std::optional<Order> decode_order(std::string_view line)
+std::optional<AdminCommand> decode_admin_command(std::string_view line)
 {
     if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
-    if (line == "ready") return Order::ready;
-    if (line == "show-stat") return Order::show_stat;
-    if (line == "drain") return Order::drain;
-    if (line == "resume") return Order::resume;
+    if (line == "ready") return AdminCommand::ready;
+    if (line == "show-stat") return AdminCommand::show_stat;
+    if (line == "drain") return AdminCommand::drain;
+    if (line == "resume") return AdminCommand::resume;
     return {};
 }
 
-std::string encode_obeyed(const Obeyed& obeyed)
+std::string encode_admin_result(const AdminCommandResult& obeyed)
 {
     std::string out = obeyed.success ? "SUCCESS " : "FAILURE ";
-    out.append(name_of(obeyed.life)).append("\n");
+    out.append(name_of(obeyed.serving_state)).append("\n");
     if (!obeyed.figures) return out;
-    const Figures& f = *obeyed.figures;
+    const ServiceStatistics& f = *obeyed.figures;
     for (const auto& [name, n] : f.of_operation) {
         figure(out, "success." + name, n.success, 'c');
         figure(out, "busy." + name, n.busy, 'c');
@@ -79,43 +79,43 @@
 }
 
 // Lives as long as the connection.
-struct Management::Connection {
-    Management* owner = nullptr;
+struct AdminServer::Connection {
+    AdminServer* owner = nullptr;
     Place self;
     Descriptor socket;
     Timer reading;
     std::string line;
-    OperatorId caller = 0;  // its line has come
+    AdminConnectionId caller = 0;  // its line has come
     bool answered = false;
     bool waits = false;  // for an answer that may take its time
     size_t ignored = 0;
 };
 
-Management::Management(event_base* base, const Address& address, std::function<void(Event)> tell)
+AdminServer::AdminServer(event_base* base, const Address& address, std::function<void(Event)> tell)
     : base_(base), tell_(std::move(tell))
 {
     sockaddr_storage at{};
     int length = sizeof at;
     const auto text = text_of(address);
     if (evutil_parse_sockaddr_port(text.c_str(), reinterpret_cast<sockaddr*>(&at), &length) != 0)
-        throw BadConfig("mgmt: '" + text + "' is no numeric address");
+        throw ConfigException("mgmt: '" + text + "' is no numeric address");
     listener_ = Descriptor(socket(at.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     const int on = 1;
     if (listener_.fd() < 0 || setsockopt(listener_.fd(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on) != 0 ||
         bind(listener_.fd(), reinterpret_cast<sockaddr*>(&at), static_cast<socklen_t>(length)) != 0 ||
         listen(listener_.fd(), 64) != 0)
-        throw BadConfig("mgmt: cannot listen on " + text + ": " +
-                        evutil_socket_error_to_string(EVUTIL_SOCKET_ERROR()));
+        throw ConfigException("mgmt: cannot listen on " + text + ": " +
+                              evutil_socket_error_to_string(EVUTIL_SOCKET_ERROR()));
     accepting_.reset(event_new(
         base_, listener_.fd(), EV_READ | EV_PERSIST,
-        [](evutil_socket_t, short, void* self) { static_cast<Management*>(self)->accept(); }, this));
+        [](evutil_socket_t, short, void* self) { static_cast<AdminServer*>(self)->accept(); }, this));
     event_priority_set(accepting_.get(), first_priority);
     event_add(accepting_.get(), nullptr);
 }
 
-Management::~Management() = default;
+AdminServer::~AdminServer() = default;
 
-void Management::accept()
+void AdminServer::accept()
 {
     for (size_t n = 0; n < most_open; ++n) {
         Descriptor socket(accept4(listener_.fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
@@ -148,7 +148,7 @@
     }
 }
 
-void Management::readable(Place at)
+void AdminServer::readable(Place at)
 {
     char bytes[512];
     const auto n = recv(at->socket.fd(), bytes, sizeof bytes, 0);
@@ -170,7 +170,7 @@
     if (std::min(end, at->line.size()) > most_line) return reply(at, "FAILURE the line is too long\n");
     const auto line = std::string_view(at->line).substr(0, end);
     at->caller = next_++;
-    if (const auto order = decode_order(line)) return tell_(Ordered{at->caller, *order});
+    if (const auto order = decode_admin_command(line)) return tell_(AdminCommandReceived{at->caller, *order});
     if (ordered_) {
         // What is waited for comes when it comes; the caller may leave meanwhile.
         at->waits = true;
@@ -186,24 +186,28 @@
     reply(at, "FAILURE unknown call; known are ready, show-stat, drain, resume\n");
 }
 
-void Management::fleet_orders(std::function<bool(OperatorId, const std::vector<std::string>&)> ordered,
-                              std::function<void(OperatorId)> left)
+void AdminServer::fleet_orders(
+    std::function<bool(AdminConnectionId, const std::vector<std::string>&)> ordered,
+    std::function<void(AdminConnectionId)> left)
 {
     ordered_ = std::move(ordered);
     left_ = std::move(left);
 }
 
-void Management::answer(OperatorId caller, const std::string& text)
+void AdminServer::answer(AdminConnectionId caller, const std::string& text)
 {
     const auto at =
         std::find_if(open_.begin(), open_.end(), [&](const Connection& c) { return c.caller == caller; });
     if (at != open_.end()) reply(at, text);
 }
 
-void Management::answer(const Obeyed& obeyed) { answer(obeyed.caller, encode_obeyed(obeyed)); }
+void AdminServer::answer(const AdminCommandResult& obeyed)
+{
+    answer(obeyed.caller, encode_admin_result(obeyed));
+}
 
 // An answer is small: what the kernel does not take at once has no reader.
-void Management::reply(Place at, const std::string& text)
+void AdminServer::reply(Place at, const std::string& text)
 {
     (void)!send(at->socket.fd(), text.data(), text.size(), MSG_NOSIGNAL);
     shutdown(at->socket.fd(), SHUT_WR);
--- a/src/net/management.h
+++ b/src/net/management.h
@@ -15,21 +15,21 @@
 namespace firtide::net
 {
 
-std::optional<Order> decode_order(std::string_view line);
-std::string encode_obeyed(const Obeyed& obeyed);
+std::optional<AdminCommand> decode_admin_command(std::string_view line);
+std::string encode_admin_result(const AdminCommandResult& obeyed);
 
-class Management
+class AdminServer
 {
   public:
-    Management(event_base* base, const Address& address, std::function<void(Event)> tell);
-    ~Management();
+    AdminServer(event_base* base, const Address& address, std::function<void(Event)> tell);
+    ~AdminServer();
 
     // Further orders, by their words; false: none of them. left: a caller that waits for an answer has gone.
-    void fleet_orders(std::function<bool(OperatorId, const std::vector<std::string>&)> ordered,
-                      std::function<void(OperatorId)> left);
+    void fleet_orders(std::function<bool(AdminConnectionId, const std::vector<std::string>&)> ordered,
+                      std::function<void(AdminConnectionId)> left);
 
-    void answer(const Obeyed& obeyed);
-    void answer(OperatorId caller, const std::string& text);
+    void answer(const AdminCommandResult& obeyed);
+    void answer(AdminConnectionId caller, const std::string& text);
 
   private:
     struct Connection;
@@ -41,11 +41,11 @@
 
     event_base* base_;
     std::function<void(Event)> tell_;
-    std::function<bool(OperatorId, const std::vector<std::string>&)> ordered_;
-    std::function<void(OperatorId)> left_;
+    std::function<bool(AdminConnectionId, const std::vector<std::string>&)> ordered_;
+    std::function<void(AdminConnectionId)> left_;
     Descriptor listener_;
     Timer accepting_;
-    OperatorId next_ = 1;
+    AdminConnectionId next_ = 1;
     std::list<Connection> open_;  // the longest open first
 };
 
--- a/src/net/message.cpp
+++ b/src/net/message.cpp
@@ -99,9 +99,9 @@
 }
 
 // All of it or nothing. Guards against figures from a report that is spoilt elsewhere.
-Report decode_report(const Setup& setup, std::string_view text)
+LoadReport decode_report(const ServiceConfig& setup, std::string_view text)
 {
-    Report report;
+    LoadReport report;
     while (!text.empty()) {
         const auto item = text.substr(0, text.find(','));
         text.remove_prefix(std::min(text.size(), item.size() + 1));
@@ -123,18 +123,18 @@
     return path == std::string_view::npos ? "/" : std::string(target.substr(path));
 }
 
-std::optional<uint32_t> decode_operation(const Setup& setup, std::string_view target)
+std::optional<uint32_t> decode_operation(const ServiceConfig& setup, std::string_view target)
 {
     target.remove_prefix(std::min<size_t>(1, target.size()));
     return place(setup.operations, target.substr(0, target.find_first_of("/?")));
 }
 
-std::optional<Unacceptable> decode_request(const Setup& setup, Headers headers, Request& into)
+std::optional<RequestError> decode_request(const ServiceConfig& setup, Headers headers, Request& into)
 {
     if (into.target.empty() || into.target.front() != '/' || !plain(into.target))
-        return Unacceptable{400, "unreadable target"};
+        return RequestError{400, "unreadable target"};
     const auto operation = decode_operation(setup, into.target);
-    if (!operation) return Unacceptable{404, "no such operation"};
+    if (!operation) return RequestError{404, "no such operation"};
     into.operation = *operation;
     into.edition = setup.edition;
     into.time_left = setup.settings.operations[*operation].client_timeout;
@@ -142,17 +142,17 @@
     into.tenant = nobody;  // what no tenant is named for counts against nobody's share
     for (auto& [name, value] : headers) {
         // Guards against a stray carriage return, which the next reader might take for the end of a line.
-        if (!plain(name) || !printable(value)) return Unacceptable{400, "unreadable header"};
+        if (!plain(name) || !printable(value)) return RequestError{400, "unreadable header"};
         if (same_name(name, "Req-Id")) into.id = value;
         if (same_name(name, "Req-Owner")) into.tenant = place(setup.tenants, value).value_or(nobody);
         if (same_name(name, "Req-Deadline-Ms")) {
             const auto ms = number<int64_t>(value);
-            if (!ms || *ms < 0) return Unacceptable{400, "unreadable Req-Deadline-Ms"};
+            if (!ms || *ms < 0) return RequestError{400, "unreadable Req-Deadline-Ms"};
             into.time_left = std::min(into.time_left, Span{std::min<int64_t>(*ms, 1'000'000'000) * 1000});
         }
         if (goes_on(name)) into.passed_on.emplace_back(std::move(name), std::move(value));
     }
-    if (into.id.empty()) return Unacceptable{400, "Req-Id is missing"};
+    if (into.id.empty()) return RequestError{400, "Req-Id is missing"};
     return {};
 }
 
--- a/src/net/message.h
+++ b/src/net/message.h
@@ -35,7 +35,7 @@
 struct Response {
     int status = 0;
     bool declined = false;  // the upstream says that it has not begun
-    Report report;
+    LoadReport report;
     Headers passed_on;
     std::string body;
     bool more = false;                  // of the body follows in pieces
@@ -43,28 +43,28 @@
 };
 
 // Why a request was not taken, as the status it is answered with.
-struct Unacceptable {
+struct RequestError {
     int status = 400;
     const char* why = "";
 };
 
 // How far an attempt came, and what ended it. What this proves is decided in the reducer, once.
-enum class Progress { not_connected, partly_written, written, answering };
-enum class Cause { refused, no_answer_in_time, broken, malformed, no_descriptor, withdrawn };
-struct Broken {
-    Progress progress = Progress::not_connected;
-    Cause cause = Cause::broken;
+enum class AttemptProgress { not_connected, partly_written, written, answering };
+enum class FailureCause { refused, no_answer_in_time, broken, malformed, no_descriptor, withdrawn };
+struct ConnectionError {
+    AttemptProgress progress = AttemptProgress::not_connected;
+    FailureCause cause = FailureCause::broken;
 };
 
 std::string origin_form(std::string_view target);  // without scheme and host, where a target has them
-std::optional<uint32_t> decode_operation(const Setup& setup, std::string_view target);
-std::optional<Unacceptable> decode_request(const Setup& setup, Headers headers, Request& into);
+std::optional<uint32_t> decode_operation(const ServiceConfig& setup, std::string_view target);
+std::optional<RequestError> decode_request(const ServiceConfig& setup, Headers headers, Request& into);
 std::string encode_request(const Request& request, std::string_view host, Span wait);
 // Old callers, of HTTP/1.0, read to the end of the connection what has no length.
 std::string encode_response(const Response& response, bool last_on_connection, bool old = false);
 // What follows a message's head and first bytes, where there was more.
 std::string encode_piece(std::string bytes, bool chunked, bool last);
-Report decode_report(const Setup& setup, std::string_view text);
+LoadReport decode_report(const ServiceConfig& setup, std::string_view text);
 std::string encode_probe(std::string_view host, bool with_report);
 
 std::string encode_seconds(Span span);
@@ -126,7 +126,7 @@
 class ResponseReader : public MessageReader
 {
   public:
-    explicit ResponseReader(const Setup& setup) : setup_(&setup) {}
+    explicit ResponseReader(const ServiceConfig& setup) : setup_(&setup) {}
 
     Response& response() { return response_; }
 
@@ -136,7 +136,7 @@
     bool head_done() override;
     std::string& body() override { return response_.body; }
 
-    const Setup* setup_;
+    const ServiceConfig* setup_;
     Response response_;
 };
 
@@ -145,10 +145,10 @@
 class RequestReader : public MessageReader
 {
   public:
-    explicit RequestReader(const Setup& setup) : setup_(&setup) {}
+    explicit RequestReader(const ServiceConfig& setup) : setup_(&setup) {}
 
     Request& request() { return request_; }
-    const Unacceptable& why() const { return why_; }
+    const RequestError& why() const { return why_; }
     bool asks_whether_ready() const;
     size_t still_to_come() const;  // bytes of its body at most, once the head is there
     bool expects_word() const { return still_to_come() > 0 && expects_; }
@@ -162,10 +162,10 @@
     std::string& body() override { return request_.body; }
     bool refuse(int status, const char* why);
 
-    const Setup* setup_;
+    const ServiceConfig* setup_;
     Request request_;
     Headers headers_;
-    Unacceptable why_{400, "unreadable request"};
+    RequestError why_{400, "unreadable request"};
     bool expects_ = false, old_ = false;
 };
 
--- a/src/net/reducer.cpp
+++ b/src/net/reducer.cpp
@@ -29,21 +29,21 @@
 }
 
 // What an answer proves. A 503 that does not say it was declined may have run.
-Result result_of(const Response& r)
+AttemptResult result_of(const Response& r)
 {
-    if (r.status == 200) return Result::succeeded;
-    if ((r.status == 503 || r.status == 504) && r.declined) return Result::full;
+    if (r.status == 200) return AttemptResult::succeeded;
+    if ((r.status == 503 || r.status == 504) && r.declined) return AttemptResult::full;
     // Guards against blaming upstreams for what bad callers ask, and against asking it of another one.
-    if (r.status >= 400 && r.status < 500) return Result::unusable;
-    return Result::errored;
+    if (r.status >= 400 && r.status < 500) return AttemptResult::unusable;
+    return AttemptResult::errored;
 }
 
 // What a break proves: nothing ran before the last byte was written.
-Result result_of(Broken b)
+AttemptResult result_of(ConnectionError b)
 {
-    if (b.cause == Cause::no_descriptor) return Result::not_sent;
-    if (b.progress < Progress::written) return Result::unreachable;
-    return b.cause == Cause::no_answer_in_time ? Result::timed_out : Result::reset;
+    if (b.cause == FailureCause::no_descriptor) return AttemptResult::not_sent;
+    if (b.progress < AttemptProgress::written) return AttemptResult::unreachable;
+    return b.cause == FailureCause::no_answer_in_time ? AttemptResult::timed_out : AttemptResult::reset;
 }
 
 }  // namespace
@@ -55,7 +55,7 @@
     return hash;
 }
 
-Reducer::Reducer(Setup& setup, uint64_t seed, std::string discovery, size_t room)
+Reducer::Reducer(ServiceConfig& setup, uint64_t seed, std::string discovery, size_t room)
     : setup_(setup),
       all_room_(room),
       room_(room),
@@ -76,20 +76,20 @@
 std::vector<Effect> Reducer::reduce(Point now, Event event)
 {
     now_ = now;
-    if (view_ && view_->due([this](Tgt t) { return reduction(t); })) show();
+    if (view_ && view_->due([this](UpstreamId t) { return reduction(t); })) show();
     std::visit([this](auto& e) { on(e); }, event);
     // The module is told only now of a forward that was cancelled, or that could not be made: it may not be
     // called while it decides.
     while (!settled_.empty()) {
         const auto [id, result] = settled_.front();
         settled_.pop_front();
-        if (result == Result::cancelled) effects_.push_back(HangUp{id});
+        if (result == AttemptResult::cancelled) effects_.push_back(CloseUpstream{id});
         ended(id, result, nullptr);
     }
     return std::move(effects_);
 }
 
-void Reducer::on(Started)
+void Reducer::on(ServiceStarted)
 {
     if (recovery_) recovery_->start(now_);
     balancer_.started(now_);
@@ -97,17 +97,17 @@
 
 // A new upstream takes the place of one that has gone. Guards against growing with all that ever were; what
 // was forwarded to the old one still counts against it until it is over.
-Tgt Reducer::place_of(const std::string& uid)
+UpstreamId Reducer::place_of(const std::string& uid)
 {
-    const auto [at, fresh] = upstream_of_.try_emplace(uid, static_cast<Tgt>(upstreams_.size()));
+    const auto [at, fresh] = upstream_of_.try_emplace(uid, static_cast<UpstreamId>(upstreams_.size()));
     if (!fresh) return at->second;
     const auto free = std::find_if(upstreams_.begin(), upstreams_.end(), [](const Upstream& u) {
-        return u.presence == Presence::gone && u.referred == 0;
+        return u.phase == EndpointPhase::gone && u.referred == 0;
     });
     if (free == upstreams_.end()) {
         upstreams_.emplace_back();
     } else {
-        at->second = static_cast<Tgt>(free - upstreams_.begin());
+        at->second = static_cast<UpstreamId>(free - upstreams_.begin());
         effects_.push_back(CloseIdle{at->second});
         upstream_of_.erase(free->uid);
         *free = {};
@@ -116,41 +116,41 @@
     return at->second;
 }
 
-std::vector<Listing> Reducer::listings(const std::vector<Entry>& entries, bool all)
+std::vector<EndpointState> Reducer::listings(const std::vector<ListedEndpoint>& entries, bool all)
 {
-    std::vector<Presence> before;
+    std::vector<EndpointPhase> before;
     for (Upstream& u : upstreams_) {
-        before.push_back(u.presence);
-        if (all) u.presence = Presence::gone;  // a whole list drops what it does not name
+        before.push_back(u.phase);
+        if (all) u.phase = EndpointPhase::gone;  // a whole list drops what it does not name
     }
     // Those that have a place come first. Guards against giving it to another one of the same list.
-    for (const Entry& e : entries)
+    for (const ListedEndpoint& e : entries)
         if (const auto at = upstream_of_.find(e.uid); at != upstream_of_.end())
-            upstreams_[at->second].presence = e.presence;
-    std::vector<Listing> listed;
-    for (const Entry& e : entries) {
-        const Tgt at = place_of(e.uid);
-        before.resize(upstreams_.size(), Presence::gone);
+            upstreams_[at->second].phase = e.phase;
+    std::vector<EndpointState> listed;
+    for (const ListedEndpoint& e : entries) {
+        const UpstreamId at = place_of(e.uid);
+        before.resize(upstreams_.size(), EndpointPhase::gone);
         Upstream& u = upstreams_[at];
         if (!u.endpoint.empty() && u.endpoint != e.endpoint) effects_.push_back(CloseIdle{at});
         u.endpoint = e.endpoint;
-        u.presence = e.presence;
-        listed.push_back({at, id_of(e.uid), e.presence, e.zone, e.cell, 1, e.started});
+        u.phase = e.phase;
+        listed.push_back({at, id_of(e.uid), e.phase, e.zone, e.cell, 1, e.started});
         if (setup_.sizes_listed && e.size > 0) listed.back().size = e.size;
     }
     bool left = false;
-    for (Tgt t = 0; t < upstreams_.size(); ++t)
-        if (before[t] == Presence::ready && upstreams_[t].presence != Presence::ready)
+    for (UpstreamId t = 0; t < upstreams_.size(); ++t)
+        if (before[t] == EndpointPhase::ready && upstreams_[t].phase != EndpointPhase::ready)
             effects_.push_back(CloseIdle{t}), left = true;
     // Guards against a request that passed the gate before this list and leaves after it.
     if (left)
         for (const auto& [id, a] : attempts_)
-            if (upstreams_[a.tgt].presence != Presence::ready) effects_.push_back(Withdraw{id});
+            if (upstreams_[a.upstream_id].phase != EndpointPhase::ready) effects_.push_back(CancelWrite{id});
     listed_ = listed_ || !listed.empty();
     return listed;
 }
 
-void Reducer::on(ListUpdate& told)
+void Reducer::on(EndpointListUpdated& told)
 {
     // Guards against a discovery that has lost its own past: no good list is thrown away for an empty one.
     const bool empty =
@@ -162,20 +162,20 @@
 }
 
 // Of a list from before the start, warmth is not believed: what came back with this one is cold.
-void Reducer::on(ListRemembered& told)
+void Reducer::on(EndpointListRestored& told)
 {
     if (recovery_)
-        for (Entry& e : told.entries) e.started = now_;
+        for (ListedEndpoint& e : told.entries) e.started = now_;
     listed(listings(told.entries, true), true);
 }
 
-void Reducer::listed(const std::vector<Listing>& listings, bool all)
+void Reducer::listed(const std::vector<EndpointState>& listings, bool all)
 {
     if (!view_) return all ? balancer_.list_is(now_, listings) : balancer_.list_changed(now_, listings);
     if (all)
-        for (Listing& l : real_) l.presence = Presence::gone;
+        for (EndpointState& l : real_) l.phase = EndpointPhase::gone;
     real_.resize(upstreams_.size());
-    for (const Listing& l : listings) real_[l.tgt] = l;
+    for (const EndpointState& l : listings) real_[l.upstream_id] = l;
     view_->list_is(real_);
     show();
 }
@@ -184,52 +184,53 @@
 
 void Reducer::show()
 {
-    const auto changes = view_->update(now_, [this](Tgt t) { return reduction(t); });
+    const auto changes = view_->update(now_, [this](UpstreamId t) { return reduction(t); });
     if (changes.empty()) return;
-    for (const Listing& l : changes)
-        if (l.presence == Presence::gone && !view_->shows(l.tgt)) effects_.push_back(CloseIdle{l.tgt});
+    for (const EndpointState& l : changes)
+        if (l.phase == EndpointPhase::gone && !view_->shows(l.upstream_id))
+            effects_.push_back(CloseIdle{l.upstream_id});
     balancer_.list_changed(now_, changes);
     const double balancers = std::max(1u, setup_.settings.balancers);
     balancer_.share_of_list(view_->part_shown() * (sharers_ > 0 ? sharers_ / balancers : 1));
 }
 
-void Reducer::on(FleetIs& fleet)
+void Reducer::on(SubsetPeersUpdated& fleet)
 {
     if (!view_) return;
     sharers_ = static_cast<double>(fleet.sharers.size());
     view_->fleet_is(std::move(fleet.sharers));
 }
 
-void Reducer::on(const SignalsUpdate& told)
+void Reducer::on(const OutlierReportsUpdated& told)
 {
     if (view_) view_->told(now_, told.results);
 }
 
-void Reducer::on(const PartsAre& parts)
+void Reducer::on(const QuotasUpdated& parts)
 {
     if (view_) view_->parts_are(now_, parts.parts);
 }
 
 // Against the fleet's own limits, before the module hears of it.
-bool Reducer::turned_away(Arrived& arrived)
+bool Reducer::turned_away(RequestReceived& arrived)
 {
-    Outcomes& outcomes = outcomes_of(arrived.request.operation);
+    OutcomeCounts& outcomes = outcomes_of(arrived.request.operation);
     // What may have run before this start is never forwarded again.
     if (!may_have_run_.empty() && may_have_run_.count(arrived.request.id) &&
-        setup_.settings.operations[arrived.request.operation].repeat == Repeat::non_idempotent) {
+        setup_.settings.operations[arrived.request.operation].repeat == Idempotency::non_idempotent) {
         ++outcomes.failure;
-        effects_.push_back(Answer{arrived.caller, plain_answer(502, "errored\n"), turns_out(now_)});
+        effects_.push_back(SendResponse{arrived.caller, plain_answer(502, "errored\n"), turns_out(now_)});
         return true;
     }
-    auto come_back = over_rate(arrived.request);
+    auto retry_after = over_rate(arrived.request);
     // Spread by the caller's number, so that those turned away together don't come back together.
-    if (!come_back && recovery_ && !recovery_->admits(now_, rank_of(arrived.request.operation)))
-        come_back = seconds(1 + static_cast<double>(arrived.caller % 16) * 0.125);
-    if (!come_back) return false;
+    if (!retry_after && recovery_ && !recovery_->admits(now_, rank_of(arrived.request.operation)))
+        retry_after = seconds(1 + static_cast<double>(arrived.caller % 16) * 0.125);
+    if (!retry_after) return false;
     ++outcomes.busy;
     auto r = plain_answer(503, "throttled\n");
-    r.passed_on.emplace_back("Retry-After", encode_seconds(*come_back));
-    effects_.push_back(Answer{arrived.caller, std::move(r), turns_out(now_)});
+    r.passed_on.emplace_back("Retry-After", encode_seconds(*retry_after));
+    effects_.push_back(SendResponse{arrived.caller, std::move(r), turns_out(now_)});
     return true;
 }
 
@@ -241,7 +242,7 @@
     return most > 0 ? 1 - setup_.settings.operations[operation].late_billed_value / most : 0;
 }
 
-void Reducer::on(const Remembered& remembered)
+void Reducer::on(const SnapshotRestored& remembered)
 {
     const fleet::MemberSnapshot& m = remembered.memory;
     may_have_run_ = {m.open.begin(), m.open.end()};
@@ -249,7 +250,7 @@
     if (view_) view_->recall(now_, m.reductions);
 }
 
-void Reducer::on(const FleetStateIs& fleet)
+void Reducer::on(const FleetStateUpdated& fleet)
 {
     if (recovery_) recovery_->fleet_is(fleet.state);
 }
@@ -260,9 +261,9 @@
     if (!recovery_) return;
     const Settings& set = setup_.settings;
     double warm = 0, listed = 0;
-    for (Tgt t = 0; t < upstreams_.size() && t < real_.size(); ++t) {
-        const Listing& l = real_[t];
-        if (upstreams_[t].presence != Presence::ready) continue;
+    for (UpstreamId t = 0; t < upstreams_.size() && t < real_.size(); ++t) {
+        const EndpointState& l = real_[t];
+        if (upstreams_[t].phase != EndpointPhase::ready) continue;
         listed += l.size;
         const double age =
             l.started && set.cold > Span{} ? std::clamp((now_ - *l.started) / set.cold, 0.0, 1.0) : 1;
@@ -280,8 +281,8 @@
 void Reducer::remember(LocalObservations& observed)
 {
     observed.recovery = recovery_->lines(now_);
-    for (Tgt t = 0; t < upstreams_.size() && t < real_.size(); ++t) {
-        if (upstreams_[t].presence != Presence::ready) continue;
+    for (UpstreamId t = 0; t < upstreams_.size() && t < real_.size(); ++t) {
+        if (upstreams_[t].phase != EndpointPhase::ready) continue;
         observed.size += real_[t].size;
         if (const double r = reduction(t); r >= 0.1)
             observed.reductions.push_back({real_[t].id, static_cast<float>(r), seconds(1.5).us});
@@ -290,7 +291,7 @@
     observed.accepted = usual.rate, observed.size = usual.size, observed.sharers = usual.sharers;
     for (const Invocation& i : invocations_)
         if (!i.over && !i.attempts.empty() && i.request.operation < setup_.settings.operations.size() &&
-            setup_.settings.operations[i.request.operation].repeat == Repeat::non_idempotent)
+            setup_.settings.operations[i.request.operation].repeat == Idempotency::non_idempotent)
             observed.open.push_back(i.request.id);
 }
 
@@ -300,20 +301,21 @@
     if (!view_) return;
     show();
     auto observed = view_->observe(
-        now_, [this](Tgt t) { return reduction(t); }, [this](Tgt t) { return upstreams_[t].referred > 0; });
+        now_, [this](UpstreamId t) { return reduction(t); },
+        [this](UpstreamId t) { return upstreams_[t].referred > 0; });
     if (!observed) return;
     for (const Upstream& u : upstreams_)
-        if (u.presence != Presence::gone) observed->names[id_of(u.uid)] = u.uid;
+        if (u.phase != EndpointPhase::gone) observed->names[id_of(u.uid)] = u.uid;
     if (recovery_) remember(*observed);
     effects_.push_back(std::move(*observed));
 }
 
 // The gate of the fleet's budgets: what it refuses has not been sent.
-bool Reducer::within_budgets(uint32_t nth, Tgt tgt)
+bool Reducer::within_budgets(uint32_t nth, UpstreamId upstream_id)
 {
     if (!view_) return true;
     if (nth > 0 && !view_->take(now_, {fleet::Budget::retries, 0})) return false;
-    return view_->take_cold(now_, tgt);
+    return view_->take_cold(now_, upstream_id);
 }
 
 // A tenant's rate over the whole fleet. When to come back, where this one is over its part.
@@ -321,18 +323,18 @@
 {
     if (!view_ || request.tenant >= setup_.tenants.size()) return {};
     if (view_->take(now_, {fleet::Budget::tenant, fleet::key_of(setup_.tenants[request.tenant])})) return {};
-    return setup_.settings.max_come_back > Span{} ? setup_.settings.max_come_back : seconds(1);
+    return setup_.settings.max_retry_after > Span{} ? setup_.settings.max_retry_after : seconds(1);
 }
 
-void Reducer::on(ListFailed) { balancer_.list_answered(now_, false); }
+void Reducer::on(EndpointListFetchFailed) { balancer_.list_answered(now_, false); }
 
-void Reducer::on(Arrived& arrived)
+void Reducer::on(RequestReceived& arrived)
 {
     // Guards against a request whose head was read under other settings being taken for another operation.
     if (arrived.request.edition != setup_.edition) {
         const auto operation = decode_operation(setup_, arrived.request.target);
         if (!operation) {
-            effects_.push_back(Answer{arrived.caller, plain_answer(404, "no such operation\n"), true});
+            effects_.push_back(SendResponse{arrived.caller, plain_answer(404, "no such operation\n"), true});
             return;
         }
         arrived.request.operation = *operation;
@@ -340,24 +342,24 @@
     }
     ++taken_;
     if (view_) view_->arrived();
-    Outcomes& outcomes = outcomes_of(arrived.request.operation);
+    OutcomeCounts& outcomes = outcomes_of(arrived.request.operation);
     if (turned_away(arrived)) return;
     // Guards against two forwards under one id, of which an upstream would take the second for a copy.
     if (!open_ids_.insert(arrived.request.id).second) {
         ++outcomes.failure;
-        effects_.push_back(Answer{arrived.caller, plain_answer(409, "this id is open\n"), true});
+        effects_.push_back(SendResponse{arrived.caller, plain_answer(409, "this id is open\n"), true});
         return;
     }
     if (free_.empty()) {
-        free_.push_back(static_cast<Inv>(invocations_.size()));
+        free_.push_back(static_cast<InvocationId>(invocations_.size()));
         invocations_.emplace_back();
     }
-    const Inv inv = free_.back();
+    const InvocationId inv = free_.back();
     free_.pop_back();
     invocation_of_.emplace(arrived.caller, inv);
     bound_by_stop(arrived.request);
-    const Ask ask{arrived.request.operation, arrived.request.tenant, arrived.request.time_left,
-                  arrived.request.more};
+    const InvocationRequest ask{arrived.request.operation, arrived.request.tenant, arrived.request.time_left,
+                                arrived.request.more};
     Invocation& i = invocations_[inv] = {};
     i.caller = arrived.caller;
     i.over = false;
@@ -365,13 +367,13 @@
     if (arrived.half_closed) i.half_closed = now_ - may_listen_for;
     i.outcomes = &outcomes;
     const Operation& op = setup_.settings.operations[ask.operation];
-    if (op.repeat == Repeat::deduplicated) i.window = op.window;
+    if (op.repeat == Idempotency::deduplicated) i.window = op.window;
     sending_ += i.request.more;
     balancer_.accept(now_, inv, ask);
 }
 
 // More of a request that goes on while it comes. Until its last byte nothing has run; its time begins there.
-void Reducer::on(RequestData& piece)
+void Reducer::on(RequestChunkReceived& piece)
 {
     const auto at = invocation_of_.find(piece.caller);
     if (at == invocation_of_.end() || invocations_[at->second].over) return;
@@ -382,10 +384,10 @@
     i.on_way += piece.bytes.size();
     i.request.more = !piece.last;
     sending_ -= piece.last;
-    effects_.push_back(Write{*i.goes_to, encode_piece(std::move(piece.bytes), !i.request.length, piece.last),
-                             i.request.more});
+    effects_.push_back(WriteUpstream{
+        *i.goes_to, encode_piece(std::move(piece.bytes), !i.request.length, piece.last), i.request.more});
     if (i.request.more) {
-        if (i.on_way > most_on_way()) effects_.push_back(Hear{i.caller, false});
+        if (i.on_way > most_on_way()) effects_.push_back(SetRequestReading{i.caller, false});
         return;
     }
     i.request.time_left = std::max(Span{}, i.request.time_left - piece.waited);
@@ -402,18 +404,18 @@
 // The caller is heard only while its bytes have somewhere to go.
 void Reducer::hear(const Invocation& i)
 {
-    if (i.request.more) effects_.push_back(Hear{i.caller, true});
+    if (i.request.more) effects_.push_back(SetRequestReading{i.caller, true});
 }
 
-void Reducer::on(WriteDrained taken)
+void Reducer::on(ResponseDrained taken)
 {
     const auto at = relay_of_.find(taken.caller);
     if (at == relay_of_.end()) return;
     const AttemptId id = at->second;
     Relay& r = relays_[id];
     r.on_way = 0;
-    if (r.all_came) return relayed(id, &Outcomes::success);
-    if (std::exchange(r.held, false)) effects_.push_back(Read{id, true});
+    if (r.all_came) return relayed(id, &OutcomeCounts::success);
+    if (std::exchange(r.held, false)) effects_.push_back(SetResponseReading{id, true});
 }
 
 // From here on this attempt is the answer.
@@ -428,21 +430,21 @@
     relays_[id] = {i.caller, i.request.id, i.outcomes, 0, false, false};
 }
 
-void Reducer::on(ResponseData& came)
+void Reducer::on(ResponseChunkReceived& came)
 {
     const auto at = relays_.find(came.attempt);
     if (at == relays_.end()) return;
     Relay& r = at->second;
     r.on_way += came.bytes.size();
     r.all_came = came.last;
-    effects_.push_back(Pass{r.caller, std::move(came.bytes), came.last});
+    effects_.push_back(SendResponseChunk{r.caller, std::move(came.bytes), came.last});
     if (came.last || r.held || r.on_way <= most_on_way()) return;
     r.held = true;
-    effects_.push_back(Read{came.attempt, false});
+    effects_.push_back(SetResponseReading{came.attempt, false});
 }
 
 // A relay is over, and counts as what it came to.
-void Reducer::relayed(AttemptId id, uint64_t Outcomes::*as)
+void Reducer::relayed(AttemptId id, uint64_t OutcomeCounts::*as)
 {
     const Relay r = std::move(relays_[id]);
     if (as) ++(r.outcomes->*as);
@@ -451,12 +453,12 @@
     relays_.erase(id);
 }
 
-void Reducer::on(CallerLeft left)
+void Reducer::on(DownstreamDisconnected left)
 {
     if (const auto relay = relay_of_.find(left.caller); relay != relay_of_.end()) {
         const AttemptId id = relay->second;
         ++left_;
-        effects_.push_back(HangUp{id});
+        effects_.push_back(CloseUpstream{id});
         return relayed(id, nullptr);
     }
     const auto at = invocation_of_.find(left.caller);
@@ -467,7 +469,7 @@
 }
 
 // One that has gone and one that listens look the same: what is out goes on, nothing more begins.
-void Reducer::on(HalfClosed closed)
+void Reducer::on(DownstreamHalfClosed closed)
 {
     if (const auto at = invocation_of_.find(closed.caller); at != invocation_of_.end())
         invocations_[at->second].half_closed = now_;
@@ -477,8 +479,8 @@
 // ended or ran out of time, while the connection was being made.
 bool Reducer::may_write(const Attempt& attempt) const
 {
-    const Upstream& u = upstreams_[attempt.tgt];
-    if (u.presence != Presence::ready || u.endpoint != attempt.endpoint || now_ >= attempt.until ||
+    const Upstream& u = upstreams_[attempt.upstream_id];
+    if (u.phase != EndpointPhase::ready || u.endpoint != attempt.endpoint || now_ >= attempt.until ||
         (attempt.written_by && now_ >= *attempt.written_by))
         return false;
     if (!attempt.inv) return true;
@@ -491,27 +493,28 @@
     return !i.half_closed || now_ - *i.half_closed < may_listen_for;
 }
 
-void Reducer::on(Connected connected)
+void Reducer::on(UpstreamConnected connected)
 {
     const auto at = attempts_.find(connected.attempt);
     if (at == attempts_.end()) return;
     const Attempt& a = at->second;
     if (!may_write(a)) {
-        effects_.push_back(HangUp{connected.attempt});
-        return ended(connected.attempt, Result::unreachable, nullptr);
+        effects_.push_back(CloseUpstream{connected.attempt});
+        return ended(connected.attempt, AttemptResult::unreachable, nullptr);
     }
-    const auto& host = upstreams_[a.tgt].endpoint;
+    const auto& host = upstreams_[a.upstream_id].endpoint;
     if (!a.inv) {
         const auto probe = encode_probe(host, setup_.settings.reports_by_probe);
-        return effects_.push_back(Write{connected.attempt, probe, false, a.stamp});
+        return effects_.push_back(WriteUpstream{connected.attempt, probe, false, a.stamp});
     }
     Invocation& i = invocations_[*a.inv];
     const Span wait = i.request.more ? i.request.time_left : a.until - now_;
-    effects_.push_back(Write{connected.attempt, encode_request(i.request, host, wait), i.request.more});
+    effects_.push_back(
+        WriteUpstream{connected.attempt, encode_request(i.request, host, wait), i.request.more});
     if (i.request.more) i.goes_to = connected.attempt, i.on_way = i.request.body.size();
 }
 
-void Reducer::on(Written written)
+void Reducer::on(RequestWritten written)
 {
     const auto at = attempts_.find(written.attempt);
     if (at == attempts_.end() || !at->second.inv) return;
@@ -526,42 +529,42 @@
     backend_calls_ += !std::exchange(at->second.counted, true);
 }
 
-void Reducer::on(TurnedAway turned)
+void Reducer::on(RequestRejected turned)
 {
     if (turned.edition != setup_.edition) return;
     ++taken_;
     ++outcomes_of(turned.operation).busy;
 }
 
-Outcomes& Reducer::outcomes_of(uint32_t operation) { return outcomes_[setup_.operations[operation]]; }
+OutcomeCounts& Reducer::outcomes_of(uint32_t operation) { return outcomes_[setup_.operations[operation]]; }
 
-void Reducer::on(Answered& answered)
+void Reducer::on(ResponseReceived& answered)
 {
     const auto result = result_of(answered.response);
     if (const auto at = attempts_.find(answered.attempt); at != attempts_.end()) {
         // An answer that comes before the request has gone is no more than a word on how it ended.
         const bool early = at->second.inv && invocations_[*at->second.inv].request.more;
-        if (!early) on(Written{answered.attempt});
-        if (answered.response.more && result == Result::succeeded && !early) bind(answered.attempt);
+        if (!early) on(RequestWritten{answered.attempt});
+        if (answered.response.more && result == AttemptResult::succeeded && !early) bind(answered.attempt);
     }
     if (answered.response.more && !relays_.count(answered.attempt)) {
-        effects_.push_back(HangUp{answered.attempt});
-        if (result == Result::succeeded) return ended(answered.attempt, Result::reset, nullptr);
+        effects_.push_back(CloseUpstream{answered.attempt});
+        if (result == AttemptResult::succeeded) return ended(answered.attempt, AttemptResult::reset, nullptr);
     }
     ended(answered.attempt, result, &answered.response);
 }
 
-void Reducer::on(Failed failed)
+void Reducer::on(AttemptFailed failed)
 {
     if (const auto at = relays_.find(failed.attempt); at != relays_.end()) {
-        effects_.push_back(Cut{at->second.caller});
-        return relayed(failed.attempt, &Outcomes::failure);
+        effects_.push_back(AbortResponse{at->second.caller});
+        return relayed(failed.attempt, &OutcomeCounts::failure);
     }
-    if (failed.broken.progress >= Progress::written) on(Written{failed.attempt});
+    if (failed.broken.progress >= AttemptProgress::written) on(RequestWritten{failed.attempt});
     ended(failed.attempt, result_of(failed.broken), nullptr);
 }
 
-void Reducer::ended(AttemptId id, Result result, Response* response)
+void Reducer::ended(AttemptId id, AttemptResult result, Response* response)
 {
     const auto at = attempts_.find(id);
     if (at == attempts_.end()) return;  // called off before
@@ -570,35 +573,37 @@
     if (a.inv && invocations_[*a.inv].goes_to == id) {
         Invocation& i = invocations_[*a.inv];
         i.goes_to.reset();
-        if (i.request.more && !i.over) effects_.push_back(Hear{i.caller, false});
+        if (i.request.more && !i.over) effects_.push_back(SetRequestReading{i.caller, false});
     }
     if (!a.inv) {
-        --upstreams_[a.tgt].referred;
+        --upstreams_[a.upstream_id].referred;
         const bool asked = response && setup_.settings.reports_by_probe;
         if (a.stamp)
-            effects_.push_back(Probed{a.stamp, upstreams_[a.tgt].uid, result == Result::succeeded,
-                                      asked ? response->body : std::string()});
-        return balancer_.probed(now_, a.tgt, result,
-                                asked ? decode_report(setup_, response->body) : Report{});
+            effects_.push_back(ProbeCompleted{a.stamp, upstreams_[a.upstream_id].uid,
+                                              result == AttemptResult::succeeded,
+                                              asked ? response->body : std::string()});
+        return balancer_.probed(now_, a.upstream_id, result,
+                                asked ? decode_report(setup_, response->body) : LoadReport{});
     }
-    const Report report = response ? response->report : Report{};
+    const LoadReport report = response ? response->report : LoadReport{};
     // What is called off, or was never sent, says nothing of the upstream.
-    if (view_ && result != Result::cancelled && result != Result::not_sent && result != Result::unusable)
-        view_->answered(now_, a.tgt, result == Result::succeeded);
+    if (view_ && result != AttemptResult::cancelled && result != AttemptResult::not_sent &&
+        result != AttemptResult::unusable)
+        view_->answered(now_, a.upstream_id, result == AttemptResult::succeeded);
     // The first success is the answer, without being asked for.
-    if (result == Result::succeeded) answer(*a.inv, std::move(*response));
+    if (result == AttemptResult::succeeded) answer(*a.inv, std::move(*response));
     const bool over = invocations_[*a.inv].over;
     balancer_.ended(now_, *a.inv, a.nth, result, now_ - a.sent, over, report);
 }
 
-void Reducer::on(Shared shared) { room_ = all_room_ / std::max<size_t>(1, shared.processes); }
+void Reducer::on(ProcessCountChanged shared) { room_ = all_room_ / std::max<size_t>(1, shared.processes); }
 
 // Each upstream has its part, and its slice of the period, by its id: the same at every balancer.
-void Reducer::on(ProbeDue due)
+void Reducer::on(ProbesDue due)
 {
-    for (Tgt t = 0; t < upstreams_.size(); ++t) {
+    for (UpstreamId t = 0; t < upstreams_.size(); ++t) {
         const uint64_t id = id_of(upstreams_[t].uid);
-        if (upstreams_[t].presence != Presence::ready || id % due.parts != due.part ||
+        if (upstreams_[t].phase != EndpointPhase::ready || id % due.parts != due.part ||
             id / due.parts % due.slices != due.slice)
             continue;
         ++upstreams_[t].referred;
@@ -606,63 +611,63 @@
     }
 }
 
-void Reducer::on(const ReportHeard& heard)
+void Reducer::on(const ProbeReportReceived& heard)
 {
     const auto at = upstream_of_.find(heard.uid);
-    if (at == upstream_of_.end() || upstreams_[at->second].presence == Presence::gone) return;
-    balancer_.probed(now_, at->second, heard.well ? Result::succeeded : Result::unreachable,
-                     heard.report.empty() ? Report{} : decode_report(setup_, heard.report));
+    if (at == upstream_of_.end() || upstreams_[at->second].phase == EndpointPhase::gone) return;
+    balancer_.probed(now_, at->second, heard.well ? AttemptResult::succeeded : AttemptResult::unreachable,
+                     heard.report.empty() ? LoadReport{} : decode_report(setup_, heard.report));
 }
 
-void Reducer::on(Woken woken) { balancer_.woken(now_, woken.name); }
+void Reducer::on(TimerFired woken) { balancer_.woken(now_, woken.name); }
 
-void Reducer::on(Stopping stopping)
+void Reducer::on(ShutdownStarted stopping)
 {
     stopped_ = now_;
     another_serves_ = stopping.another_serves;
 }
 
 // A second drain changes nothing, nor does a resume where nothing drains. What stops does so for good.
-void Reducer::on(Ordered ordered)
+void Reducer::on(AdminCommandReceived ordered)
 {
-    Obeyed obeyed{ordered.caller, true, {}, {}};
+    AdminCommandResult obeyed{ordered.caller, true, {}, {}};
     switch (ordered.order) {
-        case Order::ready: obeyed.success = ready(); break;
-        case Order::show_stat: obeyed.figures = figures(); break;
-        case Order::drain:
+        case AdminCommand::ready: obeyed.success = ready(); break;
+        case AdminCommand::show_stat: obeyed.figures = figures(); break;
+        case AdminCommand::drain:
             if (!drained_) drained_ = now_;
             break;
-        case Order::resume:
+        case AdminCommand::resume:
             obeyed.success = !stopped_;
             drained_.reset();
             break;
     }
-    obeyed.life = life();
+    obeyed.serving_state = serving_state();
     effects_.push_back(std::move(obeyed));
 }
 
-Life Reducer::life() const
+ServingState Reducer::serving_state() const
 {
-    if (stopped_) return Life::stopping;
-    if (drained_) return Life::draining;
-    return listed_ ? Life::ready : Life::starting;
+    if (stopped_) return ServingState::stopping;
+    if (drained_) return ServingState::draining;
+    return listed_ ? ServingState::ready : ServingState::starting;
 }
 
-Figures Reducer::figures()
+ServiceStatistics Reducer::figures()
 {
-    Figures f{outcomes_, backend_calls_, taken_, left_, open_ids_.size(), 0, 0};
-    for (const Upstream& u : upstreams_) f.hosts_listed += u.presence != Presence::gone;
-    for (Tgt t = 0; t < upstreams_.size(); ++t)
-        f.hosts_down += upstreams_[t].presence == Presence::draining ||
-                        (upstreams_[t].presence == Presence::ready && reduction(t) >= 0.5);
+    ServiceStatistics f{outcomes_, backend_calls_, taken_, left_, open_ids_.size(), 0, 0};
+    for (const Upstream& u : upstreams_) f.hosts_listed += u.phase != EndpointPhase::gone;
+    for (UpstreamId t = 0; t < upstreams_.size(); ++t)
+        f.hosts_down += upstreams_[t].phase == EndpointPhase::draining ||
+                        (upstreams_[t].phase == EndpointPhase::ready && reduction(t) >= 0.5);
     return f;
 }
 
 // What is open finishes as the module says; its answers come from upstreams that stay the same.
-void Reducer::settings_are(Setup setup)
+void Reducer::settings_are(ServiceConfig setup)
 {
     const auto places = [](const std::vector<std::string>& now, const std::vector<std::string>& before) {
-        Places were;
+        IndexMapping were;
         for (const auto& name : now) {
             const auto at = std::find(before.begin(), before.end(), name);
             were.emplace_back();
@@ -680,12 +685,12 @@
 
 // The list, and what is known of its upstreams, stays as it is until the new address has told its own. With
 // new settings the list is asked for anew as a whole: its zones may have other places.
-void Reducer::on(Reread& read)
+void Reducer::on(ConfigReloaded& read)
 {
     if (read.discovery == discovery_ && !read.setup) return;
     if (read.setup) settings_are(std::move(*read.setup));
     discovery_ = read.discovery;
-    effects_.push_back(MoveWatch{std::move(read.discovery)});
+    effects_.push_back(MoveEndpointWatch{std::move(read.discovery)});
 }
 
 // After the signal to stop. Guards against answers that wait for upstreams until the process is killed, where
@@ -720,88 +725,89 @@
 }
 
 // Every answer to a caller passes here; a second one never does.
-void Reducer::answer(Inv inv, Response response)
+void Reducer::answer(InvocationId inv, Response response)
 {
     Invocation& i = invocations_[inv];
     if (i.over) return;
     went_well_ += response.status == 200;
     if (i.bound) {
         i.over = true;
-        return effects_.push_back(Answer{i.caller, std::move(response), turns_out(now_)});
+        return effects_.push_back(SendResponse{i.caller, std::move(response), turns_out(now_)});
     }
     over(i);
     ++(response.status == 200   ? i.outcomes->success
        : response.status == 503 ? i.outcomes->busy
                                 : i.outcomes->failure);
-    effects_.push_back(Answer{i.caller, std::move(response), turns_out(now_)});
+    effects_.push_back(SendResponse{i.caller, std::move(response), turns_out(now_)});
 }
 
 void Reducer::dial(AttemptId id, Attempt attempt)
 {
-    effects_.push_back(Dial{id, attempt.tgt, attempt.endpoint, attempt.until - attempt.sent});
+    effects_.push_back(
+        ConnectUpstream{id, attempt.upstream_id, attempt.endpoint, attempt.until - attempt.sent});
     attempts_.emplace(id, std::move(attempt));
 }
 
-void Reducer::forward(Inv inv, Tgt tgt, Span limit)
+void Reducer::forward(InvocationId inv, UpstreamId upstream_id, Span limit)
 {
     Invocation& i = invocations_[inv];
     const auto id = next_attempt_++;
     const auto nth = static_cast<uint32_t>(i.attempts.size());
     i.attempts.push_back(id);
-    i.met.push_back(tgt);
-    ++upstreams_[tgt].referred;
-    Attempt attempt{inv, nth, tgt, upstreams_[tgt].endpoint, now_, now_ + limit};
+    i.met.push_back(upstream_id);
+    ++upstreams_[upstream_id].referred;
+    Attempt attempt{inv, nth, upstream_id, upstreams_[upstream_id].endpoint, now_, now_ + limit};
     if (nth == 0) i.first_sent = now_;
     if (nth > 0 && i.window > Span{}) attempt.written_by = i.first_sent + i.window;
-    if (!i.spent && may_begin(i) && within_budgets(nth, tgt)) return dial(id, std::move(attempt));
+    if (!i.spent && may_begin(i) && within_budgets(nth, upstream_id)) return dial(id, std::move(attempt));
     // Guards against a request that lacks the bytes which were not held: there is nothing left to send. And
     // against more than this balancer's part of a budget of the fleet.
     attempts_.emplace(id, std::move(attempt));
-    settled_.emplace_back(id, Result::not_sent);
+    settled_.emplace_back(id, AttemptResult::not_sent);
 }
 
-void Reducer::limit(Inv inv, uint32_t forward, Span limit)
+void Reducer::limit(InvocationId inv, uint32_t forward, Span limit)
 {
     const auto at = attempts_.find(invocations_[inv].attempts[forward]);
     if (at == attempts_.end()) return;
     at->second.until = now_ + limit;
-    effects_.push_back(Limit{at->first, limit});
+    effects_.push_back(SetAttemptTimeout{at->first, limit});
 }
 
-void Reducer::throttle(Inv inv, Span come_back)
+void Reducer::throttle(InvocationId inv, Span retry_after)
 {
     auto r = plain_answer(503, "throttled\n");
-    if (come_back > Span{}) r.passed_on.emplace_back("Retry-After", encode_seconds(come_back));
+    if (retry_after > Span{}) r.passed_on.emplace_back("Retry-After", encode_seconds(retry_after));
     answer(inv, std::move(r));
 }
 
-void Reducer::error(Inv inv) { answer(inv, plain_answer(502, "errored\n")); }
+void Reducer::error(InvocationId inv) { answer(inv, plain_answer(502, "errored\n")); }
 
-void Reducer::cancel(Inv inv, uint32_t forward)
+void Reducer::cancel(InvocationId inv, uint32_t forward)
 {
-    settled_.emplace_back(invocations_[inv].attempts[forward], Result::cancelled);
+    settled_.emplace_back(invocations_[inv].attempts[forward], AttemptResult::cancelled);
 }
 
-void Reducer::released(Inv inv)
+void Reducer::released(InvocationId inv)
 {
     invocation_of_.erase(invocations_[inv].caller);
-    for (const Tgt tgt : invocations_[inv].met) --upstreams_[tgt].referred;
+    for (const UpstreamId upstream_id : invocations_[inv].met) --upstreams_[upstream_id].referred;
     sending_ -= invocations_[inv].request.more;
     invocations_[inv] = {};
     free_.push_back(inv);
 }
 
-void Reducer::wake(Point at, uint64_t name) { effects_.push_back(Wake{at, name}); }
+void Reducer::wake(Point at, uint64_t name) { effects_.push_back(StartTimer{at, name}); }
 
-void Reducer::probe(Tgt tgt)
+void Reducer::probe(UpstreamId upstream_id)
 {
     if (view_ && !view_->take(now_, {fleet::Budget::probes, 0})) return;
-    ++upstreams_[tgt].referred;
-    dial(next_attempt_++, {{}, 0, tgt, upstreams_[tgt].endpoint, now_, now_ + probe_waits});
+    ++upstreams_[upstream_id].referred;
+    dial(next_attempt_++, {{}, 0, upstream_id, upstreams_[upstream_id].endpoint, now_, now_ + probe_waits});
 }
 
-void Reducer::close_idle(Tgt tgt) { effects_.push_back(CloseIdle{tgt}); }
+void Reducer::close_idle(UpstreamId upstream_id) { effects_.push_back(CloseIdle{upstream_id}); }
 
-void Reducer::watch_list() { effects_.push_back(WatchList{}); }
+void Reducer::watch_list() { effects_.push_back(WatchEndpointList{}); }
 
 }  // namespace firtide::net
