--- a/src/net/reducer.h
+++ b/src/net/reducer.h
@@ -17,224 +17,230 @@
 namespace firtide::net
 {
 
-using CallerId = uint64_t;    // one request of a caller
-using AttemptId = uint64_t;   // one forward or probe
-using OperatorId = uint64_t;  // one call at the management address
+using RequestId = uint64_t;          // one request of a caller
+using AttemptId = uint64_t;          // one forward or probe
+using AdminConnectionId = uint64_t;  // one call at the management address
 
 // One lifecycle, which all that tells or asks of it reads.
-enum class Life { starting, ready, draining, stopping };
+enum class ServingState { starting, ready, draining, stopping };
 
 // What operators may ask for.
-enum class Order { ready, show_stat, drain, resume };
+enum class AdminCommand { ready, show_stat, drain, resume };
 
 // Requests of one operation, from the start of this process.
-struct Outcomes {
+struct OutcomeCounts {
     uint64_t success = 0, busy = 0, failure = 0;
 };
 
 // `taken` is the sum of all outcomes, of what is in flight and of what its caller left.
-struct Figures {
-    std::map<std::string, Outcomes> of_operation;
+struct ServiceStatistics {
+    std::map<std::string, OutcomeCounts> of_operation;
     uint64_t backend_calls = 0;  // forwards written whole; probes are none
     uint64_t taken = 0, left = 0;
     size_t inflight = 0, hosts_listed = 0, hosts_down = 0;
 };
 
 // A line of the list of upstreams.
-struct Entry {
+struct ListedEndpoint {
     std::string uid, endpoint;
-    Presence presence = Presence::gone;
+    EndpointPhase phase = EndpointPhase::gone;
     uint32_t zone = 0, cell = 0;
     double size = 1;
     std::optional<Point> started;
 };
 
 // Events.
-struct Started {
+struct ServiceStarted {
 };
-struct ListUpdate {
+struct EndpointListUpdated {
     bool all = false;
-    std::vector<Entry> entries;
+    std::vector<ListedEndpoint> entries;
 };
-struct ListRemembered {  // from before this start; it may be old
-    std::vector<Entry> entries;
+struct EndpointListRestored {  // from before this start; it may be old
+    std::vector<ListedEndpoint> entries;
 };
-struct ListFailed {
+struct EndpointListFetchFailed {
 };
-struct Arrived {
-    CallerId caller;
+struct RequestReceived {
+    RequestId caller;
     Request request;
     bool half_closed = false;  // by its caller, and a while ago
 };
-struct CallerLeft {
-    CallerId caller;
+struct DownstreamDisconnected {
+    RequestId caller;
 };
-struct HalfClosed {  // the caller sends nothing more: it listens, or has gone
-    CallerId caller;
+struct DownstreamHalfClosed {  // the caller sends nothing more: it listens, or has gone
+    RequestId caller;
 };
-struct RequestData {  // more of a request's body
-    CallerId caller;
+struct RequestChunkReceived {  // more of a request's body
+    RequestId caller;
     std::string bytes;
     bool last = false;
     Span waited = {};  // the last byte, unread
 };
 // To the caller: nearly all that was passed on to it; of an answer that was passed on whole, all.
-struct WriteDrained {
-    CallerId caller;
+struct ResponseDrained {
+    RequestId caller;
 };
-struct Connected {
+struct UpstreamConnected {
     AttemptId attempt;
 };
-struct Answered {
+struct ResponseReceived {
     AttemptId attempt;
     Response response;
 };
-struct ResponseData {  // more of the body of an answer that is passed on
+struct ResponseChunkReceived {  // more of the body of an answer that is passed on
     AttemptId attempt;
     std::string bytes;
     bool last = false;
 };
-struct Failed {
+struct AttemptFailed {
     AttemptId attempt;
-    Broken broken;
+    ConnectionError broken;
 };
-struct Written {  // all that was handed over for it has left
+struct RequestWritten {  // all that was handed over for it has left
     AttemptId attempt;
 };
-struct TurnedAway {  // before its body, with its head read: there was no room for it
+struct RequestRejected {  // before its body, with its head read: there was no room for it
     uint32_t operation = 0, edition = 0;
 };
-struct Ordered {
-    OperatorId caller;
-    Order order;
+struct AdminCommandReceived {
+    AdminConnectionId caller;
+    AdminCommand order;
 };
-struct Woken {
+struct TimerFired {
     uint64_t name;
 };
-struct Shared {  // memory and descriptors, among so many processes of this balancer
+struct ProcessCountChanged {  // memory and descriptors, among so many processes of this balancer
     size_t processes = 1;
 };
-struct Stopping {
+struct ShutdownStarted {
     bool another_serves = false;  // at the same listening socket
 };
 // A duty's probes: of the upstreams of this part and slice of the fleet's. What they leave with is the stamp.
-struct ProbeDue {
+struct ProbesDue {
     uint32_t part = 0, parts = 1, slice = 0, slices = 1;
     uint64_t stamp = 0;
 };
-struct ReportHeard {  // of a probe that another balancer has made
+struct ProbeReportReceived {  // of a probe that another balancer has made
     std::string uid;
     bool well = false;
     std::string report;
 };
-struct Reread {  // the configuration, while serving
+struct ConfigReloaded {  // the configuration, while serving
     std::string discovery;
-    std::optional<Setup> setup;  // where the settings are others
+    std::optional<ServiceConfig> setup;  // where the settings are others
 };
 // Of the fleet that this balancer is a member of.
-struct FleetIs {
+struct SubsetPeersUpdated {
     std::vector<fleet::SubsetPeer> sharers;
 };
-struct SignalsUpdate {
-    std::map<uint64_t, fleet::OutlierGossip::Result> results;
+struct OutlierReportsUpdated {
+    std::map<uint64_t, fleet::OutlierGossip::Verdict> results;
 };
-struct PartsAre {
+struct QuotasUpdated {
     std::vector<fleet::QuotaLease> parts;
 };
-struct Remembered {  // from before this start
+struct SnapshotRestored {  // from before this start
     fleet::MemberSnapshot memory;
 };
-struct FleetStateIs {
+struct FleetStateUpdated {
     fleet::FleetState state;
 };
 struct Tick {  // every tenth of a second or so, as a member of a fleet
 };
-using Event = std::variant<Started, ListUpdate, ListRemembered, ListFailed, Arrived, CallerLeft, HalfClosed,
-                           RequestData, WriteDrained, Connected, Answered, ResponseData, Failed, Written,
-                           TurnedAway, Ordered, Woken, Shared, Stopping, Reread, ProbeDue, ReportHeard,
-                           FleetIs, SignalsUpdate, PartsAre, Remembered, FleetStateIs, Tick>;
+using Event =
+    std::variant<ServiceStarted, EndpointListUpdated, EndpointListRestored, EndpointListFetchFailed,
+                 RequestReceived, DownstreamDisconnected, DownstreamHalfClosed, RequestChunkReceived,
+                 ResponseDrained, UpstreamConnected, ResponseReceived, ResponseChunkReceived, AttemptFailed,
+                 RequestWritten, RequestRejected, AdminCommandReceived, TimerFired, ProcessCountChanged,
+                 ShutdownStarted, ConfigReloaded, ProbesDue, ProbeReportReceived, SubsetPeersUpdated,
+                 OutlierReportsUpdated, QuotasUpdated, SnapshotRestored, FleetStateUpdated, Tick>;
 
 // Effects.
-struct Answer {
-    CallerId caller;
+struct SendResponse {
+    RequestId caller;
     Response response;
     bool last_on_connection = false;
 };
-struct Dial {  // get a connection, then say Connected; Failed where there is no answer within the limit
+struct ConnectUpstream {  // get a connection, then say Connected; Failed where there is no answer within the
+                          // limit
     AttemptId attempt;
-    Tgt tgt;
+    UpstreamId upstream_id;
     std::string endpoint;
     Span limit;
 };
-struct Write {
+struct WriteUpstream {
     AttemptId attempt;
     std::string bytes;
     bool more = false;   // of the request follows
     uint64_t stamp = 0;  // of the duty that it is an effect of; zero: of none
 };
-struct Limit {  // of an attempt that is out, anew
+struct SetAttemptTimeout {  // of an attempt that is out, anew
     AttemptId attempt;
     Span limit;
 };
-struct Pass {  // a piece of an answer
-    CallerId caller;
+struct SendResponseChunk {  // a piece of an answer
+    RequestId caller;
     std::string bytes;
     bool last = false;
 };
-struct Cut {  // an answer that cannot be finished, so that its caller can tell
-    CallerId caller;
+struct AbortResponse {  // an answer that cannot be finished, so that its caller can tell
+    RequestId caller;
 };
-struct Hear {  // more of a request from its caller, or for now no more
-    CallerId caller;
+struct SetRequestReading {  // more of a request from its caller, or for now no more
+    RequestId caller;
     bool more = false;
 };
-struct Read {  // more of an answer from its upstream, or for now no more
+struct SetResponseReading {  // more of an answer from its upstream, or for now no more
     AttemptId attempt;
     bool more = false;
 };
-struct HangUp {
+struct CloseUpstream {
     AttemptId attempt;
 };
-struct Withdraw {  // what was handed over, as long as none of it has left; then Failed follows
+struct CancelWrite {  // what was handed over, as long as none of it has left; then Failed follows
     AttemptId attempt;
 };
 struct CloseIdle {
-    Tgt tgt;
+    UpstreamId upstream_id;
 };
-struct Wake {
+struct StartTimer {
     Point at;
     uint64_t name;
 };
-struct WatchList {
+struct WatchEndpointList {
 };
-struct MoveWatch {  // to another address; what the last one says from now on is nothing
+struct MoveEndpointWatch {  // to another address; what the last one says from now on is nothing
     std::string discovery;
 };
-struct Probed {  // for the other balancers
+struct ProbeCompleted {  // for the other balancers
     uint64_t stamp = 0;
     std::string uid;
     bool well = false;
     std::string report;
 };
-struct Obeyed {  // or not, as the answer to an operator
-    OperatorId caller;
+struct AdminCommandResult {  // or not, as the answer to an operator
+    AdminConnectionId caller;
     bool success = false;
-    Life life = Life::starting;
-    std::optional<Figures> figures;
+    ServingState serving_state = ServingState::starting;
+    std::optional<ServiceStatistics> figures;
 };
 using fleet::LocalObservations;  // for the fleet
-using Effect = std::variant<Answer, Pass, Cut, Hear, Dial, Write, Limit, Read, HangUp, Withdraw, CloseIdle,
-                            Wake, WatchList, MoveWatch, Obeyed, Probed, LocalObservations>;
+using Effect = std::variant<SendResponse, SendResponseChunk, AbortResponse, SetRequestReading,
+                            ConnectUpstream, WriteUpstream, SetAttemptTimeout, SetResponseReading,
+                            CloseUpstream, CancelWrite, CloseIdle, StartTimer, WatchEndpointList,
+                            MoveEndpointWatch, AdminCommandResult, ProbeCompleted, LocalObservations>;
 
 // The same at every instance, whatever the order in which upstreams are met.
 uint64_t id_of(std::string_view uid);
 
-class Reducer : private Outlet
+class Reducer : private BalancerDelegate
 {
   public:
     // The setup is the one that all parts read; new settings are put there. room: bytes of messages that are
     // passed on, together.
-    Reducer(Setup& setup, uint64_t seed, std::string discovery, size_t room = size_t{1} << 30);
+    Reducer(ServiceConfig& setup, uint64_t seed, std::string discovery, size_t room = size_t{1} << 30);
 
     // As a member of a fleet: what the module is shown follows the choices of all. Before the first event.
     void join(fleet::EndpointView::Rules rules);
@@ -244,25 +250,28 @@
     // The effects are to be carried out in their order.
     std::vector<Effect> reduce(Point now, Event event);
 
-    Life life() const;
-    bool ready() const { return life() == Life::ready && (!recovery_ || list_told_ || recovery_->ready()); }
+    ServingState serving_state() const;
+    bool ready() const
+    {
+        return serving_state() == ServingState::ready && (!recovery_ || list_told_ || recovery_->ready());
+    }
     // Draining or stopping for so long that each answer is the last on its connection and idle ones may go.
     bool turns_out(Point now) const;
     // What comes after the signal to stop has its answer within this after it.
     Span answers_for() const;
-    Figures figures();
+    ServiceStatistics figures();
     size_t places() const { return upstreams_.size(); }  // for upstreams
     size_t in_flight() const { return invocation_of_.size() + relays_.size(); }
 
   private:
     // Lives from arrival until the module lets go of it.
     struct Invocation {
-        CallerId caller = 0;
+        RequestId caller = 0;
         bool over = true;
         Request request;
         std::vector<AttemptId> attempts;
-        std::vector<Tgt> met;  // upstreams it was forwarded to
-        Outcomes* outcomes = nullptr;
+        std::vector<UpstreamId> met;  // upstreams it was forwarded to
+        OutcomeCounts* outcomes = nullptr;
         // Of a request that is passed on while it comes.
         std::optional<AttemptId> goes_to;
         size_t on_way = 0;
@@ -275,17 +284,17 @@
     // Lives while an answer is passed on that is too large to be taken in whole. The module knows it as
     // succeeded: nothing but this attempt can be the answer any more.
     struct Relay {
-        CallerId caller = 0;
+        RequestId caller = 0;
         std::string id;
-        Outcomes* outcomes = nullptr;
+        OutcomeCounts* outcomes = nullptr;
         size_t on_way = 0;
         bool held = false, all_came = false;
     };
     // Lives as long as one forward or probe.
     struct Attempt {
-        std::optional<Inv> inv;  // none: a probe
+        std::optional<InvocationId> inv;  // none: a probe
         uint32_t nth = 0;
-        Tgt tgt = 0;
+        UpstreamId upstream_id = 0;
         std::string endpoint;
         Point sent, until;
         bool counted = false;                  // as written whole
@@ -296,100 +305,101 @@
     struct Upstream {
         std::string uid, endpoint;
         size_t referred = 0;  // by invocations and probes
-        Presence presence = Presence::gone;
+        EndpointPhase phase = EndpointPhase::gone;
     };
 
-    void on(Started);
-    void on(ListUpdate& told);
-    void on(ListRemembered& told);
-    void on(ListFailed);
-    void on(Arrived& arrived);
-    void on(CallerLeft left);
-    void on(HalfClosed closed);
-    void on(RequestData& piece);
-    void on(WriteDrained taken);
-    void on(Connected connected);
-    void on(Answered& answered);
-    void on(ResponseData& came);
-    void on(Failed failed);
-    void on(Written written);
-    void on(TurnedAway turned);
-    void on(Ordered ordered);
-    void on(Woken woken);
-    void on(Shared shared);
-    void on(Stopping stopping);
-    void on(Reread& read);
-    void on(ProbeDue due);
-    void on(const ReportHeard& heard);
-    void on(FleetIs& fleet);
-    void on(const SignalsUpdate& told);
-    void on(const PartsAre& parts);
+    void on(ServiceStarted);
+    void on(EndpointListUpdated& told);
+    void on(EndpointListRestored& told);
+    void on(EndpointListFetchFailed);
+    void on(RequestReceived& arrived);
+    void on(DownstreamDisconnected left);
+    void on(DownstreamHalfClosed closed);
+    void on(RequestChunkReceived& piece);
+    void on(ResponseDrained taken);
+    void on(UpstreamConnected connected);
+    void on(ResponseReceived& answered);
+    void on(ResponseChunkReceived& came);
+    void on(AttemptFailed failed);
+    void on(RequestWritten written);
+    void on(RequestRejected turned);
+    void on(AdminCommandReceived ordered);
+    void on(TimerFired woken);
+    void on(ProcessCountChanged shared);
+    void on(ShutdownStarted stopping);
+    void on(ConfigReloaded& read);
+    void on(ProbesDue due);
+    void on(const ProbeReportReceived& heard);
+    void on(SubsetPeersUpdated& fleet);
+    void on(const OutlierReportsUpdated& told);
+    void on(const QuotasUpdated& parts);
     void on(Tick);
-    void on(const Remembered& remembered);
-    void on(const FleetStateIs& fleet);
+    void on(const SnapshotRestored& remembered);
+    void on(const FleetStateUpdated& fleet);
 
-    void listed(const std::vector<Listing>& listings, bool all);
+    void listed(const std::vector<EndpointState>& listings, bool all);
     void show();
-    double reduction(Tgt tgt) { return balancer_.reduction(now_, tgt); }
-    bool within_budgets(uint32_t nth, Tgt tgt);
+    double reduction(UpstreamId upstream_id) { return balancer_.reduction(now_, upstream_id); }
+    bool within_budgets(uint32_t nth, UpstreamId upstream_id);
     std::optional<Span> over_rate(const Request& request);
-    bool turned_away(Arrived& arrived);
+    bool turned_away(RequestReceived& arrived);
     void look_at_return();
     void remember(LocalObservations& observed);
     double rank_of(uint32_t operation) const;
 
-    void settings_are(Setup setup);
-    Tgt place_of(const std::string& uid);
-    std::vector<Listing> listings(const std::vector<Entry>& entries, bool all);
+    void settings_are(ServiceConfig setup);
+    UpstreamId place_of(const std::string& uid);
+    std::vector<EndpointState> listings(const std::vector<ListedEndpoint>& entries, bool all);
     void dial(AttemptId id, Attempt attempt);
     bool may_write(const Attempt& attempt) const;
     bool may_begin(const Invocation& i) const;
     void bound_by_stop(Request& request) const;
-    Outcomes& outcomes_of(uint32_t operation);
-    void ended(AttemptId id, Result result, Response* response);
-    void answer(Inv inv, Response response);
+    OutcomeCounts& outcomes_of(uint32_t operation);
+    void ended(AttemptId id, AttemptResult result, Response* response);
+    void answer(InvocationId inv, Response response);
     size_t most_on_way() const;
     void hear(const Invocation& i);
     void bind(AttemptId id);
-    void relayed(AttemptId id, uint64_t Outcomes::*as);
+    void relayed(AttemptId id, uint64_t OutcomeCounts::*as);
     void over(Invocation& i);
 
-    void forward(Inv inv, Tgt tgt, Span limit) override;
-    void throttle(Inv inv, Span come_back) override;
-    void error(Inv inv) override;
-    void cancel(Inv inv, uint32_t forward) override;
-    void limit(Inv inv, uint32_t forward, Span limit) override;
-    void released(Inv inv) override;
+    void forward(InvocationId inv, UpstreamId upstream_id, Span limit) override;
+    void throttle(InvocationId inv, Span retry_after) override;
+    void error(InvocationId inv) override;
+    void cancel(InvocationId inv, uint32_t forward) override;
+    void limit(InvocationId inv, uint32_t forward, Span limit) override;
+    void released(InvocationId inv) override;
     void wake(Point at, uint64_t name) override;
-    void probe(Tgt tgt) override;
-    void close_idle(Tgt tgt) override;
+    void probe(UpstreamId upstream_id) override;
+    void close_idle(UpstreamId upstream_id) override;
     void watch_list() override;
     void tell(const std::string&) override {}  // no other instance is known here
 
-    Setup& setup_;
+    ServiceConfig& setup_;
     const size_t all_room_;
     size_t room_, sending_ = 0;  // sending: requests that are passed on while they come
     Point now_;
     std::vector<Effect> effects_;
-    std::deque<std::pair<AttemptId, Result>> settled_;  // here; told to the module once it has returned
+    std::deque<std::pair<AttemptId, AttemptResult>>
+        settled_;  // here; told to the module once it has returned
     std::vector<Invocation> invocations_;
-    std::vector<Inv> free_;
-    std::unordered_map<CallerId, Inv> invocation_of_;
+    std::vector<InvocationId> free_;
+    std::unordered_map<RequestId, InvocationId> invocation_of_;
     std::unordered_set<std::string> open_ids_;  // of what is not answered yet
     std::unordered_map<AttemptId, Attempt> attempts_;
     std::unordered_map<AttemptId, Relay> relays_;
-    std::unordered_map<CallerId, AttemptId> relay_of_;
+    std::unordered_map<RequestId, AttemptId> relay_of_;
     AttemptId next_attempt_ = 1;
     std::vector<Upstream> upstreams_;
-    std::unordered_map<std::string, Tgt> upstream_of_;
+    std::unordered_map<std::string, UpstreamId> upstream_of_;
     bool listed_ = false;
     std::optional<Point> stopped_, drained_;  // since then
     bool another_serves_ = false;
-    std::map<std::string, Outcomes> outcomes_;
+    std::map<std::string, OutcomeCounts> outcomes_;
     uint64_t backend_calls_ = 0, taken_ = 0, left_ = 0;
     std::string discovery_;
     std::optional<fleet::EndpointView> view_;  // as a member of a fleet with choices that add up
-    std::vector<Listing> real_;                // by place, where there is one
+    std::vector<EndpointState> real_;          // by place, where there is one
     double sharers_ = 0;
     std::optional<fleet::StartupSequencer> recovery_;
     std::unordered_set<std::string> may_have_run_;  // before this start, by id
--- a/src/net/room.h
+++ b/src/net/room.h
@@ -9,10 +9,10 @@
 namespace firtide::net
 {
 
-class Room
+class ConnectionBudget
 {
   public:
-    Room(size_t own, size_t both, std::function<size_t()> others)
+    ConnectionBudget(size_t own, size_t both, std::function<size_t()> others)
         : own_(own), both_(both), others_(std::move(others))
     {
     }
--- a/src/net/service.cpp
+++ b/src/net/service.cpp
@@ -96,12 +96,12 @@
       base_(make_base()),
       reducer_(config_.setup, config_.seed, text_of(config_.discovery), config_.bodies),
       upstreams_(base_.get(), config_.setup,
-                 Room(part(part_of_upstreams), descriptors_, [this] { return callers_.open(); }),
+                 ConnectionBudget(part(part_of_upstreams), descriptors_, [this] { return callers_.open(); }),
                  [this](Event e) { post(std::move(e)); }),
       discovery_(base_.get(), config_, epoch_, [this](Event e) { post(std::move(e)); }),
       callers_(
           base_.get(), config_,
-          Room(part(part_of_callers), descriptors_, [this] { return upstreams_.open(); }),
+          ConnectionBudget(part(part_of_callers), descriptors_, [this] { return upstreams_.open(); }),
           [this] { return reducer_.ready(); }, [this] { make_room(); },
           [this](Event e) { post(std::move(e)); })
 {
@@ -109,8 +109,8 @@
     if (!config_.shared_folder.empty()) handover_.emplace(config_.shared_folder);
     if (config_.management)
         management_.emplace(base_.get(), *config_.management, [this](Event e) {
-            const auto* ordered = std::get_if<Ordered>(&e);
-            if (fleet_ && ordered && ordered->order == Order::resume)
+            const auto* ordered = std::get_if<AdminCommandReceived>(&e);
+            if (fleet_ && ordered && ordered->order == AdminCommand::resume)
                 fleet_->tell(fleet::AdminRequest{0, "turn-over", "", ""});
             post(std::move(e));
         });
@@ -123,8 +123,8 @@
         if (shares_list()) tell_lists_to_fleet();
         if (management_)
             management_->fleet_orders(
-                [this](OperatorId caller, const auto& words) { return ordered(caller, words); },
-                [this](OperatorId caller) { fleet_->tell(fleet::AdminDisconnected{caller}); });
+                [this](AdminConnectionId caller, const auto& words) { return ordered(caller, words); },
+                [this](AdminConnectionId caller) { fleet_->tell(fleet::AdminDisconnected{caller}); });
     }
     look_.reset(event_new(
         base_.get(), -1, EV_PERSIST,
@@ -166,8 +166,8 @@
     h.reply = [this](uint64_t caller, const std::string& text) {
         if (management_) management_->answer(caller, text);
     };
-    h.drain = [this] { post(Ordered{0, Order::drain}); };
-    h.resume = [this] { post(Ordered{0, Order::resume}); };
+    h.drain = [this] { post(AdminCommandReceived{0, AdminCommand::drain}); };
+    h.resume = [this] { post(AdminCommandReceived{0, AdminCommand::resume}); };
     h.ask_discovery = [this](bool on) { on ? discovery_.ask() : discovery_.rest(); };
     h.use_list = [this](const fleet::ApplyEndpointList& list) {
         auto decoded = decode_list(config_.setup, list.text, epoch_);
@@ -178,48 +178,50 @@
     h.probe = [this](const fleet::StartProbes& now, const std::string& duty, fleet::Epoch epoch) {
         stamps_[next_stamp_] = {duty, epoch};
         while (stamps_.size() > most_stamps) stamps_.erase(stamps_.begin());
-        post(ProbeDue{now.part, fleet_->file().probe->parts, now.slice, fleet::probe_slices, next_stamp_++});
+        post(ProbesDue{now.part, fleet_->file().probe->parts, now.slice, fleet::probe_slices, next_stamp_++});
     };
-    h.use_state = [this](const fleet::ApplyFleetState& uses) { post(FleetStateIs{uses.state}); };
+    h.use_state = [this](const fleet::ApplyFleetState& uses) { post(FleetStateUpdated{uses.state}); };
     h.use_memory = [this](fleet::ApplySnapshot& uses) {
         const auto list = std::exchange(uses.memory.list, {});
-        post(Remembered{std::move(uses.memory)});
+        post(SnapshotRestored{std::move(uses.memory)});
         if (list.empty()) return;
         if (auto decoded = decode_list(config_.setup, list, epoch_))
-            post(ListRemembered{std::move(decoded->told.entries)});
+            post(EndpointListRestored{std::move(decoded->told.entries)});
+    };
+    h.use_fleet = [this](fleet::ApplySubsetPeers& uses) {
+        post(SubsetPeersUpdated{std::move(uses.sharers)});
     };
-    h.use_fleet = [this](fleet::ApplySubsetPeers& uses) { post(FleetIs{std::move(uses.sharers)}); };
     h.use_signals = [this](fleet::ApplyOutlierReports& uses) {
-        post(SignalsUpdate{std::move(uses.results)});
+        post(OutlierReportsUpdated{std::move(uses.results)});
     };
     h.use_parts = [this](fleet::ApplyQuotas& uses) {
         // Of the fleet's clock, which also counts what the machine was suspended for, to the loop's.
         const Span apart = monotonic_now() - fleet::fleet_now();
         for (fleet::QuotaLease& p : uses.parts)
             p.full_until = p.full_until + apart, p.none_from = p.none_from + apart;
-        post(PartsAre{std::move(uses.parts)});
+        post(QuotasUpdated{std::move(uses.parts)});
     };
     h.use_reports = [this](const fleet::ApplyProbeReports& reports) {
         const auto all = fleet::unpack<std::vector<fleet::ProbeReport>>(reports.bytes);
         if (!all) return;
-        for (const auto& r : *all) post(ReportHeard{r.upstream, r.well, r.report});
+        for (const auto& r : *all) post(ProbeReportReceived{r.upstream, r.well, r.report});
     };
     return h;
 }
 
 // What leaves for a duty authorize the fleet's gate once more, right before its bytes: getting a connection
 // takes time.
-void Service::carry_out(const Write& write)
+void Service::carry_out(const WriteUpstream& write)
 {
     const auto at = stamps_.find(write.stamp);
     if (!write.stamp ||
         (at != stamps_.end() && fleet_->authorize(at->second.duty, at->second.epoch, fleet::probe_lasts)))
         return upstreams_.write(write);
     upstreams_.hang_up(write.attempt);
-    post(Failed{write.attempt, {Progress::not_connected, Cause::no_descriptor}});
+    post(AttemptFailed{write.attempt, {AttemptProgress::not_connected, FailureCause::no_descriptor}});
 }
 
-void Service::carry_out(Probed& probed)
+void Service::carry_out(ProbeCompleted& probed)
 {
     const auto at = stamps_.find(probed.stamp);
     if (at == stamps_.end()) return;
@@ -240,7 +242,7 @@
 }
 
 // False: it is no order that the fleet knows.
-bool Service::ordered(OperatorId caller, const std::vector<std::string>& words)
+bool Service::ordered(AdminConnectionId caller, const std::vector<std::string>& words)
 {
     const auto word = [&](size_t i) { return i < words.size() ? words[i] : std::string(); };
     const bool one = words.size() == 2;
@@ -275,18 +277,18 @@
     while (!events_.empty()) {
         Event next = std::move(events_.front());
         events_.pop_front();
-        if (const auto* failed = std::get_if<Failed>(&next))
+        if (const auto* failed = std::get_if<AttemptFailed>(&next))
             spdlog::debug("attempt {} failed: progress {}, cause {}", failed->attempt,
                           static_cast<int>(failed->broken.progress), static_cast<int>(failed->broken.cause));
-        const auto* arrived = std::get_if<Arrived>(&next);
-        const CallerId caller = arrived ? arrived->caller : 0;
+        const auto* arrived = std::get_if<RequestReceived>(&next);
+        const RequestId caller = arrived ? arrived->caller : 0;
         // An exception costs the connection that it came up on, and no other.
         try {
             auto effects = reducer_.reduce(monotonic_now(), std::move(next));
             for (Effect& effect : effects) carry_out(effect);
         } catch (const std::exception& e) {
             spdlog::error("an event could not be dealt with: {}", e.what());
-            if (caller) callers_.answer(Answer{caller, {500, false, {}, {}, "errored\n"}, true});
+            if (caller) callers_.answer(SendResponse{caller, {500, false, {}, {}, "errored\n"}, true});
         }
     }
     reducing_ = false;
@@ -294,25 +296,25 @@
 
 void Service::carry_out(Effect& effect)
 {
-    if (auto* answer = std::get_if<Answer>(&effect)) return callers_.answer(*answer);
-    if (auto* obeyed = std::get_if<Obeyed>(&effect)) return management_->answer(*obeyed);
-    if (auto* pass = std::get_if<Pass>(&effect)) return callers_.pass(*pass);
-    if (auto* cut = std::get_if<Cut>(&effect)) return callers_.cut(cut->caller);
-    if (auto* hear = std::get_if<Hear>(&effect)) return callers_.hear(*hear);
-    if (auto* limit = std::get_if<Limit>(&effect)) return upstreams_.limit(*limit);
-    if (auto* read = std::get_if<Read>(&effect)) return upstreams_.read(*read);
-    if (auto* dial = std::get_if<Dial>(&effect)) return upstreams_.dial(*dial);
-    if (auto* write = std::get_if<Write>(&effect)) return carry_out(*write);
-    if (auto* probed = std::get_if<Probed>(&effect)) return carry_out(*probed);
+    if (auto* answer = std::get_if<SendResponse>(&effect)) return callers_.answer(*answer);
+    if (auto* obeyed = std::get_if<AdminCommandResult>(&effect)) return management_->answer(*obeyed);
+    if (auto* pass = std::get_if<SendResponseChunk>(&effect)) return callers_.pass(*pass);
+    if (auto* cut = std::get_if<AbortResponse>(&effect)) return callers_.cut(cut->caller);
+    if (auto* hear = std::get_if<SetRequestReading>(&effect)) return callers_.hear(*hear);
+    if (auto* limit = std::get_if<SetAttemptTimeout>(&effect)) return upstreams_.limit(*limit);
+    if (auto* read = std::get_if<SetResponseReading>(&effect)) return upstreams_.read(*read);
+    if (auto* dial = std::get_if<ConnectUpstream>(&effect)) return upstreams_.dial(*dial);
+    if (auto* write = std::get_if<WriteUpstream>(&effect)) return carry_out(*write);
+    if (auto* probed = std::get_if<ProbeCompleted>(&effect)) return carry_out(*probed);
     if (auto* observed = std::get_if<LocalObservations>(&effect)) return fleet_->tell(std::move(*observed));
-    if (auto* up = std::get_if<HangUp>(&effect)) return upstreams_.hang_up(up->attempt);
-    if (auto* back = std::get_if<Withdraw>(&effect)) return upstreams_.withdraw(back->attempt);
-    if (auto* idle = std::get_if<CloseIdle>(&effect)) return upstreams_.close_idle(idle->tgt);
-    if (std::get_if<WatchList>(&effect)) return shares_list() ? void() : discovery_.ask();
-    if (auto* to = std::get_if<MoveWatch>(&effect))
+    if (auto* up = std::get_if<CloseUpstream>(&effect)) return upstreams_.hang_up(up->attempt);
+    if (auto* back = std::get_if<CancelWrite>(&effect)) return upstreams_.withdraw(back->attempt);
+    if (auto* idle = std::get_if<CloseIdle>(&effect)) return upstreams_.close_idle(idle->upstream_id);
+    if (std::get_if<WatchEndpointList>(&effect)) return shares_list() ? void() : discovery_.ask();
+    if (auto* to = std::get_if<MoveEndpointWatch>(&effect))
         return discovery_.move(decode_address(to->discovery, "discovery"));
-    const auto wake = std::get<Wake>(effect);
-    const auto what = [this, name = wake.name] { post(Woken{name}); };
+    const auto wake = std::get<StartTimer>(effect);
+    const auto what = [this, name = wake.name] { post(TimerFired{name}); };
     const auto after = to_timeval(wake.at - monotonic_now());
     event_base_once(base_.get(), -1, EV_TIMEOUT, Once<decltype(what)>::run, new Once<decltype(what)>{what},
                     &after);
@@ -323,10 +325,10 @@
     spdlog::info("serving on {}:{}, tier {}, balancer {} of {}", config_.listen.host, config_.listen.port,
                  config_.setup.settings.tier, config_.setup.settings.self, config_.setup.settings.balancers);
     if (config_.peers) spdlog::warn(no_peers);
-    post(Started{});
+    post(ServiceStarted{});
     if (!config_.known.empty()) {
         if (auto list = decode_list(config_.setup, config_.known, epoch_)) {
-            post(ListRemembered{std::move(list->told.entries)});
+            post(EndpointListRestored{std::move(list->told.entries)});
             if (config_.setup.settings.list_must_be_asked && !shares_list())
                 discovery_.resume_from(list->version);
         } else
@@ -349,7 +351,8 @@
         if (read.peers) spdlog::warn(no_peers);
         read = in_fleet(std::move(read), fleet_ ? &fleet_->file() : nullptr);
         config_.discovery = read.discovery;
-        post(Reread{text_of(read.discovery), others ? std::optional(std::move(read.setup)) : std::nullopt});
+        post(ConfigReloaded{text_of(read.discovery),
+                            others ? std::optional(std::move(read.setup)) : std::nullopt});
     } catch (const std::exception& e) {
         spdlog::error("configuration kept as it was: {}", e.what());
     }
@@ -363,7 +366,7 @@
     spdlog::info("stopping: {} in flight; what still comes is answered within {} ms", reducer_.in_flight(),
                  reducer_.answers_for().us / 1000);
     if (fleet_) fleet_->tell(fleet::ShutdownRequested{});
-    post(Stopping{config_.passed_socket.has_value()});
+    post(ShutdownStarted{config_.passed_socket.has_value()});
     if (config_.passed_socket) return stop_accepting();
     stop_accepting_.reset(evtimer_new(
         base_.get(), [](evutil_socket_t, short, void* arg) { static_cast<Service*>(arg)->stop_accepting(); },
@@ -395,7 +398,7 @@
     if (std::exchange(processes_, processes) == processes) return;
     spdlog::info("{}", processes > 1 ? "another process of this balancer runs: half of memory and descriptors"
                                      : "the only process of this balancer: all of memory and descriptors");
-    post(Shared{processes});
+    post(ProcessCountChanged{processes});
     callers_.share(processes);
     upstreams_.share(processes);
 }
--- a/src/net/service.h
+++ b/src/net/service.h
@@ -42,10 +42,10 @@
     fleet::Host::Hooks hooks();
     void tell_lists_to_fleet();
     bool shares_list() const { return fleet_ && fleet_->file().list; }
-    void carry_out(const Write& write);
-    void carry_out(Probed& probed);
+    void carry_out(const WriteUpstream& write);
+    void carry_out(ProbeCompleted& probed);
     void pass_on_probes();
-    bool ordered(OperatorId caller, const std::vector<std::string>& words);
+    bool ordered(AdminConnectionId caller, const std::vector<std::string>& words);
 
     Config config_;  // its settings change with the reducer
     const std::function<Config()> read_again_;
@@ -55,10 +55,10 @@
     const size_t descriptors_;  // for callers and upstreams together
     Base base_;
     Reducer reducer_;
-    Upstreams upstreams_;
+    UpstreamPool upstreams_;
     Discovery discovery_;
-    Callers callers_;
-    std::optional<Management> management_;
+    DownstreamServer callers_;
+    std::optional<AdminServer> management_;
     std::optional<fleet::Host> fleet_;
     // Probes of duties that are on their way, and what they found and is not passed on yet.
     struct Stamp {
@@ -69,7 +69,7 @@
     uint64_t next_stamp_ = 1;
     std::map<std::string, std::pair<fleet::Epoch, std::vector<fleet::ProbeReport>>> found_;
     Point passed_on_, ticked_;
-    std::optional<Handover> handover_;
+    std::optional<HotRestart> handover_;
     size_t processes_ = 1;  // of this balancer
     Point counted_processes_;
     std::deque<Event> events_;
--- a/src/net/upstreams.cpp
+++ b/src/net/upstreams.cpp
@@ -29,27 +29,27 @@
 constexpr size_t read_at_once = 64 * 1024;
 
 // Guards against blaming an upstream for what this machine lacks.
-Cause cause_of(int error)
+FailureCause cause_of(int error)
 {
     switch (error) {
         case EMFILE:
         case ENFILE:
         case ENOBUFS:
         case ENOMEM:
-        case EADDRNOTAVAIL: return Cause::no_descriptor;
-        default: return Cause::refused;
+        case EADDRNOTAVAIL: return FailureCause::no_descriptor;
+        default: return FailureCause::refused;
     }
 }
 
 }  // namespace
 
 // Lives as long as the connection; what belongs to one request is in the attempt's part.
-struct Upstreams::Connection {
-    explicit Connection(const Setup& setup) : reader(setup) {}
+struct UpstreamPool::Connection {
+    explicit Connection(const ServiceConfig& setup) : reader(setup) {}
 
-    Upstreams* owner = nullptr;
+    UpstreamPool* owner = nullptr;
     Place self;
-    Tgt tgt = 0;
+    UpstreamId upstream_id = 0;
     std::string endpoint;
     Stream stream;
     Timer connecting_until;
@@ -69,31 +69,33 @@
 
     // "Written" is what the kernel took. What is handed to the stream waits there until the loop has looked
     // for ends once more: after a stall, a request that meets one is known not to have left.
-    Progress progress() const
+    AttemptProgress progress() const
     {
-        if (!connected) return Progress::not_connected;
+        if (!connected) return AttemptProgress::not_connected;
         if (!asked || more || evbuffer_get_length(bufferevent_get_output(stream.get())) > 0)
-            return Progress::partly_written;
-        return reader.begun() ? Progress::answering : Progress::written;
+            return AttemptProgress::partly_written;
+        return reader.begun() ? AttemptProgress::answering : AttemptProgress::written;
     }
 };
 
-Upstreams::Upstreams(event_base* base, const Setup& setup, Room room, std::function<void(Event)> tell)
+UpstreamPool::UpstreamPool(event_base* base, const ServiceConfig& setup, ConnectionBudget room,
+                           std::function<void(Event)> tell)
     : base_(base), setup_(setup), room_(std::move(room)), tell_(std::move(tell))
 {
 }
 
-Upstreams::~Upstreams() = default;
+UpstreamPool::~UpstreamPool() = default;
 
-void Upstreams::share(size_t processes)
+void UpstreamPool::share(size_t processes)
 {
     room_.share(processes);
     if (all_.size() > room_.own()) close_oldest_idle(all_.size() - room_.own());
 }
 
-void Upstreams::dial(const Dial& dial)
+void UpstreamPool::dial(const ConnectUpstream& dial)
 {
-    for (auto found = idle_.find(dial.tgt); found != idle_.end(); found = idle_.find(dial.tgt)) {
+    for (auto found = idle_.find(dial.upstream_id); found != idle_.end();
+         found = idle_.find(dial.upstream_id)) {
         const Place at = found->second.back();
         if (at->endpoint != dial.endpoint || !quiet(*at)) {
             close(at);
@@ -102,22 +104,23 @@
         take_from_rest(at);
         bufferevent_set_timeouts(at->stream.get(), nullptr, nullptr);
         serve(at, dial.attempt, dial.limit);
-        return tell_(Connected{dial.attempt});
+        return tell_(UpstreamConnected{dial.attempt});
     }
     if (room_.full(open())) close_oldest_idle(1);
     if (room_.full(open())) {
-        return tell_(Failed{dial.attempt, {Progress::not_connected, Cause::no_descriptor}});
+        return tell_(
+            AttemptFailed{dial.attempt, {AttemptProgress::not_connected, FailureCause::no_descriptor}});
     }
-    const Place at = connect(dial.tgt, dial.endpoint);
+    const Place at = connect(dial.upstream_id, dial.endpoint);
     if (at == all_.end()) {
         const auto cause = cause_of(errno);
-        if (cause == Cause::no_descriptor) close_oldest_idle(8);
-        return tell_(Failed{dial.attempt, {Progress::not_connected, cause}});
+        if (cause == FailureCause::no_descriptor) close_oldest_idle(8);
+        return tell_(AttemptFailed{dial.attempt, {AttemptProgress::not_connected, cause}});
     }
     serve(at, dial.attempt, dial.limit);
 }
 
-Upstreams::Place Upstreams::connect(Tgt tgt, const std::string& endpoint)
+UpstreamPool::Place UpstreamPool::connect(UpstreamId upstream_id, const std::string& endpoint)
 {
     sockaddr_storage address{};
     int length = sizeof address;
@@ -132,7 +135,7 @@
     const Place at = all_.begin();
     at->owner = this;
     at->self = at;
-    at->tgt = tgt;
+    at->upstream_id = upstream_id;
     at->endpoint = endpoint;
     at->stream.reset(bufferevent_socket_new(base_, fd, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS));
     bufferevent_setcb(
@@ -158,7 +161,7 @@
     return at;
 }
 
-Timer Upstreams::give_up_after(Connection& c, Span wait)
+Timer UpstreamPool::give_up_after(Connection& c, Span wait)
 {
     Timer timer(evtimer_new(
         base_,
@@ -172,7 +175,7 @@
     return timer;
 }
 
-void Upstreams::serve(Place at, AttemptId attempt, Span limit)
+void UpstreamPool::serve(Place at, AttemptId attempt, Span limit)
 {
     at->attempt = attempt;
     at->asked = at->more = at->answering = at->passed_on = at->held = at->looked_again = false;
@@ -183,7 +186,7 @@
     at->waits_until = give_up_after(*at, limit);
 }
 
-void Upstreams::write(const Write& write)
+void UpstreamPool::write(const WriteUpstream& write)
 {
     const auto at = of_attempt_.find(write.attempt);
     if (at == of_attempt_.end()) return;
@@ -196,13 +199,13 @@
     if (write.more) wait_for(place, moves_within);
 }
 
-void Upstreams::wait_for(Place at, Span wait)
+void UpstreamPool::wait_for(Place at, Span wait)
 {
     at->looked_again = false;
     at->waits_until = give_up_after(*at, wait);
 }
 
-void Upstreams::limit(const Limit& limit)
+void UpstreamPool::limit(const SetAttemptTimeout& limit)
 {
     const auto at = of_attempt_.find(limit.attempt);
     if (at == of_attempt_.end() || at->second->answering) return;
@@ -211,7 +214,7 @@
 }
 
 // Whoever takes the answer is slower than the upstream, or has caught up.
-void Upstreams::read(const Read& read)
+void UpstreamPool::read(const SetResponseReading& read)
 {
     const auto found = of_attempt_.find(read.attempt);
     if (found == of_attempt_.end()) return;
@@ -228,7 +231,7 @@
 }
 
 // Gives an attempt up: what was begun on the connection can only be taken back by ending it.
-void Upstreams::hang_up(AttemptId attempt)
+void UpstreamPool::hang_up(AttemptId attempt)
 {
     const auto at = of_attempt_.find(attempt);
     if (at == of_attempt_.end()) return;
@@ -238,15 +241,15 @@
     rest(place);
 }
 
-void Upstreams::withdraw(AttemptId attempt)
+void UpstreamPool::withdraw(AttemptId attempt)
 {
     const auto at = of_attempt_.find(attempt);
     if (at == of_attempt_.end() || !at->second->asked) return;  // the gate is asked again before its bytes
     if (evbuffer_get_length(bufferevent_get_output(at->second->stream.get())) == at->second->handed)
-        fail(at->second, Cause::withdrawn);
+        fail(at->second, FailureCause::withdrawn);
 }
 
-void Upstreams::rest(Place at)
+void UpstreamPool::rest(Place at)
 {
     at->attempt = 0;
     at->waits_until.reset();
@@ -255,15 +258,16 @@
     at->rests_since = monotonic_now();
     const auto wait = to_timeval(setup_.idle_close * idle_part);
     bufferevent_set_timeouts(at->stream.get(), &wait, nullptr);
-    idle_[at->tgt].push_back(at);
+    idle_[at->upstream_id].push_back(at);
 }
 
-void Upstreams::close_idle(Tgt tgt)
+void UpstreamPool::close_idle(UpstreamId upstream_id)
 {
-    for (auto at = idle_.find(tgt); at != idle_.end(); at = idle_.find(tgt)) close(at->second.back());
+    for (auto at = idle_.find(upstream_id); at != idle_.end(); at = idle_.find(upstream_id))
+        close(at->second.back());
 }
 
-size_t Upstreams::close_oldest_idle(size_t count)
+size_t UpstreamPool::close_oldest_idle(size_t count)
 {
     std::vector<Place> resting;
     for (Place at = all_.begin(); at != all_.end(); ++at)
@@ -275,15 +279,15 @@
     return count;
 }
 
-void Upstreams::fail(Place at, Cause cause)
+void UpstreamPool::fail(Place at, FailureCause cause)
 {
     const auto attempt = at->attempt;
-    const Broken broken{at->progress(), cause};
+    const ConnectionError broken{at->progress(), cause};
     close(at);
-    if (attempt) tell_(Failed{attempt, broken});
+    if (attempt) tell_(AttemptFailed{attempt, broken});
 }
 
-void Upstreams::close(Place at)
+void UpstreamPool::close(Place at)
 {
     if (at->attempt) {
         of_attempt_.erase(at->attempt);
@@ -294,9 +298,9 @@
 }
 
 // Nothing is kept of an upstream that no connection rests at. Guards against growing with each that ever was.
-void Upstreams::take_from_rest(Place at)
+void UpstreamPool::take_from_rest(Place at)
 {
-    const auto resting = idle_.find(at->tgt);
+    const auto resting = idle_.find(at->upstream_id);
     if (resting == idle_.end()) return;
     std::erase(resting->second, at);
     if (resting->second.empty()) idle_.erase(resting);
@@ -304,7 +308,7 @@
 
 // Guards against a second copy of the last answer, or the end of the connection, that has come and that the
 // loop has not seen yet: it would be taken for the answer to the next request.
-bool Upstreams::quiet(const Connection& c) const
+bool UpstreamPool::quiet(const Connection& c) const
 {
     char byte;
     return evbuffer_get_length(bufferevent_get_input(c.stream.get())) == 0 &&
@@ -314,7 +318,7 @@
 
 // Time is up. Guards against blaming an upstream for a stall of this program: what has come meanwhile is
 // looked at first.
-void Upstreams::late(Place at)
+void UpstreamPool::late(Place at)
 {
     pollfd seen{bufferevent_getfd(at->stream.get()),
                 static_cast<short>(at->connected ? POLLIN : POLLIN | POLLOUT), 0};
@@ -325,15 +329,15 @@
         event_add(timer.get(), &soon);
         return;
     }
-    fail(at, at->answering ? Cause::malformed : Cause::no_answer_in_time);
+    fail(at, at->answering ? FailureCause::malformed : FailureCause::no_answer_in_time);
 }
 
-void Upstreams::readable(Place at)
+void UpstreamPool::readable(Place at)
 {
     auto* input = bufferevent_get_input(at->stream.get());
     const size_t size = evbuffer_get_length(input);
     if (!at->attempt || !at->asked) {
-        if (size > 0) fail(at, Cause::malformed);  // an answer that nobody asked for
+        if (size > 0) fail(at, FailureCause::malformed);  // an answer that nobody asked for
         return;
     }
     if (at->held || size == 0) return;
@@ -341,14 +345,14 @@
     const auto state = at->reader.take({bytes, size});
     const bool more = at->reader.used() < size;  // than belongs to the answer
     evbuffer_drain(input, size);
-    if (state == ResponseReader::State::malformed) return fail(at, Cause::malformed);
+    if (state == ResponseReader::State::malformed) return fail(at, FailureCause::malformed);
     if (state == ResponseReader::State::whole) return whole(at, more);
     if (!at->reader.begun()) return;
     at->answering = true;
     if (at->passed_on) {
         wait_for(at, moves_within);
         if (auto piece = at->reader.take_piece(); !piece.empty())
-            tell_(ResponseData{at->attempt, std::move(piece), false});
+            tell_(ResponseChunkReceived{at->attempt, std::move(piece), false});
     } else if (at->reader.length() ? at->reader.large() && at->reader.come() > 0
                                    : at->reader.come() > most_untold) {
         // Guards against gathering an answer of no stated length, piece by piece, until its time is up.
@@ -357,13 +361,13 @@
         auto first = std::exchange(at->reader.response(), {});
         first.more = true;
         first.length = at->reader.length();
-        tell_(Answered{at->attempt, std::move(first)});
+        tell_(ResponseReceived{at->attempt, std::move(first)});
     } else {
         wait_for(at, std::min(goes_on_within, at->until - monotonic_now()));
     }
 }
 
-void Upstreams::whole(Place at, bool more)
+void UpstreamPool::whole(Place at, bool more)
 {
     const auto attempt = at->attempt;
     const bool unwritten = at->more || evbuffer_get_length(bufferevent_get_output(at->stream.get())) > 0;
@@ -376,32 +380,32 @@
     else
         at->attempt = 0, close(at);
     if (passed_on)
-        tell_(ResponseData{attempt, std::move(response.body), true});
+        tell_(ResponseChunkReceived{attempt, std::move(response.body), true});
     else
-        tell_(Answered{attempt, std::move(response)});
+        tell_(ResponseReceived{attempt, std::move(response)});
 }
 
 // libevent also says so of a new connection, and after a write that left another one behind it.
-void Upstreams::written(Place at)
+void UpstreamPool::written(Place at)
 {
     if (!at->attempt || !at->asked || evbuffer_get_length(bufferevent_get_output(at->stream.get())) > 0)
         return;
     if (at->more) at->waits_until.reset();  // now it is the caller who takes time
-    tell_(Written{at->attempt});
+    tell_(RequestWritten{at->attempt});
 }
 
-void Upstreams::ended(Place at, short what)
+void UpstreamPool::ended(Place at, short what)
 {
     if (what & BEV_EVENT_CONNECTED) {
         at->connected = true;
         at->connecting_until.reset();
-        if (at->attempt) tell_(Connected{at->attempt});
+        if (at->attempt) tell_(UpstreamConnected{at->attempt});
         return;
     }
     if (!at->attempt) return close(at);  // idle for long enough, or ended by the upstream
     if (!at->connected) return fail(at, cause_of(EVUTIL_SOCKET_ERROR()));
     if ((what & BEV_EVENT_EOF) && at->asked && at->reader.ends_here()) return whole(at, false);
-    fail(at, Cause::broken);
+    fail(at, FailureCause::broken);
 }
 
 }  // namespace firtide::net
--- a/src/net/upstreams.h
+++ b/src/net/upstreams.h
@@ -14,19 +14,20 @@
 namespace firtide::net
 {
 
-class Upstreams
+class UpstreamPool
 {
   public:
-    Upstreams(event_base* base, const Setup& setup, Room room, std::function<void(Event)> tell);
-    ~Upstreams();
-
-    void dial(const Dial& dial);
-    void write(const Write& write);
-    void limit(const Limit& limit);
-    void read(const Read& read);
+    UpstreamPool(event_base* base, const ServiceConfig& setup, ConnectionBudget room,
+                 std::function<void(Event)> tell);
+    ~UpstreamPool();
+
+    void dial(const ConnectUpstream& dial);
+    void write(const WriteUpstream& write);
+    void limit(const SetAttemptTimeout& limit);
+    void read(const SetResponseReading& read);
     void hang_up(AttemptId attempt);
     void withdraw(AttemptId attempt);
-    void close_idle(Tgt tgt);
+    void close_idle(UpstreamId upstream_id);
     size_t close_oldest_idle(size_t count);  // how many there were
     size_t open() const { return all_.size(); }
     void share(size_t processes);  // what this balancer may have
@@ -35,14 +36,14 @@
     struct Connection;
     using Place = std::list<Connection>::iterator;
 
-    Place connect(Tgt tgt, const std::string& endpoint);
+    Place connect(UpstreamId upstream_id, const std::string& endpoint);
     Timer give_up_after(Connection& c, Span wait);
     void serve(Place at, AttemptId attempt, Span limit);
     void rest(Place at);
     void take_from_rest(Place at);
     bool quiet(const Connection& c) const;
     void late(Place at);
-    void fail(Place at, Cause cause);
+    void fail(Place at, FailureCause cause);
     void whole(Place at, bool more);
     void wait_for(Place at, Span wait);
     void close(Place at);
@@ -51,12 +52,12 @@
     void ended(Place at, short what);
 
     event_base* base_;
-    const Setup& setup_;
-    Room room_;
+    const ServiceConfig& setup_;
+    ConnectionBudget room_;
     std::function<void(Event)> tell_;
     std::list<Connection> all_;
     std::unordered_map<AttemptId, Place> of_attempt_;
-    std::unordered_map<Tgt, std::vector<Place>> idle_;  // the last used at the end
+    std::unordered_map<UpstreamId, std::vector<Place>> idle_;  // the last used at the end
 };
 
 }  // namespace firtide::net
--- a/src/settings.h
+++ b/src/settings.h
@@ -11,12 +11,12 @@
 {
 
 // Each from the least strict to the strictest.
-enum class Repeat { idempotent, deduplicated, non_idempotent };
-enum class Group { all, zone, cell };
+enum class Idempotency { idempotent, deduplicated, non_idempotent };
+enum class DeduplicationScope { all, zone, cell };
 
 struct Operation {
-    Repeat repeat = Repeat::non_idempotent;
-    Group group = Group::cell;
+    Idempotency repeat = Idempotency::non_idempotent;
+    DeduplicationScope group = DeduplicationScope::cell;
     Span window;             // deduplicated: how long a repeat is recognised
     Span latency_objective;  // zero: none
     double late_billed_value = 0;
@@ -36,11 +36,11 @@
     bool may_cancel = false;
     bool may_overlap = false;
     bool may_probe = false;
-    double probe_price = 0;    // of one probe, as a part of what an invocation is worth
-    double message_price = 0;  // of 256 bytes to one of them, as a part of what an invocation is worth
-    bool may_tell = false;     // messages to the other balancers
+    double probe_price = 0;          // of one probe, as a part of what an invocation is worth
+    double message_price = 0;        // of 256 bytes to one of them, as a part of what an invocation is worth
+    bool may_message_peers = false;  // messages to the other balancers
     uint32_t max_forwards = 1;
-    Span max_come_back;  // zero: clients are not told
+    Span max_retry_after;  // zero: clients are not told
     Span ask_within = seconds(10);
     double cold_share = 0.1;
     Span cold = seconds(30);
--- a/src/told.cpp
+++ b/src/told.cpp
@@ -5,7 +5,7 @@
 namespace firtide
 {
 
-std::string encode_told(const Told& told)
+std::string encode_peer_message(const PeerMessage& told)
 {
     std::string bytes(1, told.all ? 1 : 0);
     const auto put = [&](uint32_t n, int size) {
@@ -21,12 +21,12 @@
     return bytes;
 }
 
-std::optional<Told> decode_told(std::string_view bytes)
+std::optional<PeerMessage> decode_peer_message(std::string_view bytes)
 {
     const auto byte = [&](size_t i) { return static_cast<uint32_t>(static_cast<unsigned char>(bytes[i])); };
     const auto two = [&](size_t i) { return static_cast<uint16_t>(byte(i) | byte(i + 1) << 8); };
     if (bytes.empty() || bytes.size() > most_message || byte(0) > 1) return {};
-    Told told{byte(0) == 1, {}, {}};
+    PeerMessage told{byte(0) == 1, {}, {}};
     size_t at = 1;
     if (told.all) {
         if (bytes.size() < 2 || byte(1) > most_rates || bytes.size() < 2 + 2 * byte(1)) return {};
--- a/src/told.h
+++ b/src/told.h
@@ -16,17 +16,17 @@
 constexpr size_t most_message = 256;  // bytes
 constexpr size_t most_rates = 64;     // tenants past these are told nothing of
 
-struct Told {
+struct PeerMessage {
     bool all = false;           // what is not named holds nothing; else: as before
     std::vector<double> rates;  // with all: what each tenant asks, in invocations a second
     std::vector<std::pair<uint16_t, uint8_t>> out;  // an upstream's name, and the sender's work out to it
 
-    bool room() const { return 5 + 2 * rates.size() + 3 * out.size() <= most_message; }  // for one more
+    bool has_room() const { return 5 + 2 * rates.size() + 3 * out.size() <= most_message; }  // for one more
 };
 
-std::string encode_told(const Told& told);
+std::string encode_peer_message(const PeerMessage& told);
 
 // None where the bytes are no whole message.
-std::optional<Told> decode_told(std::string_view bytes);
+std::optional<PeerMessage> decode_peer_message(std::string_view bytes);
 
 }  // namespace firtide
--- a/tests/balancer_host.h
+++ b/tests/balancer_host.h
@@ -23,41 +23,41 @@
 {
 
 struct Forwarded {
-    Inv invocation;
-    Tgt upstream;
+    InvocationId invocation;
+    UpstreamId upstream;
     Span limit;
     bool operator==(const Forwarded&) const = default;
 };
 struct Throttled {
-    Inv invocation;
+    InvocationId invocation;
     bool with_retry_time;  // the answer says when to retry
     bool operator==(const Throttled&) const = default;
 };
 struct Errored {
-    Inv invocation;
+    InvocationId invocation;
     bool operator==(const Errored&) const = default;
 };
 struct LimitChanged {
-    Inv invocation;
+    InvocationId invocation;
     uint32_t forward;
     Span limit;
     bool operator==(const LimitChanged&) const = default;
 };
 struct Cancelled {
-    Inv invocation;
+    InvocationId invocation;
     uint32_t forward;
     bool operator==(const Cancelled&) const = default;
 };
 struct Released {
-    Inv invocation;
+    InvocationId invocation;
     bool operator==(const Released&) const = default;
 };
 struct Probed {
-    Tgt upstream;
+    UpstreamId upstream;
     bool operator==(const Probed&) const = default;
 };
 struct IdleConnectionsClosed {
-    Tgt upstream;
+    UpstreamId upstream;
     bool operator==(const IdleConnectionsClosed&) const = default;
 };
 struct ListWatched {
@@ -116,7 +116,7 @@
                               decision::Probed, decision::IdleConnectionsClosed, decision::ListWatched>;
 using Decisions = std::vector<Decision>;
 
-class BalancerHost : private Outlet
+class BalancerHost : private BalancerDelegate
 {
   public:
     explicit BalancerHost(Settings settings, uint64_t seed = 1) : balancer(std::move(settings), seed, *this)
@@ -124,7 +124,7 @@
         balancer.started(now);
     }
 
-    static Operation op(Repeat repeat, Group group = Group::all)
+    static Operation op(Idempotency repeat, DeduplicationScope group = DeduplicationScope::all)
     {
         return {repeat, group, seconds(2), seconds(1), 0, seconds(2)};
     }
@@ -135,32 +135,32 @@
         s.operations = {operation};
         s.max_forwards = 6;
         s.may_cancel = s.may_overlap = s.may_probe = true;
-        s.max_come_back = seconds(1);
+        s.max_retry_after = seconds(1);
         return s;
     }
 
     void wait(Span span) { now = now + span; }
     void list(uint32_t n)
     {
-        std::vector<Listing> all;
-        for (Tgt t = 0; t < n; ++t) all.push_back({t, t, Presence::ready, t % 2, t / 2, 1, {}});
+        std::vector<EndpointState> all;
+        for (UpstreamId t = 0; t < n; ++t) all.push_back({t, t, EndpointPhase::ready, t % 2, t / 2, 1, {}});
         balancer.list_is(now, all);
     }
-    void change(Tgt t, Presence presence, std::optional<Point> started = {})
+    void change(UpstreamId t, EndpointPhase phase, std::optional<Point> started = {})
     {
-        balancer.list_changed(now, {{t, t, presence, t % 2, t / 2, 1, started}});
+        balancer.list_changed(now, {{t, t, phase, t % 2, t / 2, 1, started}});
     }
-    void accept(Inv inv, Span left = seconds(2), uint32_t tenant = 0, uint64_t key = 0)
+    void accept(InvocationId inv, Span left = seconds(2), uint32_t tenant = 0, uint64_t key = 0)
     {
         balancer.accept(now, inv, {0, tenant, left, false, key});
     }
-    void end(Inv inv, Result result, Span took = seconds(0.1), Report report = {})
+    void end(InvocationId inv, AttemptResult result, Span took = seconds(0.1), LoadReport report = {})
     {
         const auto nth = sent[inv]++;
-        balancer.ended(now, inv, nth, result, took, result == Result::succeeded, report);
+        balancer.ended(now, inv, nth, result, took, result == AttemptResult::succeeded, report);
     }
-    bool is_out(Inv inv) const { return sent.count(inv) > 0; }
-    void leave(Inv inv) { balancer.client_left(now, inv); }
+    bool is_out(InvocationId inv) const { return sent.count(inv) > 0; }
+    void leave(InvocationId inv) { balancer.client_left(now, inv); }
     void wake()
     {
         auto due = std::move(timers);
@@ -169,10 +169,10 @@
     }
     // Sends n invocations, each answered at once; returns how many each upstream got. Their effects are not
     // recorded.
-    std::map<Tgt, int> many(int n, Result result = Result::succeeded, Tgt only = ~0u,
-                            Span every = seconds(0.01))
+    std::map<UpstreamId, int> many(int n, AttemptResult result = AttemptResult::succeeded,
+                                   UpstreamId only = ~0u, Span every = seconds(0.01))
     {
-        std::map<Tgt, int> got;
+        std::map<UpstreamId, int> got;
         quiet = true;
         for (int i = 0; i < n; ++i) {
             wait(every);
@@ -181,8 +181,8 @@
             if (last_tgt == ~0u) continue;
             ++got[last_tgt];
             const bool odd = only == ~0u || last_tgt == only;
-            end(99, odd ? result : Result::succeeded);
-            if (sent.count(99)) leave(99), end(99, Result::cancelled);
+            end(99, odd ? result : AttemptResult::succeeded);
+            if (sent.count(99)) leave(99), end(99, AttemptResult::cancelled);
         }
         quiet = false;
         return got;
@@ -191,7 +191,7 @@
     Decisions take_decisions() { return std::exchange(recorded, {}); }
 
     Point now{1'000'000'000};
-    Tgt last_tgt = 0;
+    UpstreamId last_tgt = 0;
     bool quiet = false;
     int throttled = 0, closed = 0;
     std::vector<std::string> told;  // to the other instances
@@ -205,40 +205,40 @@
     {
         if (!quiet) record(decision);
     }
-    void forward(Inv inv, Tgt tgt, Span limit) override
+    void forward(InvocationId inv, UpstreamId upstream_id, Span limit) override
     {
         sent.try_emplace(inv, 0);
-        last_tgt = tgt;
-        decided(decision::Forwarded{inv, tgt, limit});
+        last_tgt = upstream_id;
+        decided(decision::Forwarded{inv, upstream_id, limit});
     }
-    void throttle(Inv inv, Span back) override
+    void throttle(InvocationId inv, Span back) override
     {
         ++throttled;
         decided(decision::Throttled{inv, back > Span{}});
     }
-    void error(Inv inv) override { decided(decision::Errored{inv}); }
-    void limit(Inv inv, uint32_t forward, Span limit) override
+    void error(InvocationId inv) override { decided(decision::Errored{inv}); }
+    void limit(InvocationId inv, uint32_t forward, Span limit) override
     {
         decided(decision::LimitChanged{inv, forward, limit});
     }
-    void cancel(Inv inv, uint32_t forward) override { decided(decision::Cancelled{inv, forward}); }
-    void released(Inv inv) override
+    void cancel(InvocationId inv, uint32_t forward) override { decided(decision::Cancelled{inv, forward}); }
+    void released(InvocationId inv) override
     {
         sent.erase(inv);
         decided(decision::Released{inv});
     }
     void wake(Point at, uint64_t name) override { timers[name] = at; }
-    void probe(Tgt tgt) override { decided(decision::Probed{tgt}); }
-    void close_idle(Tgt tgt) override
+    void probe(UpstreamId upstream_id) override { decided(decision::Probed{upstream_id}); }
+    void close_idle(UpstreamId upstream_id) override
     {
         ++closed;
-        decided(decision::IdleConnectionsClosed{tgt});
+        decided(decision::IdleConnectionsClosed{upstream_id});
     }
     void watch_list() override { decided(decision::ListWatched{}); }
     void tell(const std::string& message) override { told.push_back(message); }
 
     Decisions recorded;
-    std::map<Inv, uint32_t> sent;
+    std::map<InvocationId, uint32_t> sent;
     std::map<uint64_t, Point> timers;
 };
 
--- a/tests/clocks.cpp
+++ b/tests/clocks.cpp
@@ -10,7 +10,7 @@
 
 using namespace decision;
 
-Settings margins(Span left, Span ready, Repeat repeat = Repeat::non_idempotent)
+Settings margins(Span left, Span ready, Idempotency repeat = Idempotency::non_idempotent)
 {
     auto settings = BalancerHost::settings(BalancerHost::op(repeat));
     settings.left_margin = left;
@@ -30,7 +30,7 @@
 
 TEST(LeftMargin, NonIdempotentIsAnsweredOnceOutOfTime)
 {
-    BalancerHost host(margins(seconds(1.5), {}, Repeat::non_idempotent));
+    BalancerHost host(margins(seconds(1.5), {}, Idempotency::non_idempotent));
     host.list(2);
     // Nothing left by the clock: forwarded within the margin.
     host.accept(0, {});
@@ -40,16 +40,16 @@
     EXPECT_EQ(host.take_decisions(), Decisions({Forwarded{1, 0, seconds(2)}}));
     host.wait(seconds(0.8));
     // Out of time by the clock: another attempt could have a second effect.
-    host.end(0, Result::reset);
+    host.end(0, AttemptResult::reset);
     EXPECT_EQ(host.take_decisions(), Decisions({Errored{0}, Released{0}}));
     // The client was gone already: nothing ran.
-    host.end(1, Result::not_sent);
+    host.end(1, AttemptResult::not_sent);
     EXPECT_EQ(host.take_decisions(), Decisions({Throttled{1, true}, Released{1}}));
 }
 
 TEST(LeftMargin, IdempotentIsSentAgainOnceOutOfTime)
 {
-    BalancerHost host(margins(seconds(1.5), {}, Repeat::idempotent));
+    BalancerHost host(margins(seconds(1.5), {}, Idempotency::idempotent));
     host.list(2);
     // Nothing left by the clock: forwarded within the margin.
     host.accept(0, {});
@@ -59,13 +59,13 @@
     EXPECT_EQ(host.take_decisions(), Decisions({Forwarded{1, 0, seconds(1)}}));
     host.wait(seconds(0.8));
     // Out of time by the clock: another attempt is harmless.
-    host.end(0, Result::reset);
+    host.end(0, AttemptResult::reset);
     EXPECT_EQ(host.take_decisions(), Decisions({Forwarded{0, 0, seconds(0.2)}}));
     // The client was gone already: nothing ran.
-    host.end(1, Result::not_sent);
+    host.end(1, AttemptResult::not_sent);
     EXPECT_EQ(host.take_decisions(), Decisions({Throttled{1, true}, Released{1}}));
     host.leave(0);
-    host.end(0, Result::cancelled);
+    host.end(0, AttemptResult::cancelled);
     EXPECT_EQ(host.take_decisions(), Decisions({Cancelled{0, 1}, Released{0}}));
 }
 
@@ -75,7 +75,7 @@
     host.list(2);
     host.balancer.settings_are(host.now, margins(seconds(1.5), {}), {0}, {});
     host.accept(0, {});
-    host.end(0, Result::succeeded);
+    host.end(0, AttemptResult::succeeded);
     EXPECT_EQ(host.take_decisions(), Decisions({Forwarded{0, 1, seconds(1.5)}, Released{0}}));
     host.balancer.settings_are(host.now, margins({}, {}), {0}, {});
     host.accept(0, {});
@@ -85,10 +85,10 @@
 // Of 200 invocations, 0.01 s apart, those that went to an upstream just listed as started.
 int sent_to_restarted(Span margin, Span started_ago)
 {
-    BalancerHost host(margins({}, margin, Repeat::idempotent));
+    BalancerHost host(margins({}, margin, Idempotency::idempotent));
     host.list(4);
     host.many(200);
-    host.change(0, Presence::ready, host.now - started_ago);
+    host.change(0, EndpointPhase::ready, host.now - started_ago);
     return host.many(200)[0];
 }
 
--- a/tests/connections.cpp
+++ b/tests/connections.cpp
@@ -3,9 +3,9 @@
 
 using namespace firtide;
 
-static void play(const char* what, bool only_rested, Result broke = Result::timed_out)
+static void play(const char* what, bool only_rested, AttemptResult broke = AttemptResult::timed_out)
 {
-    auto settings = Stage::settings(Stage::op(Repeat::deduplicated));
+    auto settings = Stage::settings(Stage::op(Idempotency::deduplicated));
     settings.may_overlap = false;
     Stage s(settings);
     s.say(what);
@@ -16,7 +16,7 @@
         s.wait(seconds(3));
         s.many(6, broke);
         if (only_rested)
-            s.many(60, Result::succeeded, ~0u, seconds(0.001));
+            s.many(60, AttemptResult::succeeded, ~0u, seconds(0.001));
         else
             s.many(60, broke, ~0u, seconds(0.001));
     }
@@ -26,6 +26,6 @@
 int main()
 {
     play("forwards after a rest hang, others do not", true);
-    play("forwards after a rest are reset, others are not", true, Result::reset);
+    play("forwards after a rest are reset, others are not", true, AttemptResult::reset);
     play("all hang alike: not the connections", false);
 }
--- a/tests/effects.cpp
+++ b/tests/effects.cpp
@@ -3,7 +3,7 @@
 
 using namespace firtide;
 
-static void play(const char* what, Operation op, Result first, bool may_overlap = true,
+static void play(const char* what, Operation op, AttemptResult first, bool may_overlap = true,
                  Span after = seconds(0.1))
 {
     auto settings = Stage::settings(op);
@@ -14,30 +14,33 @@
     s.accept(0);
     s.wait(after);
     s.end(0, first, after);
-    if (first != Result::succeeded) s.leave(0);
+    if (first != AttemptResult::succeeded) s.leave(0);
 }
 
 int main()
 {
-    const auto idem = Stage::op(Repeat::idempotent), once = Stage::op(Repeat::non_idempotent);
-    const auto dedup = Stage::op(Repeat::deduplicated);
-    play("a success is the answer", idem, Result::succeeded);
-    play("idempotent, errored: forwarded again elsewhere", idem, Result::errored);
-    play("non-idempotent, errored: may have run, so an error and nothing more", once, Result::errored);
-    play("non-idempotent, reset: likewise", once, Result::reset);
-    play("non-idempotent, full: proven not run, forwarded again", once, Result::full);
-    play("non-idempotent, unreachable: likewise", once, Result::unreachable);
-    play("deduplicated to all, errored: forwarded again within the window", dedup, Result::errored);
+    const auto idem = Stage::op(Idempotency::idempotent), once = Stage::op(Idempotency::non_idempotent);
+    const auto dedup = Stage::op(Idempotency::deduplicated);
+    play("a success is the answer", idem, AttemptResult::succeeded);
+    play("idempotent, errored: forwarded again elsewhere", idem, AttemptResult::errored);
+    play("non-idempotent, errored: may have run, so an error and nothing more", once, AttemptResult::errored);
+    play("non-idempotent, reset: likewise", once, AttemptResult::reset);
+    play("non-idempotent, full: proven not run, forwarded again", once, AttemptResult::full);
+    play("non-idempotent, unreachable: likewise", once, AttemptResult::unreachable);
+    play("deduplicated to all, errored: forwarded again within the window", dedup, AttemptResult::errored);
     play("deduplicated to a zone, errored: only to the same zone",
-         Stage::op(Repeat::deduplicated, Group::zone), Result::errored);
+         Stage::op(Idempotency::deduplicated, DeduplicationScope::zone), AttemptResult::errored);
     play("deduplicated to a cell, errored: only to the same cell",
-         Stage::op(Repeat::deduplicated, Group::cell), Result::errored);
+         Stage::op(Idempotency::deduplicated, DeduplicationScope::cell), AttemptResult::errored);
     auto brief = dedup;
     brief.window = seconds(0.05);
-    play("deduplicated, past its window: throttled, as all would drop a repeat", brief, Result::errored);
-    brief.group = Group::zone;
-    play("deduplicated to a zone, past its window: an error, which promises nothing", brief, Result::errored);
-    play("timed out at the latency objective: given up at once", idem, Result::timed_out, true, seconds(1));
+    play("deduplicated, past its window: throttled, as all would drop a repeat", brief,
+         AttemptResult::errored);
+    brief.group = DeduplicationScope::zone;
+    play("deduplicated to a zone, past its window: an error, which promises nothing", brief,
+         AttemptResult::errored);
+    play("timed out at the latency objective: given up at once", idem, AttemptResult::timed_out, true,
+         seconds(1));
 
     Stage s(Stage::settings(idem));
     s.say("nobody listed: throttled at once");
@@ -46,7 +49,7 @@
     s.list(2);
     s.accept(0);
     s.leave(0);
-    s.end(0, Result::cancelled);
+    s.end(0, AttemptResult::cancelled);
     s.say("no time left: nothing is sent");
     s.accept(0, Span{});
 }
--- a/tests/fleet.cpp
+++ b/tests/fleet.cpp
@@ -21,7 +21,7 @@
     Fleet(uint32_t balancers, uint32_t upstreams, uint32_t seed = 0, bool uneven = false)
         : upstreams_(upstreams), held(upstreams), first_parts_(uneven ? 5 : 1), chance(7 + seed)
     {
-        auto settings = Stage::settings(Stage::op(Repeat::idempotent));
+        auto settings = Stage::settings(Stage::op(Idempotency::idempotent));
         settings.balancers = balancers;
         settings.crossing_price = 0.015;
         settings.cold = seconds(20);
@@ -38,9 +38,9 @@
         }
     }
 
-    void change(Tgt t, Presence presence, std::optional<Point> started = {})
+    void change(UpstreamId t, EndpointPhase phase, std::optional<Point> started = {})
     {
-        for (auto& s : stages) s->now = now, s->change(t, presence, started);
+        for (auto& s : stages) s->now = now, s->change(t, phase, started);
     }
 
     // `rate` invocations a second, dealt out by chance.
@@ -57,11 +57,12 @@
                 now = o.at;
                 Stage& s = *stages[o.stage];
                 s.now = now;
-                Report report;
-                report.inflight = --held[o.tgt];
-                const bool up = !lost(o.tgt);
+                LoadReport report;
+                report.inflight = --held[o.upstream_id];
+                const bool up = !lost(o.upstream_id);
                 s.last_tgt = ~0u;
-                s.end(o.inv, up ? Result::succeeded : Result::unreachable, took, up ? report : Report{});
+                s.end(o.inv, up ? AttemptResult::succeeded : AttemptResult::unreachable, took,
+                      up ? report : LoadReport{});
                 settle(o.stage, o.inv);
                 continue;
             }
@@ -70,7 +71,7 @@
             const auto part = chance() % (stages.size() + first_parts_ - 1);
             const auto i = static_cast<uint32_t>(part < first_parts_ ? 0 : part - first_parts_ + 1);
             if (spare[i].empty()) spare[i].push_back(names++);
-            const Inv inv = spare[i].back();
+            const InvocationId inv = spare[i].back();
             Stage& s = *stages[i];
             s.now = now;
             s.last_tgt = ~0u;
@@ -87,12 +88,12 @@
     void tell(const char* what, Span span, Which which) const
     {
         int n = 0, count = 0, most = 0;
-        for (Tgt t = 0; t < upstreams_; ++t) {
+        for (UpstreamId t = 0; t < upstreams_; ++t) {
             if (!which(t)) continue;
             ++count;
             std::vector<Point> at;
-            for (const auto& [when, tgt] : sends)
-                if (tgt == t) at.push_back(when);
+            for (const auto& [when, upstream_id] : sends)
+                if (upstream_id == t) at.push_back(when);
             n += static_cast<int>(at.size());
             for (size_t first = 0, last = 0; last < at.size(); ++last) {
                 while (at[last] - at[first] >= seconds(1)) ++first;
@@ -110,11 +111,11 @@
         uint64_t all = 0, over = 0;
         double worst = 0;
     };
-    void windows(Tgt tgt, Point started, double warm_rate, Windows& w) const
+    void windows(UpstreamId upstream_id, Point started, double warm_rate, Windows& w) const
     {
         std::vector<Point> at;
         for (const auto& [when, to] : sends)
-            if (to == tgt) at.push_back(when);
+            if (to == upstream_id) at.push_back(when);
         for (size_t first = 0, last = 0; first < at.size(); ++first) {
             while (last < at.size() && at[last] - at[first] < seconds(1)) ++last;
             const double warm = 0.16 + 0.84 * ((at[first] - started).seconds() / 20);
@@ -131,7 +132,7 @@
     double holds(Which which) const
     {
         double n = 0, sum = 0;
-        for (Tgt t = 0; t < upstreams_; ++t)
+        for (UpstreamId t = 0; t < upstreams_; ++t)
             if (which(t)) ++n, sum += held[t];
         return sum / n;
     }
@@ -139,33 +140,35 @@
     Span took = seconds(0.2);
     Point now{1'000'000'000};
     int away = 0;
-    std::function<bool(Tgt)> lost = [](Tgt) { return false; };  // cannot be reached; seen in 75 ms
+    std::function<bool(UpstreamId)> lost = [](UpstreamId) {
+        return false;
+    };  // cannot be reached; seen in 75 ms
 
   private:
     // Sends what the instance has just forwarded, or takes the invocation's name back.
-    void settle(uint32_t i, Inv inv)
+    void settle(uint32_t i, InvocationId inv)
     {
-        const Tgt tgt = stages[i]->last_tgt;
-        if (tgt == ~0u) return spare[i].push_back(inv);
-        ++held[tgt];
-        sends.emplace_back(now, tgt);
-        out.push({now + (lost(tgt) ? seconds(0.075) : took), i, inv, tgt});
+        const UpstreamId upstream_id = stages[i]->last_tgt;
+        if (upstream_id == ~0u) return spare[i].push_back(inv);
+        ++held[upstream_id];
+        sends.emplace_back(now, upstream_id);
+        out.push({now + (lost(upstream_id) ? seconds(0.075) : took), i, inv, upstream_id});
     }
 
     struct Out {
         Point at;
         uint32_t stage;
-        Inv inv;
-        Tgt tgt;
+        InvocationId inv;
+        UpstreamId upstream_id;
         bool operator<(const Out& o) const { return o.at < at || (o.at == at && o.stage < stage); }
     };
     uint32_t upstreams_;
     std::vector<double> held;
     std::vector<std::unique_ptr<Stage>> stages;
-    std::vector<std::vector<Inv>> spare;
-    Inv names = 0;
+    std::vector<std::vector<InvocationId>> spare;
+    InvocationId names = 0;
     std::priority_queue<Out> out;
-    std::vector<std::pair<Point, Tgt>> sends;
+    std::vector<std::pair<Point, UpstreamId>> sends;
     size_t first_parts_;
     std::ranlux24_base chance;
 };
@@ -177,23 +180,23 @@
 {
     std::printf("-- a hundred instances and 20 upstreams, one of which restarts\n");
     Fleet f(100, 32);
-    for (Tgt t = 20; t < 32; ++t) f.change(t, Presence::gone);
+    for (UpstreamId t = 20; t < 32; ++t) f.change(t, EndpointPhase::gone);
     f.play(seconds(10), 240);
-    f.change(3, Presence::ready, f.now);
+    f.change(3, EndpointPhase::ready, f.now);
     for (int i = 0; i < 3; ++i) {
         f.play(seconds(5), 240);
-        f.tell("cold", seconds(5), [](Tgt t) { return t == 3; });
+        f.tell("cold", seconds(5), [](UpstreamId t) { return t == 3; });
     }
 
     std::printf("-- 12 of them are replaced by new ones within 7 s\n");
-    for (Tgt t = 20; t < 32; ++t) {
-        f.change(t, Presence::ready, f.now);
-        f.change(t - 16, Presence::draining);
+    for (UpstreamId t = 20; t < 32; ++t) {
+        f.change(t, EndpointPhase::ready, f.now);
+        f.change(t - 16, EndpointPhase::draining);
         f.play(seconds(0.58), 240);
-        f.change(t - 16, Presence::gone);
+        f.change(t - 16, EndpointPhase::gone);
     }
-    const auto is_new = [](Tgt t) { return t >= 20; };
-    const auto stays = [](Tgt t) { return t < 4 || (t >= 16 && t < 20); };
+    const auto is_new = [](UpstreamId t) { return t >= 20; };
+    const auto stays = [](UpstreamId t) { return t < 4 || (t >= 16 && t < 20); };
     for (int i = 0; i < 3; ++i) {
         f.play(seconds(5), 240);
         f.tell("those that stay", seconds(5), stays);
@@ -213,9 +216,9 @@
             Fleet fleet(balancers, 20, seed, uneven);
             fleet.play(lead, before);
             const Point started = fleet.now;
-            fleet.change(0, Presence::ready, started), fleet.change(1, Presence::ready, started);
+            fleet.change(0, EndpointPhase::ready, started), fleet.change(1, EndpointPhase::ready, started);
             fleet.play(seconds(4), after);
-            for (const Tgt t : {0u, 1u}) fleet.windows(t, started, after / 20, w);
+            for (const UpstreamId t : {0u, 1u}) fleet.windows(t, started, after / 20, w);
         }
         std::printf(
             "%u balancers: %.2f in 100 windows over N + 2 root N + 2, the worst at %.2f of the chance\n",
@@ -228,12 +231,12 @@
     std::printf("-- a hundred instances, 20 upstreams in two zones; one zone comes back cold\n");
     Fleet f(100, 20);
     f.play(seconds(10), 240);
-    f.tell("before", seconds(10), [](Tgt) { return true; });
-    for (Tgt t = 1; t < 20; t += 2) f.change(t, Presence::ready, f.now);
+    f.tell("before", seconds(10), [](UpstreamId) { return true; });
+    for (UpstreamId t = 1; t < 20; t += 2) f.change(t, EndpointPhase::ready, f.now);
     for (int i = 0; i < 3; ++i) {
         f.play(seconds(5), 240);
-        f.tell("warm", seconds(5), [](Tgt t) { return t % 2 == 0; });
-        f.tell("cold", seconds(5), [](Tgt t) { return t % 2 == 1; });
+        f.tell("warm", seconds(5), [](UpstreamId t) { return t % 2 == 0; });
+        f.tell("cold", seconds(5), [](UpstreamId t) { return t % 2 == 1; });
     }
 
     std::printf(
@@ -241,17 +244,17 @@
         "reached\n");
     Fleet z(100, 20);
     z.took = seconds(0.25);
-    const auto stays = [](Tgt t) { return t % 2 == 0; };
+    const auto stays = [](UpstreamId t) { return t % 2 == 0; };
     z.play(seconds(20), 480);
     std::printf("before: %.1f held, %d of 9600 throttled\n", z.holds(stays), z.away);
-    z.lost = [&](Tgt t) { return !stays(t); };
+    z.lost = [&](UpstreamId t) { return !stays(t); };
     for (int i = 0; i < 3; ++i) {
         z.play(seconds(3), 480);
         std::printf("survivors: %.1f held, %d of 1440 throttled\n", z.holds(stays), z.away);
     }
     std::printf("-- it is back, cold\n");
-    z.lost = [](Tgt) { return false; };
-    for (Tgt t = 1; t < 20; t += 2) z.change(t, Presence::ready, z.now);
+    z.lost = [](UpstreamId) { return false; };
+    for (UpstreamId t = 1; t < 20; t += 2) z.change(t, EndpointPhase::ready, z.now);
     for (int i = 0; i < 4; ++i) {
         z.play(seconds(3), 480);
         std::printf("survivors: %.1f held, %d of 1440 throttled\n", z.holds(stays), z.away);
--- a/tests/keys.cpp
+++ b/tests/keys.cpp
@@ -25,9 +25,11 @@
 
 int main()
 {
-    const auto idempotent = Stage::settings(Stage::op(Repeat::idempotent));
-    const auto well = [](uint64_t, int) { return Result::succeeded; };
-    const auto locked = [](uint64_t key, int) { return key == 3 ? Result::errored : Result::succeeded; };
+    const auto idempotent = Stage::settings(Stage::op(Idempotency::idempotent));
+    const auto well = [](uint64_t, int) { return AttemptResult::succeeded; };
+    const auto locked = [](uint64_t key, int) {
+        return key == 3 ? AttemptResult::errored : AttemptResult::succeeded;
+    };
     Stage s(idempotent);
     s.list(4);
     s.say("let in and forwards, of ten keys thirty times each");
@@ -42,10 +44,10 @@
     f.list(4);
     // Guards against a key taken for the cause of what befalls all.
     ten_keys(f, "two in three fail, whatever its key",
-             [](uint64_t, int i) { return i / 10 % 3 ? Result::errored : Result::succeeded; });
+             [](uint64_t, int i) { return i / 10 % 3 ? AttemptResult::errored : AttemptResult::succeeded; });
 
     Stage n(idempotent);
     n.list(4);
     n.say("no key: nothing is held back for it");
-    Stage::print("errors", n.many(100, Result::errored));
+    Stage::print("errors", n.many(100, AttemptResult::errored));
 }
--- a/tests/message.cpp
+++ b/tests/message.cpp
@@ -11,15 +11,15 @@
 namespace
 {
 
-Setup setup()
+ServiceConfig setup()
 {
-    Setup s;
+    ServiceConfig s;
     s.operations = {"op"};
-    s.settings = Stage::settings(Stage::op(Repeat::non_idempotent));
+    s.settings = Stage::settings(Stage::op(Idempotency::non_idempotent));
     s.tenants = {"one", "two"};
     s.zones = {"x", "y"};
     s.report_names = {"queue", "util"};
-    s.report = {&Report::queue, &Report::utilisation};
+    s.report = {&LoadReport::queue, &LoadReport::utilisation};
     return s;
 }
 
@@ -118,7 +118,7 @@
     try {
         const auto c = decode_config(text);
         std::printf("%s: well-formed, %s, %zu operations\n", what, c.name.c_str(), c.setup.operations.size());
-    } catch (const BadConfig& bad) {
+    } catch (const ConfigException& bad) {
         std::printf("%s: %s\n", what, bad.what());
     }
 }
@@ -131,7 +131,7 @@
                 l->told.all ? "all" : "changes");
     for (const auto& e : l->told.entries)
         std::printf("  %s %s presence %d zone %u cell %u started %.3f\n", e.uid.c_str(), e.endpoint.c_str(),
-                    static_cast<int>(e.presence), e.zone, e.cell,
+                    static_cast<int>(e.phase), e.zone, e.cell,
                     e.started ? static_cast<double>(e.started->us) * 1e-6 : -1);
 }
 
@@ -239,8 +239,8 @@
                    flat.report == nested.report && flat.report_names == nested.report_names &&
                    a.cold_share == b.cold_share && a.tier == b.tier &&
                    a.operations[0].repeat == b.operations[0].repeat && a.may_cancel && b.may_cancel &&
-                   a.operations[0].group == Group::zone && b.operations[0].group == Group::zone &&
-                   a.tier == 1;
+                   a.operations[0].group == DeduplicationScope::zone &&
+                   b.operations[0].group == DeduplicationScope::zone && a.tier == 1;
         }()
             ? "yes"
             : "no");
--- a/tests/recovery.cpp
+++ b/tests/recovery.cpp
@@ -148,15 +148,15 @@
 void what_may_have_run()
 {
     std::printf("-- what was in flight\n");
-    Setup setup;
-    setup.settings = firtide::Stage::settings(firtide::Stage::op(Repeat::non_idempotent));
-    setup.settings.operations.push_back(firtide::Stage::op(Repeat::idempotent));
+    ServiceConfig setup;
+    setup.settings = firtide::Stage::settings(firtide::Stage::op(Idempotency::non_idempotent));
+    setup.settings.operations.push_back(firtide::Stage::op(Idempotency::idempotent));
     setup.operations = {"order", "read"};
     net::Reducer reducer(setup, 1, "here:1");
     reducer.join({});
     reducer.recover({});
     Point now{1'000'000};
-    net::CallerId caller = 0;
+    net::RequestId caller = 0;
     const auto tell = [&](net::Event event) {
         now = now + seconds(0.01);
         return reducer.reduce(now, std::move(event));
@@ -164,23 +164,23 @@
     const auto ask = [&](uint32_t operation, const char* id) {
         std::string got = "waits";
         for (const auto& e :
-             tell(net::Arrived{++caller, {"POST", "/x", id, operation, 0, seconds(2), {}, ""}})) {
-            if (const auto* a = std::get_if<net::Answer>(&e))
+             tell(net::RequestReceived{++caller, {"POST", "/x", id, operation, 0, seconds(2), {}, ""}})) {
+            if (const auto* a = std::get_if<net::SendResponse>(&e))
                 got = "answered " + std::to_string(a->response.status);
-            if (std::get_if<net::Dial>(&e)) got = "forwarded";
+            if (std::get_if<net::ConnectUpstream>(&e)) got = "forwarded";
         }
         return got;
     };
-    tell(net::Started{});
-    tell(net::Remembered{some()});
+    tell(net::ServiceStarted{});
+    tell(net::SnapshotRestored{some()});
     std::printf("a hint of a list: %s\n",
-                (tell(net::ListRemembered{{{"u", "1.1.1.1:1", Presence::ready, 0, 0, 1, {}}}}),
+                (tell(net::EndpointListRestored{{{"u", "1.1.1.1:1", EndpointPhase::ready, 0, 0, 1, {}}}}),
                  reducer.ready() ? "READY" : "not ready yet"));
     std::printf("an id that may have run: %s; of what may be repeated: %s; another id: %s\n",
                 ask(0, "id-1").c_str(), ask(1, "id-1").c_str(), ask(0, "id-2").c_str());
-    tell(net::ListUpdate{true, {}});
+    tell(net::EndpointListUpdated{true, {}});
     std::printf("an empty list leaves %zu\n", reducer.figures().hosts_listed);
-    tell(net::ListUpdate{true, {{"u", "1.1.1.1:1", Presence::ready, 0, 0, 1, {}}}});
+    tell(net::EndpointListUpdated{true, {{"u", "1.1.1.1:1", EndpointPhase::ready, 0, 0, 1, {}}}});
     for (int i = 0; i < 12; ++i)
         for (const auto& e : tell(net::Tick{}))
             if (const auto* o = std::get_if<LocalObservations>(&e); o && i > 8)
--- a/tests/size.cpp
+++ b/tests/size.cpp
@@ -5,7 +5,7 @@
 
 static Settings one_of(uint32_t balancers, uint32_t self = 0)
 {
-    auto settings = Stage::settings(Stage::op(Repeat::idempotent));
+    auto settings = Stage::settings(Stage::op(Idempotency::idempotent));
     settings.balancers = balancers;
     settings.self = self;
     return settings;
@@ -13,13 +13,13 @@
 
 // Asks `each` times every half second, answers whatever is out after `took`; returns how many were not let
 // in.
-static int steady(Stage& s, int rounds, int each, Span took, Result result = Result::succeeded)
+static int steady(Stage& s, int rounds, int each, Span took, AttemptResult result = AttemptResult::succeeded)
 {
     int away = 0;
     s.quiet = true;
     for (int i = 0; i < rounds; ++i) {
-        std::vector<Inv> in;
-        for (Inv inv = 0; inv < static_cast<Inv>(each); ++inv) {
+        std::vector<InvocationId> in;
+        for (InvocationId inv = 0; inv < static_cast<InvocationId>(each); ++inv) {
             s.last_tgt = ~0u;
             s.accept(inv);
             if (s.last_tgt == ~0u)
@@ -28,7 +28,7 @@
                 in.push_back(inv);
         }
         s.wait(took);
-        for (const Inv inv : in) {
+        for (const InvocationId inv : in) {
             s.end(inv, result, took);
             while (s.is_out(inv)) s.end(inv, result, seconds(0));
         }
@@ -40,12 +40,12 @@
 
 // One invocation, each forward answered at once as `how` says; returns the first upstream, or ~0u.
 template <class How>
-static Tgt one(Stage& s, How how)
+static UpstreamId one(Stage& s, How how)
 {
     s.quiet = true;
     s.last_tgt = ~0u;
     s.accept(0);
-    const Tgt first = s.last_tgt;
+    const UpstreamId first = s.last_tgt;
     while (s.is_out(0)) {
         const auto [result, took] = how(s.last_tgt);
         s.end(0, result, seconds(took));
@@ -56,11 +56,11 @@
 
 int main()
 {
-    std::map<Tgt, int> all;
+    std::map<UpstreamId, int> all;
     for (uint32_t self = 0; self < 40; ++self) {
         Stage s(one_of(40, self));
         s.list(100);
-        const auto got = s.many(40, Result::succeeded, ~0u, seconds(0.5));
+        const auto got = s.many(40, AttemptResult::succeeded, ~0u, seconds(0.5));
         if (self == 0) s.say("one instance of 40 uses few of 100 upstreams"), Stage::print("used", got);
         for (const auto& [t, n] : got) all[t] += n > 0;
     }
@@ -72,12 +72,12 @@
     d.list(100);
     d.say("those of the few that cannot be reached are replaced by the next in the order");
     int failed = 0;
-    std::map<Tgt, int> got;
+    std::map<UpstreamId, int> got;
     for (int i = 0; i < 120; ++i) {
         d.wait(seconds(0.25));
-        const Tgt first = one(d, [&](Tgt at) {
+        const UpstreamId first = one(d, [&](UpstreamId at) {
             failed += at % 3 == 0;
-            return std::pair(at % 3 == 0 ? Result::unreachable : Result::succeeded, 0.1);
+            return std::pair(at % 3 == 0 ? AttemptResult::unreachable : AttemptResult::succeeded, 0.1);
         });
         if (i >= 60) ++got[first];
     }
@@ -96,31 +96,33 @@
     f.say("full answers cut the limit, however quick the others are");
     steady(f, 40, 2, seconds(0.1));
     const int before = steady(f, 10, 2, seconds(0.1));
-    steady(f, 24, 2, seconds(0.01), Result::full);
+    steady(f, 24, 2, seconds(0.01), AttemptResult::full);
     std::printf("not let in: %d of 20 before, %d of 20 after\n", before, steady(f, 10, 2, seconds(0.1)));
 
     Stage w(one_of(400));
     w.list(60);
     w.say("one of the few answers four times as slowly as its fellows and reports nothing");
-    const Tgt slow = one(w, [](Tgt) { return std::pair(Result::succeeded, 0.1); });
+    const UpstreamId slow = one(w, [](UpstreamId) { return std::pair(AttemptResult::succeeded, 0.1); });
     int slow_got = 0;
     for (int i = 0; i < 120; ++i) {
         w.wait(seconds(0.25));
-        slow_got +=
-            one(w, [&](Tgt at) { return std::pair(Result::succeeded, at == slow ? 0.4 : 0.1); }) == slow;
+        slow_got += one(w, [&](UpstreamId at) {
+                        return std::pair(AttemptResult::succeeded, at == slow ? 0.4 : 0.1);
+                    }) == slow;
     }
     std::printf("it got %d of 120\n", slow_got);
 
     // Guards against a kind of slow machines that each instance meets too seldom to know one by one.
     Stage k(one_of(400));
-    std::vector<Listing> kinds;
-    for (Tgt t = 0; t < 60; ++t) kinds.push_back({t, t, Presence::ready, 0, 0, 1, {}, t % 2});
+    std::vector<EndpointState> kinds;
+    for (UpstreamId t = 0; t < 60; ++t) kinds.push_back({t, t, EndpointPhase::ready, 0, 0, 1, {}, t % 2});
     k.balancer.list_is(k.now, kinds);
     k.say("every second machine is of a kind that takes three times as long, one invocation in 2 s");
     int first = 0, last = 0;
     for (int i = 0; i < 200; ++i) {
         k.wait(seconds(2));
-        const bool odd = one(k, [](Tgt at) { return std::pair(Result::succeeded, at % 2 ? 0.3 : 0.1); }) % 2;
+        const bool odd =
+            one(k, [](UpstreamId at) { return std::pair(AttemptResult::succeeded, at % 2 ? 0.3 : 0.1); }) % 2;
         (i < 100 ? first : last) += odd;
     }
     std::printf("they got %d of the first 100, %d of the next\n", first, last);
@@ -128,10 +130,10 @@
     Stage r(one_of(400));
     r.list(60);
     r.say("one of the few restarts: within its budget it gets work while it warms up");
-    const auto quick = [](Tgt) { return std::pair(Result::succeeded, 0.1); };
-    Tgt again = 0;
+    const auto quick = [](UpstreamId) { return std::pair(AttemptResult::succeeded, 0.1); };
+    UpstreamId again = 0;
     for (int i = 0; i < 80; ++i) r.wait(seconds(0.1)), again = one(r, quick);
-    r.change(again, Presence::ready, r.now);
+    r.change(again, EndpointPhase::ready, r.now);
     int cold = 0;
     for (int i = 0; i < 240; ++i) r.wait(seconds(0.1)), cold += one(r, quick) == again;
     std::printf("it got %d of 240 in 24 s\n", cold);
--- a/tests/switch.cpp
+++ b/tests/switch.cpp
@@ -5,14 +5,14 @@
 
 static Settings before()
 {
-    auto s = Stage::settings(Stage::op(Repeat::idempotent));
-    s.operations.push_back(Stage::op(Repeat::deduplicated, Group::zone));
-    s.operations.push_back(Stage::op(Repeat::non_idempotent));
+    auto s = Stage::settings(Stage::op(Idempotency::idempotent));
+    s.operations.push_back(Stage::op(Idempotency::deduplicated, DeduplicationScope::zone));
+    s.operations.push_back(Stage::op(Idempotency::non_idempotent));
     return s;
 }
 
 // One invocation of each operation is out; then the settings change; then all forwards are reset.
-static void switched(const char* what, Settings after, const Places& places)
+static void switched(const char* what, Settings after, const IndexMapping& places)
 {
     Stage s(before());
     s.list(4);
@@ -20,9 +20,9 @@
     s.say(what);
     for (uint32_t op = 0; op < 3; ++op) s.balancer.accept(s.now, op, {op, 0, seconds(2)});
     s.balancer.settings_are(s.now, std::move(after), places, {});
-    for (Inv inv = 0; inv < 3; ++inv) s.wait(seconds(0.1)), s.end(inv, Result::reset);
-    for (Inv inv = 0; inv < 3; ++inv)
-        while (s.is_out(inv)) s.end(inv, Result::succeeded);
+    for (InvocationId inv = 0; inv < 3; ++inv) s.wait(seconds(0.1)), s.end(inv, AttemptResult::reset);
+    for (InvocationId inv = 0; inv < 3; ++inv)
+        while (s.is_out(inv)) s.end(inv, AttemptResult::succeeded);
 }
 
 int main()
@@ -30,10 +30,10 @@
     switched("nothing changes: idempotent and deduplicated work goes out again, the rest is errored",
              before(), {0, 1, 2});
     auto strict = before();
-    for (auto& op : strict.operations) op.repeat = Repeat::non_idempotent;
+    for (auto& op : strict.operations) op.repeat = Idempotency::non_idempotent;
     switched("all are non-idempotent from now on: nothing that is open goes out twice", strict, {0, 1, 2});
     auto loose = before();
-    for (auto& op : loose.operations) op.repeat = Repeat::idempotent;
+    for (auto& op : loose.operations) op.repeat = Idempotency::idempotent;
     switched("all are idempotent from now on: what is open keeps what it was accepted with", loose,
              {0, 1, 2});
     auto fewer = before();
@@ -46,9 +46,10 @@
     Stage s(before());
     s.list(4);
     s.say("forth and back, five times: what is learnt of an upstream stays, and so do its neighbours");
-    Stage::print("u0 full", s.many(400, Result::full, 0));
+    Stage::print("u0 full", s.many(400, AttemptResult::full, 0));
     for (int i = 0; i < 5; ++i)
-        s.balancer.settings_are(s.now, i % 2 ? before() : fewer, i % 2 ? Places{{}, {}, 0} : Places{2}, {});
+        s.balancer.settings_are(s.now, i % 2 ? before() : fewer,
+                                i % 2 ? IndexMapping{{}, {}, 0} : IndexMapping{2}, {});
     Stage::print("its entry", s.many(100));
 
     auto zones = before();
--- a/tests/told.cpp
+++ b/tests/told.cpp
@@ -8,10 +8,10 @@
 
 static Settings one_of_two(uint32_t self)
 {
-    auto settings = Stage::settings(Stage::op(Repeat::idempotent));
+    auto settings = Stage::settings(Stage::op(Idempotency::idempotent));
     settings.balancers = 2;
     settings.self = self;
-    settings.may_tell = true;
+    settings.may_message_peers = true;
     return settings;
 }
 
@@ -24,14 +24,14 @@
 static void wire()
 {
     std::printf("-- on the wire\n");
-    const Told all{true, {2.5, 1e9}, {{0x1234, 7}}};
-    const auto bytes = encode_told(all);
+    const PeerMessage all{true, {2.5, 1e9}, {{0x1234, 7}}};
+    const auto bytes = encode_peer_message(all);
     for (const unsigned char c : bytes) std::printf("%02x ", c);
     std::printf("\n");
     for (size_t n = 0; n <= bytes.size(); ++n)
-        std::printf("%zu bytes of it: %s\n", n, decode_told(bytes.substr(0, n)) ? "read" : "nothing");
-    std::printf("another kind: %s\n", decode_told("\x02") ? "read" : "nothing");
-    std::printf("too long: %s\n", decode_told(std::string(257, '\0')) ? "read" : "nothing");
+        std::printf("%zu bytes of it: %s\n", n, decode_peer_message(bytes.substr(0, n)) ? "read" : "nothing");
+    std::printf("another kind: %s\n", decode_peer_message("\x02") ? "read" : "nothing");
+    std::printf("too long: %s\n", decode_peer_message(std::string(257, '\0')) ? "read" : "nothing");
 }
 
 static void loads()
@@ -41,13 +41,13 @@
     a.say("another holds much at one upstream: less is sent there, and none to one that it alone knows");
     b.quiet = true;
     // Eight at u1, and one at u4, which the first instance does not know.
-    std::map<Tgt, Inv> held;
+    std::map<UpstreamId, InvocationId> held;
     int at_one = 0, at_four = 0;
-    for (Inv inv = 0; at_one < 4 || at_four < 1; ++inv) {
+    for (InvocationId inv = 0; at_one < 4 || at_four < 1; ++inv) {
         b.accept(inv, seconds(60));
         int* count = b.last_tgt == 1 ? &at_one : b.last_tgt == 4 ? &at_four : nullptr;
         if (count && ++*count <= (count == &at_one ? 4 : 1)) continue;
-        b.end(inv, Result::succeeded);
+        b.end(inv, AttemptResult::succeeded);
     }
     Stage::print("before", a.many(200));
     b.wake();
@@ -55,8 +55,8 @@
     Stage::print("told", a.many(200));
     a.say("what cannot be read, or names nobody, changes nothing");
     for (const char* bytes : {"", "\x05", "\x01", "\x01\x40"}) a.balancer.told(a.now, 1, bytes);
-    a.balancer.told(a.now, 7, encode_told({true, {}, {{1, 200}, {2, 200}}}));
-    a.balancer.told(a.now, 0, encode_told({true, {}, {{1, 200}, {2, 200}}}));
+    a.balancer.told(a.now, 7, encode_peer_message({true, {}, {{1, 200}, {2, 200}}}));
+    a.balancer.told(a.now, 0, encode_peer_message({true, {}, {{1, 200}, {2, 200}}}));
     Stage::print("the same", a.many(200));
     a.say("silent for long: what it told is forgotten");
     a.wait(seconds(6));
@@ -72,8 +72,8 @@
     a.say("twenty answers that are long overdue do not count as held: the next still goes out");
     a.quiet = true;
     int out = 0;
-    for (Inv inv = 0; inv < 20; ++inv) {
-        a.balancer.told(a.now, 1, encode_told({true, {}, {}}));
+    for (InvocationId inv = 0; inv < 20; ++inv) {
+        a.balancer.told(a.now, 1, encode_peer_message({true, {}, {}}));
         a.accept(inv, seconds(60));
         out += a.is_out(inv);
         a.wait(seconds(0.5)), a.wake();
@@ -87,13 +87,13 @@
 static std::vector<int> crowd(Stage& a, int n, Span every, Span took, Who who)
 {
     std::vector<int> away(4);
-    std::vector<std::pair<Point, Inv>> out;
+    std::vector<std::pair<Point, InvocationId>> out;
     a.quiet = true;
     for (int i = 0; i < n; ++i) {
         a.wait(every);
         while (!out.empty() && a.now - out.front().first >= took)
-            a.end(out.front().second, Result::succeeded, took), out.erase(out.begin());
-        const auto inv = static_cast<Inv>(i % 100);
+            a.end(out.front().second, AttemptResult::succeeded, took), out.erase(out.begin());
+        const auto inv = static_cast<InvocationId>(i % 100);
         const uint32_t tenant = who(i);
         a.accept(inv, seconds(2), tenant);
         if (a.is_out(inv))
@@ -102,7 +102,7 @@
             ++away[tenant];
     }
     a.wait(took);
-    for (const auto& [at, inv] : out) a.end(inv, Result::succeeded, took);
+    for (const auto& [at, inv] : out) a.end(inv, AttemptResult::succeeded, took);
     return away;
 }
 
@@ -114,7 +114,9 @@
     a.list(8);
     a.say("a tenant asks for half its share here, near the limit: how many of 400 are throttled");
     const auto ask = [&] { return crowd(a, 400, seconds(0.025), seconds(0.35), [](int) { return 0u; })[0]; };
-    const auto tell = [&](double rate) { a.balancer.told(a.now, 1, encode_told({true, {rate, 0}, {}})); };
+    const auto tell = [&](double rate) {
+        a.balancer.told(a.now, 1, encode_peer_message({true, {rate, 0}, {}}));
+    };
     tell(0);
     std::printf("nothing elsewhere: %d\n", ask());
     tell(20);
@@ -123,7 +125,7 @@
     std::printf("half as much again elsewhere: %s\n", ask() > 20 ? "some" : "next to none");
 
     // Guards against one tenant that crowds out the others, where the instances do not talk.
-    settings.may_tell = false;
+    settings.may_message_peers = false;
     settings.balancers = 10;
     settings.quotas = {40, 40, 40, 40};
     const auto five_in_eight = [](int i) { return i % 2 ? static_cast<uint32_t>(i / 2 % 4) : 0u; };
@@ -139,23 +141,23 @@
 
 static void queues()
 {
-    Stage s(Stage::settings(Stage::op(Repeat::idempotent)));
+    Stage s(Stage::settings(Stage::op(Idempotency::idempotent)));
     s.list(3);
     s.say("answers take 0.3 s of an objective of 1 s: an upstream where three wait gets nothing");
     s.quiet = true;
-    std::map<Tgt, int> got;
+    std::map<UpstreamId, int> got;
     for (int i = 0; i < 300; ++i) {
         s.wait(seconds(0.02));
         s.last_tgt = ~0u;
         s.accept(0);
         if (s.last_tgt == ~0u) continue;
         ++got[s.last_tgt];
-        Report r;
+        LoadReport r;
         r.queue = s.last_tgt == 0 ? 3 : 0;
-        s.end(0, Result::succeeded, seconds(0.3), r);
+        s.end(0, AttemptResult::succeeded, seconds(0.3), r);
     }
     Stage::print("got", got);
-    Stage late(Stage::settings(Stage::op(Repeat::idempotent)));
+    Stage late(Stage::settings(Stage::op(Idempotency::idempotent)));
     late.list(3);
     late.say("the first answer of all took long, and one waits at each: nobody is throttled for it");
     late.throttled = 0;
@@ -163,9 +165,9 @@
     for (int i = 0; i < 100; ++i) {
         late.wait(seconds(0.5));
         late.accept(0);
-        Report r;
+        LoadReport r;
         r.queue = 0.5;
-        if (late.is_out(0)) late.end(0, Result::succeeded, seconds(i ? 0.3 : 0.95), r);
+        if (late.is_out(0)) late.end(0, AttemptResult::succeeded, seconds(i ? 0.3 : 0.95), r);
     }
     std::printf("throttled: %d of 100\n", late.throttled);
     s.say("three wait at each: throttled now, not when it is too late");
@@ -176,9 +178,9 @@
         s.last_tgt = ~0u;
         s.accept(0);
         if (s.last_tgt == ~0u) continue;
-        Report r;
+        LoadReport r;
         r.queue = 6;
-        s.end(0, Result::succeeded, seconds(0.3), r);
+        s.end(0, AttemptResult::succeeded, seconds(0.3), r);
     }
     std::printf("throttled: %s\n", s.throttled > 150 ? "most" : "few");
 }
--- a/tests/trace.h
+++ b/tests/trace.h
@@ -35,7 +35,7 @@
     using BalancerHost::BalancerHost;
 
     void say(const std::string& text) { std::printf("-- %s\n", text.c_str()); }
-    static void print(const char* what, const std::map<Tgt, int>& got)
+    static void print(const char* what, const std::map<UpstreamId, int>& got)
     {
         std::printf("%s:", what);
         for (const auto& [t, n] : got) std::printf(" u%u=%d", t, n);
--- a/tests/upstreams.cpp
+++ b/tests/upstreams.cpp
@@ -5,23 +5,23 @@
 
 int main()
 {
-    auto settings = Stage::settings(Stage::op(Repeat::idempotent));
+    auto settings = Stage::settings(Stage::op(Idempotency::idempotent));
     Stage s(settings);
     s.list(3);
     s.say("a draining or gone upstream gets nothing from the moment it is told");
     Stage::print("before", s.many(60));
-    s.change(0, Presence::draining);
-    s.change(1, Presence::gone);
+    s.change(0, EndpointPhase::draining);
+    s.change(1, EndpointPhase::gone);
     Stage::print("after", s.many(60));
     s.say("all draining: throttled at once");
-    s.change(2, Presence::draining);
+    s.change(2, EndpointPhase::draining);
     s.accept(0);
 
     Stage c(settings);
     c.say("a cold upstream gets a part of its share, growing as it warms");
     c.list(4);
     c.many(400);
-    c.change(3, Presence::ready, c.now);
+    c.change(3, EndpointPhase::ready, c.now);
     Stage::print("first second", c.many(100));
     c.wait(seconds(15));
     Stage::print("half warm", c.many(100));
@@ -30,7 +30,7 @@
 
     Stage fresh(settings);
     fresh.say("a fresh instance that knows only cold upstreams sends next to nothing");
-    fresh.balancer.list_is(fresh.now, {{0, 0, Presence::ready, 0, 0, 1, fresh.now}});
+    fresh.balancer.list_is(fresh.now, {{0, 0, EndpointPhase::ready, 0, 0, 1, fresh.now}});
     Stage::print("first second", fresh.many(100));
     for (int i = 0; i < 9; ++i) fresh.many(100);
     Stage::print("eleventh second", fresh.many(100));
@@ -62,7 +62,7 @@
     probing.say("reports come by probe alone: upstreams in use are probed, others are not");
     probing.list(40);
     probing.wake();
-    Stage::print("in use", probing.many(6, Result::succeeded, ~0u, seconds(0.02)));
+    Stage::print("in use", probing.many(6, AttemptResult::succeeded, ~0u, seconds(0.02)));
     probing.wake();
     probing.wake();
     probing.wake();
--- a/tests/zones.cpp
+++ b/tests/zones.cpp
@@ -13,31 +13,32 @@
 
 Settings two_zones()
 {
-    auto settings = BalancerHost::settings(BalancerHost::op(Repeat::idempotent));
+    auto settings = BalancerHost::settings(BalancerHost::op(Idempotency::idempotent));
     settings.crossing_price = 0.02;
     settings.reports_by_probe = true;
     return settings;
 }
 
-Report places(double queue, double utilisation)
+LoadReport places(double queue, double utilisation)
 {
-    Report report;
+    LoadReport report;
     report.queue = queue;
     report.utilisation = utilisation;
     return report;
 }
 
 // The part of the forwards that crosses zones, while each upstream tells this of itself now and then.
-double crossing_part(const Report& own_zone, const Report& other_zone)
+double crossing_part(const LoadReport& own_zone, const LoadReport& other_zone)
 {
     BalancerHost host(two_zones());
     host.list(upstreams);
     int own = 0;
     int crossing = 0;
     for (int round = 0; round < 10; ++round) {
-        for (Tgt each = 0; each < upstreams; ++each)
-            host.balancer.probed(host.now, each, Result::succeeded, each % 2 == 0 ? own_zone : other_zone);
-        const auto sent = host.many(100, Result::succeeded, ~0u, probed_every * 0.01);
+        for (UpstreamId each = 0; each < upstreams; ++each)
+            host.balancer.probed(host.now, each, AttemptResult::succeeded,
+                                 each % 2 == 0 ? own_zone : other_zone);
+        const auto sent = host.many(100, AttemptResult::succeeded, ~0u, probed_every * 0.01);
         for (const auto& [upstream, count] : sent) (upstream % 2 == 0 ? own : crossing) += count;
     }
     return crossing / static_cast<double>(own + crossing);
