--- a/rig/checker.cpp
+++ b/fault_injection/checker.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace firtide::rig
+namespace firtide::fault_injection
 {
 
 void Checker::gained(Point at, const std::string& member, const std::string& duty, uint64_t epoch)
@@ -84,4 +84,4 @@
     return {};
 }
 
-}  // namespace firtide::rig
+}  // namespace firtide::fault_injection
--- a/rig/checker.h
+++ b/fault_injection/checker.h
@@ -8,9 +8,9 @@
 #include <tuple>
 #include <vector>
 
-#include "src/time.h"
+#include "src/base/time.h"
 
-namespace firtide::rig
+namespace firtide::fault_injection
 {
 
 class Checker
@@ -47,4 +47,4 @@
     size_t accepted_ = 0;
 };
 
-}  // namespace firtide::rig
+}  // namespace firtide::fault_injection
--- a/rig/client_call.cpp
+++ b/fault_injection/client_call.cpp
@@ -2,7 +2,7 @@
 
 #include <event2/buffer.h>
 
-namespace firtide::rig
+namespace firtide::fault_injection
 {
 
 using net::to_timeval;
@@ -42,4 +42,4 @@
     bufferevent_socket_connect(c->stream.get(), reinterpret_cast<sockaddr*>(&to), sizeof to);
 }
 
-}  // namespace firtide::rig
+}  // namespace firtide::fault_injection
--- a/rig/client_call.h
+++ b/fault_injection/client_call.h
@@ -6,13 +6,13 @@
 #include <functional>
 #include <string>
 
-#include "src/net/event.h"
+#include "src/io/event.h"
 
-namespace firtide::rig
+namespace firtide::fault_injection
 {
 
 // then: with what had come by the end of the connection, or until nothing came for `wait`.
 void call(event_base* base, sockaddr_in to, const std::string& bytes, Span wait,
           std::function<void(std::string)> then);
 
-}  // namespace firtide::rig
+}  // namespace firtide::fault_injection
--- a/rig/relay.cpp
+++ b/fault_injection/fault_proxy.cpp
@@ -1,4 +1,4 @@
-#include "relay.h"
+#include "fault_proxy.h"
 
 #include <event2/buffer.h>
 #include <event2/listener.h>
@@ -9,7 +9,7 @@
 #include <algorithm>
 #include <stdexcept>
 
-namespace firtide::rig
+namespace firtide::fault_injection
 {
 
 using net::monotonic_now;
@@ -24,8 +24,8 @@
     return at;
 }
 
-struct Relay::Pipe {
-    Relay* owner = nullptr;
+struct FaultProxy::Pipe {
+    FaultProxy* owner = nullptr;
     Place self;
     net::Stream from, to;
     std::deque<Chunk> chunks;
@@ -35,13 +35,14 @@
     net::Timer timer;
 };
 
-Relay::Relay(event_base* base, uint16_t to) : base_(base), to_(to), listener_(nullptr, evconnlistener_free)
+FaultProxy::FaultProxy(event_base* base, uint16_t to)
+    : base_(base), to_(to), listener_(nullptr, evconnlistener_free)
 {
     auto at = loopback(0);
     listener_.reset(evconnlistener_new_bind(
         base,
         [](evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
-            static_cast<Relay*>(self)->accept(fd);
+            static_cast<FaultProxy*>(self)->accept(fd);
         },
         this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC, 64, reinterpret_cast<sockaddr*>(&at),
         sizeof at));
@@ -51,9 +52,9 @@
     port_ = ntohs(at.sin_port);
 }
 
-Relay::~Relay() = default;
+FaultProxy::~FaultProxy() = default;
 
-void Relay::end(Place at, bool reset)
+void FaultProxy::end(Place at, bool reset)
 {
     if (reset) {
         const linger none{1, 0};
@@ -62,7 +63,7 @@
     pipes_.erase(at);
 }
 
-void Relay::road_is(const Road& road)
+void FaultProxy::road_is(const Road& road)
 {
     road_ = road;
     for (Place at = pipes_.begin(); at != pipes_.end();) {
@@ -75,7 +76,7 @@
     }
 }
 
-void Relay::accept(evutil_socket_t fd)
+void FaultProxy::accept(evutil_socket_t fd)
 {
     evutil_make_socket_nonblocking(fd);
     pipes_.emplace_back();
@@ -122,7 +123,7 @@
         bufferevent_socket_connect(at->to.get(), reinterpret_cast<sockaddr*>(&target), sizeof target);
 }
 
-void Relay::came(Place at)
+void FaultProxy::came(Place at)
 {
     auto* input = bufferevent_get_input(at->from.get());
     std::string bytes(evbuffer_get_length(input), '\0');
@@ -156,7 +157,7 @@
     move(at);
 }
 
-void Relay::move(Place at)
+void FaultProxy::move(Place at)
 {
     const Point now = monotonic_now();
     if (road_.held) return;
@@ -184,4 +185,4 @@
     end(at, false);
 }
 
-}  // namespace firtide::rig
+}  // namespace firtide::fault_injection
--- a/rig/relay.h
+++ b/fault_injection/fault_proxy.h
@@ -5,11 +5,11 @@
 #include <list>
 #include <memory>
 
-#include "src/net/event.h"
+#include "src/io/event.h"
 
 struct evconnlistener;
 
-namespace firtide::rig
+namespace firtide::fault_injection
 {
 
 struct Road {
@@ -20,11 +20,11 @@
     double rate = 0;       // bytes a second; zero: any
 };
 
-class Relay
+class FaultProxy
 {
   public:
-    Relay(event_base* base, uint16_t to);
-    ~Relay();
+    FaultProxy(event_base* base, uint16_t to);
+    ~FaultProxy();
 
     uint16_t port() const { return port_; }
     void road_is(const Road& road);
@@ -62,4 +62,4 @@
 
 sockaddr_in loopback(uint16_t port);
 
-}  // namespace firtide::rig
+}  // namespace firtide::fault_injection
--- a/rig/main.cpp
+++ b/fault_injection/main.cpp
@@ -1,4 +1,4 @@
-// firtide_rig: plays scenarios on processes of the program, several side by side.
+// firtide-fault-injection: plays scenarios on processes of the program, several side by side.
 #include <sys/wait.h>
 #include <unistd.h>
 
@@ -29,17 +29,17 @@
     std::stringstream text;
     text << file.rdbuf();
     const bool drawn = path.starts_with("seed:");
-    std::variant<rig::Scenario, Fault> decoded =
-        drawn ? rig::draw_scenario(std::strtoull(path.c_str() + 5, nullptr, 10), faults)
-              : rig::decode_scenario(text.str());
-    if (const auto* fault = std::get_if<Fault>(&decoded)) {
+    std::variant<fault_injection::Scenario, ConfigError> decoded =
+        drawn ? fault_injection::draw_scenario(std::strtoull(path.c_str() + 5, nullptr, 10), faults)
+              : fault_injection::decode_scenario(text.str());
+    if (const auto* fault = std::get_if<ConfigError>(&decoded)) {
         std::printf("%s:%u: %s: %s\n", path.c_str(), fault->at.line, fault->at.key.c_str(),
                     fault->what.c_str());
         std::fflush(stdout);
         return 2;
     }
-    const auto& scenario = std::get<rig::Scenario>(decoded);
-    const auto verdict = rig::play(scenario, program, shim, slot);
+    const auto& scenario = std::get<fault_injection::Scenario>(decoded);
+    const auto verdict = fault_injection::play(scenario, program, shim, slot);
     std::printf("%s: %s\n", scenario.name.c_str(), verdict.wrong.empty() ? "safe, and as expected" : "WRONG");
     for (const auto& w : verdict.wrong) std::printf("  %s\n", w.c_str());
     std::fputs(verdict.logs.c_str(), stdout);
@@ -53,7 +53,7 @@
 
 int main(int argc, char** argv)
 {
-    CLI::App app("firtide_rig, several processes of firtide with faults between them");
+    CLI::App app("firtide-fault-injection, several processes of firtide with faults between them");
     std::vector<std::string> files;
     std::string program = "build/firtide", shim = "build/librig_shim.so";
     size_t first_slot = 0;
--- a/rig/scenario.cpp
+++ b/fault_injection/scenario.cpp
@@ -6,9 +6,9 @@
 #include <random>
 #include <sstream>
 
-#include "src/toml_table.h"
+#include "src/base/toml_table.h"
 
-namespace firtide::rig
+namespace firtide::fault_injection
 {
 namespace
 {
@@ -21,7 +21,8 @@
 class Player
 {
   public:
-    Player(const Scenario& scenario, Rig& rig) : scenario_(scenario), rig_(rig)
+    Player(const Scenario& scenario, TestCluster& fault_injection)
+        : scenario_(scenario), rig_(fault_injection)
     {
         for (size_t i = 0; i < scenario.plan.duties; ++i) duties_.push_back("d" + std::to_string(i + 1));
     }
@@ -99,11 +100,12 @@
             [](evutil_socket_t, short, void* self) {
                 auto& f = *static_cast<Flood*>(self);
                 const auto due = static_cast<uint64_t>(f.rate * (net::monotonic_now() - f.from).seconds());
-                Rig& rig = f.player->rig_;
-                for (size_t tries = 0; f.sent < due && tries < due - f.sent + rig.size(); ++tries) {
-                    const size_t i = f.at++ % rig.size();
-                    if (!rig.up(i)) continue;
-                    rig.request_later(i, f.tenant);
+                TestCluster& fault_injection = f.player->rig_;
+                for (size_t tries = 0; f.sent < due && tries < due - f.sent + fault_injection.size();
+                     ++tries) {
+                    const size_t i = f.at++ % fault_injection.size();
+                    if (!fault_injection.up(i)) continue;
+                    fault_injection.request_later(i, f.tenant);
                     ++f.sent;
                 }
             },
@@ -123,7 +125,7 @@
             if (mood == "cold")
                 rig_.discovery().started(rig_.upstream(i).name());
             else if (mood == "wrong-to")
-                rig_.upstream(i).wrong_to(more() ? "l" + Rig::id_of(who()) + "-" : "");
+                rig_.upstream(i).wrong_to(more() ? "l" + TestCluster::id_of(who()) + "-" : "");
             else if (moods.count(mood))
                 rig_.upstream(i).mood_is(moods.at(mood));
             else
@@ -361,7 +363,7 @@
     {
         const size_t a = who();
         const auto spoil = [&](size_t b) {
-            Relay& r = rig_.relay(a, b);
+            FaultProxy& r = rig_.relay(a, b);
             if (verb == "change") r.change_next();
             if (verb == "repeat") r.repeat_next();
             if (verb == "tear") r.cut_within(7);
@@ -387,7 +389,8 @@
             const auto w = next();
             if (w == "->") return {line, rest()};
             const auto known = names_.find(w);
-            line += (line.empty() ? "" : " ") + (known == names_.end() ? w : Rig::id_of(known->second));
+            line +=
+                (line.empty() ? "" : " ") + (known == names_.end() ? w : TestCluster::id_of(known->second));
         }
         return {line, ""};
     }
@@ -434,7 +437,7 @@
         const auto before = rig_.upstream(upstream).served();
         for (const size_t i : from)
             for (int n = 0; n < 6; ++n)
-                if (rig_.request(i) != 200) throw Failed{Rig::id_of(i) + " does not serve"};
+                if (rig_.request(i) != 200) throw Failed{TestCluster::id_of(i) + " does not serve"};
         if (rig_.upstream(upstream).served() != before) throw Failed{"some were served by " + words_.back()};
     }
     // "spread LEAST MOST within T": so many duties a process
@@ -448,7 +451,7 @@
                 for (const auto& d : duties_)
                     if (const auto h = rig_.checker.holder(d)) ++loads[*h];
                 for (size_t i = 0; i < rig_.size(); ++i)
-                    if (const size_t n = loads[Rig::id_of(i)]; rig_.up(i) && (n < least || n > most))
+                    if (const size_t n = loads[TestCluster::id_of(i)]; rig_.up(i) && (n < least || n > most))
                         return false;
                 return true;
             },
@@ -482,20 +485,20 @@
             const auto duty = next();
             const size_t i = who();
             return seen([&] { return rig_.holder(duty) == i; }, most,
-                        Rig::id_of(i) + " does not hold " + duty);
+                        TestCluster::id_of(i) + " does not hold " + duty);
         }
         if (what == "leader")
             return seen([&] { return rig_.leader().has_value(); }, most, "there is no leader");
         if (what == "serves") {
             for (const size_t i : some())
-                seen([&] { return rig_.request(i) == 200; }, most, Rig::id_of(i) + " does not serve");
+                seen([&] { return rig_.request(i) == 200; }, most, TestCluster::id_of(i) + " does not serve");
             return;
         }
         if (what == "exit") {
             const size_t i = who();
             const int status = static_cast<int>(number());
             return seen([&] { return rig_.exit_status(i) == status; }, most,
-                        Rig::id_of(i) + " did not end so");
+                        TestCluster::id_of(i) + " did not end so");
         }
         if (what == "show" || what == "log") {
             const size_t i = who();
@@ -504,13 +507,14 @@
             if (text.starts_with(": ")) text.erase(0, 2);
             for (const auto& [name, m] : names_)
                 for (size_t at; (at = text.find("{" + name + "}")) != std::string::npos;)
-                    text.replace(at, name.size() + 2, Rig::id_of(m));
+                    text.replace(at, name.size() + 2, TestCluster::id_of(m));
             const auto so = [&] {
                 const auto all = what == "log" ? rig_.log(i) : rig_.ask(i, "show-fleet");
                 return (all.find(text) != std::string::npos) != no;
             };
-            return seen(so, most,
-                        "the " + what + " of " + Rig::id_of(i) + (no ? " has '" : " has no '") + text + "'");
+            return seen(
+                so, most,
+                "the " + what + " of " + TestCluster::id_of(i) + (no ? " has '" : " has no '") + text + "'");
         }
         if (what == "refused") {
             const auto least = static_cast<uint64_t>(number());
@@ -574,7 +578,7 @@
     }
 
     const Scenario& scenario_;
-    Rig& rig_;
+    TestCluster& rig_;
     std::unique_ptr<Flood> flood_;
     std::vector<std::string> duties_, words_;
     size_t at_ = 0;
@@ -583,7 +587,7 @@
 
 }  // namespace
 
-std::variant<Scenario, Fault> decode_scenario(std::string_view text)
+std::variant<Scenario, ConfigError> decode_scenario(std::string_view text)
 {
     try {
         const auto from = toml::parse(text);
@@ -612,8 +616,9 @@
         }
         return s;
     } catch (const toml::parse_error& e) {
-        return Fault{{"TOML", static_cast<uint32_t>(e.source().begin.line)}, std::string(e.description())};
-    } catch (const WrongToml& w) {
+        return ConfigError{{"TOML", static_cast<uint32_t>(e.source().begin.line)},
+                           std::string(e.description())};
+    } catch (const TomlConfigError& w) {
         return w.fault;
     }
 }
@@ -628,8 +633,8 @@
     s.plan.voters = pick(2) ? 3 : 5;
     s.plan.duties = 1 + pick(5);
     s.plan.shim = true;
-    const auto any = [&] { return Rig::id_of(pick(s.plan.members)); };
-    const auto voter = [&] { return Rig::id_of(pick(s.plan.voters)); };
+    const auto any = [&] { return TestCluster::id_of(pick(s.plan.members)); };
+    const auto voter = [&] { return TestCluster::id_of(pick(s.plan.voters)); };
     const auto ms = [&](size_t least, size_t most) {
         return std::to_string(least + pick(most - least)) + "ms";
     };
@@ -661,7 +666,7 @@
         s.steps.push_back("wait " + ms(50, 1500));
     }
     s.steps.insert(s.steps.end(), {"whole", "continue all"});
-    for (size_t i = 0; i < s.plan.members; ++i) s.steps.push_back("files " + Rig::id_of(i) + " well");
+    for (size_t i = 0; i < s.plan.members; ++i) s.steps.push_back("files " + TestCluster::id_of(i) + " well");
     s.steps.insert(s.steps.end(),
                    {"wait 3s", "start all", "expect leader within 10s", "expect held all within 10s"});
     return s;
@@ -670,28 +675,31 @@
 Verdict play(const Scenario& scenario, const std::string& program, const std::string& shim, size_t slot)
 {
     Verdict v;
-    Rig rig(scenario.plan, program, shim, slot);
-    rig.checker.overlap_allowed = scenario.overlap_allowed;
-    Player player(scenario, rig);
+    TestCluster fault_injection(scenario.plan, program, shim, slot);
+    fault_injection.checker.overlap_allowed = scenario.overlap_allowed;
+    Player player(scenario, fault_injection);
     for (const auto& step : scenario.steps) {
         try {
             player.play(step);
         } catch (const Failed& f) {
             v.wrong.push_back("at '" + step + "': " + f.what);
-            for (size_t i = 0; i < rig.size(); ++i)
-                if (rig.up(i)) v.logs += "-- shown by " + Rig::id_of(i) + "\n" + rig.ask(i, "show-fleet");
+            for (size_t i = 0; i < fault_injection.size(); ++i)
+                if (fault_injection.up(i))
+                    v.logs +=
+                        "-- shown by " + TestCluster::id_of(i) + "\n" + fault_injection.ask(i, "show-fleet");
             break;
         } catch (const std::exception& e) {
             v.wrong.push_back("at '" + step + "': " + e.what());
             break;
         }
     }
-    for (auto& w : rig.judge()) v.wrong.push_back(std::move(w));
-    v.gaps = rig.checker.gaps();
-    v.accepted = rig.checker.accepted();
+    for (auto& w : fault_injection.judge()) v.wrong.push_back(std::move(w));
+    v.gaps = fault_injection.checker.gaps();
+    v.accepted = fault_injection.checker.accepted();
     if (!v.wrong.empty())
-        for (size_t i = 0; i < rig.size(); ++i) v.logs += "-- " + Rig::id_of(i) + "\n" + rig.log(i);
+        for (size_t i = 0; i < fault_injection.size(); ++i)
+            v.logs += "-- " + TestCluster::id_of(i) + "\n" + fault_injection.log(i);
     return v;
 }
 
-}  // namespace firtide::rig
+}  // namespace firtide::fault_injection
--- a/rig/scenario.h
+++ b/fault_injection/scenario.h
@@ -1,15 +1,15 @@
 // A script of what happens to several processes, and of what has to be seen: TOML, a line of words for each
-// step. docs/rig.md names the steps.
+// step. docs/fault-injection.md names the steps.
 #pragma once
 
 #include <string>
 #include <variant>
 #include <vector>
 
-#include "rig.h"
-#include "src/fault.h"
+#include "src/base/config_error.h"
+#include "test_cluster.h"
 
-namespace firtide::rig
+namespace firtide::fault_injection
 {
 
 struct Scenario {
@@ -19,7 +19,7 @@
     std::vector<std::string> steps;
 };
 
-std::variant<Scenario, Fault> decode_scenario(std::string_view text);
+std::variant<Scenario, ConfigError> decode_scenario(std::string_view text);
 
 // A scenario whose troubles are drawn from a seed; at its end all heals, and all has to be held.
 Scenario draw_scenario(uint64_t seed, size_t faults);
@@ -33,4 +33,4 @@
 
 Verdict play(const Scenario& scenario, const std::string& program, const std::string& shim, size_t slot);
 
-}  // namespace firtide::rig
+}  // namespace firtide::fault_injection
--- a/rig/standins.cpp
+++ b/fault_injection/standins.cpp
@@ -9,7 +9,7 @@
 #include <algorithm>
 #include <stdexcept>
 
-namespace firtide::rig
+namespace firtide::fault_injection
 {
 
 using net::to_timeval;
@@ -203,4 +203,4 @@
     });
 }
 
-}  // namespace firtide::rig
+}  // namespace firtide::fault_injection
--- a/rig/standins.h
+++ b/fault_injection/standins.h
@@ -1,4 +1,4 @@
-// Whom the processes of the rig talk to beside each other: receivers of duties' effects, upstreams,
+// Whom the processes of the test cluster talk to beside each other: receivers of duties' effects, upstreams,
 // discovery.
 #pragma once
 
@@ -11,9 +11,9 @@
 #include <string>
 #include <vector>
 
-#include "src/net/event.h"
+#include "src/io/event.h"
 
-namespace firtide::rig
+namespace firtide::fault_injection
 {
 
 // An HTTP server on loopback; each request is answered by `serve`, at once or later.
@@ -106,4 +106,4 @@
     Server server_;
 };
 
-}  // namespace firtide::rig
+}  // namespace firtide::fault_injection
--- a/rig/shim.cpp
+++ b/fault_injection/syscall_interposer.cpp
@@ -1,6 +1,6 @@
-// Loaded before the C library into a process of the rig: its clock at a stated rate, and a file layer that
-// does as the control file says, for files of one folder.
-#include "shim.h"
+// Loaded before the C library into a process of the test cluster: its clock at a stated rate, and a file
+// layer that does as the control file says, for files of one folder.
+#include "syscall_interposer.h"
 
 #include <dlfcn.h>
 #include <errno.h>
@@ -16,7 +16,7 @@
 namespace
 {
 
-using namespace firtide::rig;
+using namespace firtide::fault_injection;
 
 constexpr int most_fds = 4096;
 volatile Control* control = nullptr;
--- a/rig/shim.h
+++ b/fault_injection/syscall_interposer.h
@@ -1,7 +1,7 @@
-// What the rig tells the layer under a process's files and clock, in memory that both have.
+// What the test cluster tells the layer under a process's files and clock, in memory that both have.
 #pragma once
 
-namespace firtide::rig
+namespace firtide::fault_injection
 {
 
 struct Control {
@@ -14,4 +14,4 @@
     int sync_lost = 0;  // says synced and has not
 };
 
-}  // namespace firtide::rig
+}  // namespace firtide::fault_injection
--- a/rig/rig.cpp
+++ b/fault_injection/test_cluster.cpp
@@ -1,4 +1,4 @@
-#include "rig.h"
+#include "test_cluster.h"
 
 #include <event2/buffer.h>
 #include <fcntl.h>
@@ -19,7 +19,7 @@
 
 #include "client_call.h"
 
-namespace firtide::rig
+namespace firtide::fault_injection
 {
 
 namespace fs = std::filesystem;
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-struct Rig::Process {
+struct TestCluster::Process {
     uint16_t fleet_port = 0, serve_port = 0, door_port = 0;
     pid_t pid = 0;
     std::optional<int> status;
@@ -51,7 +51,7 @@
 };
 
 // Below those that the system deals out to outgoing connections.
-uint16_t Rig::free_port()
+uint16_t TestCluster::free_port()
 {
     for (;;) {
         const uint16_t port = next_port_++;
@@ -61,7 +61,7 @@
     }
 }
 
-Rig::Rig(Plan plan, std::string program, std::string shim, size_t slot)
+TestCluster::TestCluster(Plan plan, std::string program, std::string shim, size_t slot)
     : plan_(std::move(plan)),
       program_(std::move(program)),
       shim_(std::move(shim)),
@@ -104,11 +104,12 @@
     }
     for (size_t a = 0; a < size(); ++a)
         for (size_t b = 0; b < size(); ++b)
-            if (a != b) relays_[{a, b}] = std::make_unique<Relay>(base_.get(), processes_[b]->fleet_port);
+            if (a != b)
+                relays_[{a, b}] = std::make_unique<FaultProxy>(base_.get(), processes_[b]->fleet_port);
     write_files();
 }
 
-Rig::~Rig()
+TestCluster::~TestCluster()
 {
     for (size_t i = 0; i < size(); ++i) {
         if (processes_[i]->pid) {
@@ -121,14 +122,14 @@
     fs::remove_all(folder_, ignored);
 }
 
-void Rig::files_are(std::vector<size_t> without, std::vector<size_t> voters)
+void TestCluster::files_are(std::vector<size_t> without, std::vector<size_t> voters)
 {
     without_ = std::move(without);
     voters_ = std::move(voters);
     write_files();
 }
 
-void Rig::write_files()
+void TestCluster::write_files()
 {
     for (size_t i = 0; i < size(); ++i) {
         std::ofstream file(folder_ + "/fleet" + std::to_string(i) + ".toml");
@@ -163,36 +164,36 @@
     }
 }
 
-std::string Rig::folder(size_t member) const { return folder_ + "/data" + std::to_string(member); }
+std::string TestCluster::folder(size_t member) const { return folder_ + "/data" + std::to_string(member); }
 
-void Rig::wipe(size_t member) { fs::remove_all(folder(member)); }
+void TestCluster::wipe(size_t member) { fs::remove_all(folder(member)); }
 
-void Rig::save(size_t member)
+void TestCluster::save(size_t member)
 {
     fs::remove_all(folder(member) + ".saved");
     fs::copy(folder(member), folder(member) + ".saved", fs::copy_options::recursive);
 }
 
-void Rig::put_back(size_t member)
+void TestCluster::put_back(size_t member)
 {
     wipe(member);
     fs::copy(folder(member) + ".saved", folder(member), fs::copy_options::recursive);
 }
 
-void Rig::swap_folder(size_t member, size_t with)
+void TestCluster::swap_folder(size_t member, size_t with)
 {
     wipe(member);
     fs::copy(folder(with), folder(member), fs::copy_options::recursive);
 }
 
-void Rig::tear(size_t member, size_t bytes)
+void TestCluster::tear(size_t member, size_t bytes)
 {
     const auto path = folder(member) + "/voter.log";
     const auto size = fs::file_size(path);
     fs::resize_file(path, size - std::min<uintmax_t>(size, bytes));
 }
 
-void Rig::spoil_snapshot(size_t member, const std::string& how, size_t number)
+void TestCluster::spoil_snapshot(size_t member, const std::string& how, size_t number)
 {
     const auto path = folder(member) + "/snapshot";
     if (how == "of") {
@@ -209,9 +210,9 @@
     }
 }
 
-Control& Rig::control(size_t member) { return *processes_[member]->control; }
+Control& TestCluster::control(size_t member) { return *processes_[member]->control; }
 
-void Rig::start(size_t member)
+void TestCluster::start(size_t member)
 {
     Process& p = *processes_[member];
     if (p.pid) return;
@@ -224,7 +225,7 @@
     const pid_t parent = getpid();
     p.pid = fork();
     if (p.pid == 0) {
-        // Guards against processes that outlive the rig, however it ends.
+        // Guards against processes that outlive the test cluster, however it ends.
         prctl(PR_SET_PDEATHSIG, SIGKILL);
         if (getppid() != parent) _exit(127);
         dup2(ends[1], 2);
@@ -244,10 +245,10 @@
     evutil_make_socket_nonblocking(ends[0]);
     p.log.reset(bufferevent_socket_new(base_.get(), ends[0], BEV_OPT_CLOSE_ON_FREE));
     struct Reads {
-        Rig* rig;
+        TestCluster* fault_injection;
         size_t member;
     };
-    // Lives as long as the rig does: a few bytes for each start.
+    // Lives as long as the test cluster does: a few bytes for each start.
     auto* reads = new Reads{this, member};
     bufferevent_setcb(
         p.log.get(),
@@ -257,14 +258,14 @@
             while (char* line = evbuffer_readln(bufferevent_get_input(log), &length, EVBUFFER_EOL_LF)) {
                 const std::string text(line, length);
                 std::free(line);
-                r->rig->heard(r->member, text);
+                r->fault_injection->heard(r->member, text);
             }
         },
         nullptr, [](bufferevent*, short, void*) {}, reads);
     bufferevent_enable(p.log.get(), EV_READ);
 }
 
-void Rig::heard(size_t member, const std::string& line)
+void TestCluster::heard(size_t member, const std::string& line)
 {
     processes_[member]->text += line + "\n";
     if (on_line) on_line(member, line);
@@ -272,7 +273,7 @@
     const auto in = nlohmann::json::parse(line, nullptr, false);
     if (!in.is_object()) return;
     const auto event = in.value("event", "");
-    // By its own clock where that is the rig's too; else by when it was heard.
+    // By its own clock where that is the test cluster's too; else by when it was heard.
     const bool own = !plan_.shim || processes_[member]->control->rate == 1;
     const Point at = own ? Point{in.value("boot_us", int64_t{0})} : now();
     if (event == "gained")
@@ -282,7 +283,7 @@
                      in.value("epoch", uint64_t{0}));
 }
 
-void Rig::kill(size_t member, int signal)
+void TestCluster::kill(size_t member, int signal)
 {
     Process& p = *processes_[member];
     if (!p.pid) return;
@@ -296,13 +297,13 @@
     checker.ended(now(), id_of(member));
 }
 
-pid_t Rig::process(size_t member) const { return processes_[member]->pid; }
-bool Rig::up(size_t member) const { return processes_[member]->pid != 0; }
-std::optional<int> Rig::exit_status(size_t member) const { return processes_[member]->status; }
-Point Rig::now() const { return boot_now(); }
-std::string Rig::log(size_t member) const { return processes_[member]->text; }
+pid_t TestCluster::process(size_t member) const { return processes_[member]->pid; }
+bool TestCluster::up(size_t member) const { return processes_[member]->pid != 0; }
+std::optional<int> TestCluster::exit_status(size_t member) const { return processes_[member]->status; }
+Point TestCluster::now() const { return boot_now(); }
+std::string TestCluster::log(size_t member) const { return processes_[member]->text; }
 
-void Rig::run(Span span)
+void TestCluster::run(Span span)
 {
     const auto most = to_timeval(span);
     event_base_loopexit(base_.get(), &most);
@@ -317,7 +318,7 @@
     }
 }
 
-bool Rig::until(const std::function<bool()>& so, Span most)
+bool TestCluster::until(const std::function<bool()>& so, Span most)
 {
     const Point end = monotonic_now() + most;
     while (!so()) {
@@ -327,21 +328,21 @@
     return true;
 }
 
-Road Rig::road(size_t from, size_t to) const { return relays_.at({from, to})->road(); }
-void Rig::road_is(size_t from, size_t to, const Road& road) { relay(from, to).road_is(road); }
-Relay& Rig::relay(size_t from, size_t to) { return *relays_.at({from, to}); }
+Road TestCluster::road(size_t from, size_t to) const { return relays_.at({from, to})->road(); }
+void TestCluster::road_is(size_t from, size_t to, const Road& road) { relay(from, to).road_is(road); }
+FaultProxy& TestCluster::relay(size_t from, size_t to) { return *relays_.at({from, to}); }
 
-void Rig::whole()
+void TestCluster::whole()
 {
     for (auto& [pair, relay] : relays_) relay->road_is({});
 }
 
-void Rig::ask_later(size_t member, const std::string& line, std::function<void(std::string)> then)
+void TestCluster::ask_later(size_t member, const std::string& line, std::function<void(std::string)> then)
 {
     call(base_.get(), loopback(processes_[member]->door_port), line + "\n", seconds(60), std::move(then));
 }
 
-std::string Rig::ask(size_t member, const std::string& line, Span wait)
+std::string TestCluster::ask(size_t member, const std::string& line, Span wait)
 {
     auto got = std::make_shared<std::optional<std::string>>();
     call(base_.get(), loopback(processes_[member]->door_port), line + "\n", wait,
@@ -350,7 +351,7 @@
     return got->value_or("");
 }
 
-int Rig::request(size_t member, Span wait)
+int TestCluster::request(size_t member, Span wait)
 {
     static uint64_t next = 1;
     auto got = std::make_shared<std::optional<std::string>>();
@@ -362,7 +363,7 @@
     return text.size() > 12 && text.starts_with("HTTP/1.1 ") ? std::atoi(text.c_str() + 9) : 0;
 }
 
-void Rig::request_later(size_t member, const std::string& tenant)
+void TestCluster::request_later(size_t member, const std::string& tenant)
 {
     call(base_.get(), loopback(processes_[member]->serve_port),
          "GET /safe/x HTTP/1.1\r\nReq-Id: l" + id_of(member) + "-" + std::to_string(++later_) +
@@ -372,20 +373,20 @@
          });
 }
 
-void Rig::garbage(size_t member, const std::string& bytes)
+void TestCluster::garbage(size_t member, const std::string& bytes)
 {
     call(base_.get(), loopback(processes_[member]->fleet_port), bytes, seconds(0.3),
          [](const std::string&) {});
 }
 
-size_t Rig::index_of(const std::string& id) const
+size_t TestCluster::index_of(const std::string& id) const
 {
     for (size_t i = 0; i < size(); ++i)
         if (id_of(i) == id) return i;
     throw std::runtime_error("'" + id + "' is no process");
 }
 
-std::optional<size_t> Rig::leader()
+std::optional<size_t> TestCluster::leader()
 {
     std::optional<size_t> found;
     unsigned long best = 0;
@@ -401,7 +402,7 @@
     return found;
 }
 
-std::optional<size_t> Rig::holder(const std::string& duty)
+std::optional<size_t> TestCluster::holder(const std::string& duty)
 {
     for (size_t i = 0; i < size(); ++i) {
         if (!up(i) || processes_[i]->stopped) continue;
@@ -414,7 +415,7 @@
     return {};
 }
 
-std::vector<std::string> Rig::judge()
+std::vector<std::string> TestCluster::judge()
 {
     for (size_t i = 0; i < size(); ++i)
         if (processes_[i]->stopped) kill(i, SIGCONT);
@@ -426,4 +427,4 @@
     return wrong;
 }
 
-}  // namespace firtide::rig
+}  // namespace firtide::fault_injection
--- a/rig/rig.h
+++ b/fault_injection/test_cluster.h
@@ -10,34 +10,34 @@
 #include <vector>
 
 #include "checker.h"
-#include "relay.h"
-#include "shim.h"
+#include "fault_proxy.h"
 #include "standins.h"
+#include "syscall_interposer.h"
 
-namespace firtide::rig
+namespace firtide::fault_injection
 {
 
 struct Plan {
     size_t members = 5, voters = 3, duties = 3, upstreams = 2;
     std::string lease = "1500ms", more;  // more: text at the end of each fleet file
     double drift = 0.02;
-    bool shim = false;     // clocks and files under the rig's hand
+    bool shim = false;     // clocks and files under the test cluster's hand
     bool fleet = true;     // false: each balancer by itself, as without a fleet file
     std::string settings;  // further keys of the balancers' settings
 };
 
-class Rig
+class TestCluster
 {
   public:
     // slot: of those that run side by side; each has ports of its own.
-    Rig(Plan plan, std::string program, std::string shim, size_t slot);
-    ~Rig();
-    Rig(const Rig&) = delete;
+    TestCluster(Plan plan, std::string program, std::string shim, size_t slot);
+    ~TestCluster();
+    TestCluster(const TestCluster&) = delete;
 
     const Plan& plan() const { return plan_; }
     size_t size() const { return processes_.size(); }
     event_base* base() { return base_.get(); }
-    void run(Span span);  // the rig's own loop
+    void run(Span span);  // the test cluster's own loop
     bool until(const std::function<bool()>& so, Span most);
 
     void start(size_t member);
@@ -48,7 +48,7 @@
 
     Road road(size_t from, size_t to) const;
     void road_is(size_t from, size_t to, const Road& road);
-    Relay& relay(size_t from, size_t to);
+    FaultProxy& relay(size_t from, size_t to);
     void whole();  // all roads
 
     Control& control(size_t member);
@@ -107,7 +107,7 @@
     std::unique_ptr<DiscoveryStandIn> discovery_;
     std::vector<std::unique_ptr<Upstream>> upstreams_;
     std::vector<std::unique_ptr<Process>> processes_;
-    std::map<std::pair<size_t, size_t>, std::unique_ptr<Relay>> relays_;
+    std::map<std::pair<size_t, size_t>, std::unique_ptr<FaultProxy>> relays_;
 };
 
-}  // namespace firtide::rig
+}  // namespace firtide::fault_injection
--- a/scale/capacity_runs.py
+++ b/scale/capacity_runs.py
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True)
 class ScaleRun:
-    """One run of firtide-scale or of firtide-lab scale."""
+    """One run of firtide-scale or of firtide-simulation scale."""
 
     path: Path
     command: str
--- a/scale/change_tracker.h
+++ b/scale/change_tracker.h
@@ -5,7 +5,7 @@
 #include <optional>
 #include <vector>
 
-#include "src/time.h"
+#include "src/base/time.h"
 
 namespace firtide::scale
 {
--- a/scale/child_process.cpp
+++ b/scale/child_process.cpp
@@ -11,7 +11,7 @@
 #include <stdexcept>
 #include <utility>
 
-#include "src/net/event.h"
+#include "src/io/event.h"
 
 namespace firtide::scale
 {
--- a/scale/cluster.cpp
+++ b/scale/cluster.cpp
@@ -8,7 +8,7 @@
 #include <cstdlib>
 #include <fstream>
 
-#include "rig/client_call.h"
+#include "fault_injection/client_call.h"
 #include "src/fleet/host.h"
 
 namespace firtide::scale
@@ -130,13 +130,14 @@
 {
     ++waiting_;
     real_[member].view.reset();
-    rig::call(base_, layout_.door(member), "show-fleet\n", door_answers_within,
-              [this, member](const std::string& answer) {
-                  --waiting_;
-                  real_[member].view = decode_fleet_view(answer);
-                  const auto& view = real_[member].view;
-                  if (view && view->traffic) traffic_[member].take(fleet::fleet_now(), *view->traffic);
-              });
+    fault_injection::call(base_, layout_.door(member), "show-fleet\n", door_answers_within,
+                          [this, member](const std::string& answer) {
+                              --waiting_;
+                              real_[member].view = decode_fleet_view(answer);
+                              const auto& view = real_[member].view;
+                              if (view && view->traffic)
+                                  traffic_[member].take(fleet::fleet_now(), *view->traffic);
+                          });
 }
 
 void Cluster::ask_hollow(size_t group, const HollowCommand& command)
@@ -165,7 +166,8 @@
 
 void Cluster::order(uint32_t member, const std::string& line)
 {
-    rig::call(base_, layout_.door(member), line + "\n", door_answers_within, [](const std::string&) {});
+    fault_injection::call(base_, layout_.door(member), line + "\n", door_answers_within,
+                          [](const std::string&) {});
 }
 
 void Cluster::stop_real(uint32_t member)
--- a/scale/discovery_standin.cpp
+++ b/scale/discovery_standin.cpp
@@ -72,14 +72,14 @@
 {
     const auto first = static_cast<std::ptrdiff_t>(std::min<uint64_t>(after - 1, changed_.size()));
     const std::set<size_t> places(changed_.begin() + first, changed_.end());
-    rig::answer(request, 200, list(false, {places.begin(), places.end()}));
+    fault_injection::answer(request, 200, list(false, {places.begin(), places.end()}));
 }
 
 void DiscoveryStandIn::serve(evhttp_request* request)
 {
     ++calls_;
     const uint64_t after = argument(evhttp_request_get_uri(request), "after");
-    if (after == 0) return rig::answer(request, 200, whole_list());
+    if (after == 0) return fault_injection::answer(request, 200, whole_list());
     if (after < version()) return answer_changes(request, after);
     watch(request);
 }
@@ -96,7 +96,7 @@
             });
         },
         this);
-    rig::answer_later(base_, watch_lasts, [this, request, after = version()] {
+    fault_injection::answer_later(base_, watch_lasts, [this, request, after = version()] {
         const auto at = std::find_if(watching_.begin(), watching_.end(), [&](const Watcher& watcher) {
             return watcher.request == request && watcher.after == after;
         });
--- a/scale/discovery_standin.h
+++ b/scale/discovery_standin.h
@@ -5,8 +5,8 @@
 #include <string>
 #include <vector>
 
+#include "fault_injection/standins.h"
 #include "layout.h"
-#include "rig/standins.h"
 
 namespace firtide::scale
 {
@@ -49,7 +49,7 @@
     std::vector<size_t> changed_;  // by version: the upstream; the first version has none
     std::vector<Watcher> watching_;
     uint64_t calls_ = 0;
-    rig::Server server_;
+    fault_injection::Server server_;
 };
 
 }  // namespace firtide::scale
--- a/scale/fleet_view.h
+++ b/scale/fleet_view.h
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <vector>
 
-#include "src/fleet/traffic.h"
+#include "src/fleet/transport/traffic.h"
 
 namespace firtide::scale
 {
--- a/scale/hollow_process.cpp
+++ b/scale/hollow_process.cpp
@@ -12,8 +12,8 @@
 #include "line_stream.h"
 #include "src/fleet/commands.h"
 #include "src/fleet/host.h"
+#include "src/io/log.h"
 #include "src/net/discovery.h"
-#include "src/net/log.h"
 #include "traffic_meter.h"
 
 namespace firtide::scale
--- a/scale/hollow_protocol.h
+++ b/scale/hollow_protocol.h
@@ -8,8 +8,8 @@
 #include <variant>
 #include <vector>
 
-#include "src/fleet/traffic.h"
-#include "src/time.h"
+#include "src/base/time.h"
+#include "src/fleet/transport/traffic.h"
 
 namespace firtide::scale
 {
--- a/scale/layout.h
+++ b/scale/layout.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "options.h"
-#include "src/net/event.h"
+#include "src/io/event.h"
 
 namespace firtide::scale
 {
--- a/scale/line_stream.h
+++ b/scale/line_stream.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-#include "src/net/event.h"
+#include "src/io/event.h"
 
 namespace firtide::scale
 {
--- a/scale/load_generator.cpp
+++ b/scale/load_generator.cpp
@@ -14,8 +14,8 @@
 #include <optional>
 #include <stdexcept>
 
-#include "src/net/event.h"
-#include "src/net/message.h"
+#include "src/http/message.h"
+#include "src/io/event.h"
 
 namespace firtide::scale
 {
--- a/scale/main.cpp
+++ b/scale/main.cpp
@@ -32,7 +32,7 @@
     return command;
 }
 
-std::string text_of(const Fault& fault, const std::string& experiment_path)
+std::string text_of(const ConfigError& fault, const std::string& experiment_path)
 {
     if (fault.at.line == 0) return "--" + fault.at.key + ": " + fault.what;
     return experiment_path + ":" + std::to_string(fault.at.line) + ": " + fault.at.key + ": " + fault.what;
@@ -64,7 +64,8 @@
         if (!file || !(experiment << file.rdbuf())) return refuse(experiment_path + ": cannot be read");
     }
     const auto decoded = scale::decode_options(experiment.str(), words);
-    if (const auto* fault = std::get_if<Fault>(&decoded)) return refuse(text_of(*fault, experiment_path));
+    if (const auto* fault = std::get_if<ConfigError>(&decoded))
+        return refuse(text_of(*fault, experiment_path));
     const auto& options = std::get<scale::Options>(decoded);
     if (!can_write(options.json)) return refuse("--json: '" + options.json + "' cannot be written");
     std::signal(SIGPIPE, SIG_IGN);
--- a/scale/options.cpp
+++ b/scale/options.cpp
@@ -4,7 +4,7 @@
 #include <charconv>
 
 #include "estimate.h"
-#include "src/toml_table.h"
+#include "src/base/toml_table.h"
 
 namespace firtide::scale
 {
@@ -135,7 +135,7 @@
         one.insert(name, node);
         try {
             read_value(one, name, options);
-        } catch (WrongToml& fault) {
+        } catch (TomlConfigError& fault) {
             fault.fault.at.line = line;
             throw;
         }
@@ -239,13 +239,14 @@
     return names;
 }
 
-std::variant<Options, Fault> decode_options(std::string_view experiment, const std::vector<Word>& over)
+std::variant<Options, ConfigError> decode_options(std::string_view experiment, const std::vector<Word>& over)
 {
     try {
         return read_options(experiment, over);
     } catch (const toml::parse_error& e) {
-        return Fault{{"TOML", static_cast<uint32_t>(e.source().begin.line)}, std::string(e.description())};
-    } catch (const WrongToml& w) {
+        return ConfigError{{"TOML", static_cast<uint32_t>(e.source().begin.line)},
+                           std::string(e.description())};
+    } catch (const TomlConfigError& w) {
         return w.fault;
     }
 }
--- a/scale/options.h
+++ b/scale/options.h
@@ -9,7 +9,7 @@
 #include <variant>
 #include <vector>
 
-#include "src/fault.h"
+#include "src/base/config_error.h"
 
 namespace firtide::scale
 {
@@ -61,7 +61,7 @@
 
 // The values of an experiment file, a flat TOML table with the options' names as keys. `over`: what the
 // command line says, which counts for more. The fault's line is zero where it is of the command line.
-std::variant<Options, Fault> decode_options(std::string_view experiment, const std::vector<Word>& over);
+std::variant<Options, ConfigError> decode_options(std::string_view experiment, const std::vector<Word>& over);
 
 // Each option with its value as it is in force, in the order of the help.
 std::vector<Word> words_of(const Options& options);
--- a/scale/result.h
+++ b/scale/result.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "options.h"
-#include "src/fleet/traffic.h"
+#include "src/fleet/transport/traffic.h"
 #include "statistics.h"
 
 namespace firtide::scale
--- a/scale/socket_segments.cpp
+++ b/scale/socket_segments.cpp
@@ -12,7 +12,7 @@
 #include <cstring>
 #include <vector>
 
-#include "src/net/event.h"
+#include "src/io/event.h"
 
 namespace firtide::scale
 {
--- a/scale/stand_ins.cpp
+++ b/scale/stand_ins.cpp
@@ -13,8 +13,8 @@
 #include <sstream>
 #include <stdexcept>
 
-#include "rig/standins.h"
-#include "src/net/event.h"
+#include "fault_injection/standins.h"
+#include "src/io/event.h"
 
 namespace firtide::scale
 {
@@ -76,15 +76,15 @@
     const auto base = precise_base();
     const auto serve = [&](evhttp_request* request) {
         const std::string path = evhttp_request_get_uri(request);
-        if (path.starts_with("/-/")) return rig::answer(request, HTTP_OK, probe_answer);
-        if (service_time <= Span{}) return rig::answer(request, HTTP_OK, call_answer);
-        rig::answer_later(base.get(), service_time,
-                          [request] { rig::answer(request, HTTP_OK, call_answer); });
+        if (path.starts_with("/-/")) return fault_injection::answer(request, HTTP_OK, probe_answer);
+        if (service_time <= Span{}) return fault_injection::answer(request, HTTP_OK, call_answer);
+        fault_injection::answer_later(base.get(), service_time,
+                                      [request] { fault_injection::answer(request, HTTP_OK, call_answer); });
     };
-    std::vector<std::unique_ptr<rig::Server>> servers;
+    std::vector<std::unique_ptr<fault_injection::Server>> servers;
     Ports ports;
     for (size_t i = 0; i < upstreams; ++i) {
-        servers.push_back(std::make_unique<rig::Server>(base.get(), serve));
+        servers.push_back(std::make_unique<fault_injection::Server>(base.get(), serve));
         ports.push_back(servers.back()->port());
     }
     tell_ports(pipe, ports);
@@ -93,7 +93,7 @@
 
 std::string upstream_id(size_t upstream) { return "s-" + std::to_string(upstream); }
 
-void apply(const ListChange& change, rig::DiscoveryStandIn& discovery)
+void apply(const ListChange& change, fault_injection::DiscoveryStandIn& discovery)
 {
     const auto id = upstream_id(change.upstream);
     switch (change.kind) {
@@ -107,7 +107,7 @@
 class ListChanger
 {
   public:
-    ListChanger(event_base* base, rig::DiscoveryStandIn& discovery, EndpointChanges changes,
+    ListChanger(event_base* base, fault_injection::DiscoveryStandIn& discovery, EndpointChanges changes,
                 double changes_per_second, std::atomic<uint64_t>& count)
         : base_(base),
           discovery_(discovery),
@@ -121,7 +121,7 @@
   private:
     void schedule()
     {
-        rig::answer_later(base_, changes_.next_gap(changes_per_second_), [this] {
+        fault_injection::answer_later(base_, changes_.next_gap(changes_per_second_), [this] {
             apply(changes_.next(), discovery_);
             ++count_;
             schedule();
@@ -129,7 +129,7 @@
     }
 
     event_base* base_;
-    rig::DiscoveryStandIn& discovery_;
+    fault_injection::DiscoveryStandIn& discovery_;
     EndpointChanges changes_;
     double changes_per_second_;
     std::atomic<uint64_t>& count_;
@@ -139,12 +139,12 @@
                      std::atomic<uint64_t>& changes, const Pipe& pipe)
 {
     const net::Base base(event_base_new());
-    std::vector<std::unique_ptr<rig::DiscoveryStandIn>> servers;
+    std::vector<std::unique_ptr<fault_injection::DiscoveryStandIn>> servers;
     Ports ports;
     for (const auto& list : lists) {
         std::map<std::string, std::pair<uint16_t, std::string>> targets;
         for (size_t i = 0; i < list.size(); ++i) targets[upstream_id(i)] = {list[i], "ready"};
-        servers.push_back(std::make_unique<rig::DiscoveryStandIn>(base.get()));
+        servers.push_back(std::make_unique<fault_injection::DiscoveryStandIn>(base.get()));
         servers.back()->list_is(std::move(targets));
         ports.push_back(servers.back()->port());
     }
--- a/scale/stand_ins.h
+++ b/scale/stand_ins.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "child_process.h"
-#include "src/time.h"
+#include "src/base/time.h"
 
 namespace firtide::scale
 {
--- a/scale/test_bed.cpp
+++ b/scale/test_bed.cpp
@@ -17,7 +17,7 @@
 #include <thread>
 
 #include "load_generator.h"
-#include "src/net/event.h"
+#include "src/io/event.h"
 
 namespace firtide::scale
 {
@@ -29,7 +29,8 @@
 constexpr auto start_within = std::chrono::seconds(20);
 constexpr auto look_again_after = std::chrono::milliseconds(20);
 constexpr time_t answer_within_seconds = 2;
-constexpr uint16_t first_port = 29200;  // above the rig's, below those that the kernel gives to connections
+constexpr uint16_t first_port =
+    29200;  // above the test cluster's, below those that the kernel gives to connections
 constexpr uint16_t port_ranges = 8, ports_each = 400;
 constexpr int64_t cold_window_us = 5'000'000;
 constexpr size_t voters = 3;
--- a/scale/test_bed.h
+++ b/scale/test_bed.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "child_process.h"
-#include "src/time.h"
+#include "src/base/time.h"
 #include "stand_ins.h"
 
 namespace firtide::scale
--- a/scale/traffic_meter.h
+++ b/scale/traffic_meter.h
@@ -1,8 +1,8 @@
 // What one member has carried over several lives of its process, whose own counts begin at zero each time.
 #pragma once
 
-#include "src/fleet/traffic.h"
-#include "src/time.h"
+#include "src/base/time.h"
+#include "src/fleet/transport/traffic.h"
 
 namespace firtide::scale
 {
--- a/lab/troubles.cpp
+++ b/simulation/fault_scenarios.cpp
@@ -1,10 +1,10 @@
-#include "troubles.h"
+#include "fault_scenarios.h"
 
 #include <algorithm>
 #include <cmath>
 #include <numeric>
 
-namespace firtide::lab
+namespace firtide::simulation
 {
 namespace
 {
@@ -30,7 +30,7 @@
     for (size_t b = 0; b < t.balancers(); ++b) {
         std::vector<size_t> without;
         for (size_t u = 0; u < t.upstreams(); ++u)
-            if (t.world().roll() < 0.05) without.push_back(u);
+            if (t.cluster().roll() < 0.05) without.push_back(u);
         t.list_to(b, without);
     }
     t.run(seconds(1));
@@ -117,9 +117,9 @@
     start_all(t);
     const size_t n = t.balancers();
     for (size_t a = 0; a < n / 2; ++a)
-        for (size_t b = n / 2; b < n; ++b) t.world().link(a, b).cut = t.world().link(b, a).cut = true;
+        for (size_t b = n / 2; b < n; ++b) t.cluster().link(a, b).cut = t.cluster().link(b, a).cut = true;
     t.run(seconds(6));
-    t.world().heal();
+    t.cluster().heal();
     t.run(seconds(6));
 }
 
@@ -214,4 +214,4 @@
     return o;
 }
 
-}  // namespace firtide::lab
+}  // namespace firtide::simulation
--- a/lab/troubles.h
+++ b/simulation/fault_scenarios.h
@@ -7,7 +7,7 @@
 
 #include "service_simulation.h"
 
-namespace firtide::lab
+namespace firtide::simulation
 {
 
 struct Outcome {
@@ -33,4 +33,4 @@
 ServiceSimulation::Options simulation_options(size_t balancers, size_t upstreams, On on);
 Outcome play(const Trouble& trouble, const ServiceSimulation::Options& options, uint64_t seed);
 
-}  // namespace firtide::lab
+}  // namespace firtide::simulation
--- a/lab/main.cpp
+++ b/simulation/main.cpp
@@ -1,4 +1,4 @@
-// firtide-lab: fleets in virtual time, from the command line.
+// firtide-simulation: fleets in virtual time, from the command line.
 #include <sys/resource.h>
 
 #include <CLI/CLI.hpp>
@@ -8,14 +8,14 @@
 #include <cstdio>
 #include <fstream>
 
-#include "check.h"
+#include "fault_scenarios.h"
+#include "model_check.h"
+#include "randomized_run.h"
 #include "scale.h"
 #include "subsets.h"
-#include "troubles.h"
-#include "walk.h"
 
 using namespace firtide;
-using namespace firtide::lab;
+using namespace firtide::simulation;
 
 namespace
 {
@@ -30,7 +30,7 @@
 struct Rules {
     std::string without;
 
-    void take_out_of(World::Options& o) const
+    void take_out_of(SimulatedCluster::Options& o) const
     {
         if (without == "office")
             o.lease_manager = [](LeaseManager& g) { g.disabled_checks.wait_in_office = true; };
@@ -47,11 +47,11 @@
     for (const auto& line : trace) std::puts(line.c_str());
 }
 
-int walks(const Walk& walk, Seeds seeds, bool traced)
+int walks(const RandomizedRun& run, Seeds seeds, bool traced)
 {
     uint64_t faults = 0, broken = 0;
     for (uint64_t seed = seeds.first; seed <= seeds.last; ++seed) {
-        const auto got = lab::walk(walk, seed, traced);
+        const auto got = simulation::run_randomized(run, seed, traced);
         faults += got.faults;
         if (traced) print(got.trace);
         if (got.broken.empty()) continue;
@@ -108,9 +108,9 @@
 }
 
 // What a fleet at rest says, and how long a duty is held by nobody.
-int rest(World::Options options, uint64_t seed, bool acquainted)
+int rest(SimulatedCluster::Options options, uint64_t seed, bool acquainted)
 {
-    World w(options, seed);
+    SimulatedCluster w(options, seed);
     if (acquainted) w.start_all_with_known_members();
     for (size_t i = 0; i < w.size(); ++i) w.start(i);
     w.run(seconds(10));
@@ -223,15 +223,15 @@
 
 int main(int argc, char** argv)
 {
-    CLI::App app("firtide-lab, fleets of balancers in virtual time");
+    CLI::App app("firtide-simulation, fleets of balancers in virtual time");
     app.require_subcommand(1);
-    Walk w;
+    RandomizedRun w;
     Check c;
     Seeds seeds;
     Rules rules;
     double lasts = 60, faults = 1, lease = 3;
     bool traced = false, deltas = false;
-    World::Options options;
+    SimulatedCluster::Options options;
     const auto common = [&](CLI::App* of) {
         of->add_option("--members", options.members);
         of->add_option("--voters", options.voters)->check(CLI::IsMember({3, 5, 7}));
--- a/lab/check.cpp
+++ b/simulation/model_check.cpp
@@ -1,6 +1,6 @@
-#include "check.h"
+#include "model_check.h"
 
-namespace firtide::lab
+namespace firtide::simulation
 {
 namespace
 {
@@ -23,7 +23,7 @@
     uint32_t number = 0;
     size_t next = 0;
     bool armed = false;
-    World::Options options = check.options;
+    SimulatedCluster::Options options = check.options;
     options.fork = [&](Fork at) -> size_t {
         if (!armed) return 0;
         if (ways) ways->push_back(ways_at(at));
@@ -31,7 +31,7 @@
         if (next >= way.size() || way[next].first != here) return 0;
         return way[next++].second;
     };
-    World w(options, check.seed);
+    SimulatedCluster w(options, check.seed);
     w.traced = trace != nullptr;
     for (size_t i = 0; i < w.size(); ++i) w.start(i);
     w.run(check.settles);
@@ -79,4 +79,4 @@
     return out;
 }
 
-}  // namespace firtide::lab
+}  // namespace firtide::simulation
--- a/lab/check.h
+++ b/simulation/model_check.h
@@ -2,13 +2,13 @@
 // it.
 #pragma once
 
-#include "world.h"
+#include "simulated_cluster.h"
 
-namespace firtide::lab
+namespace firtide::simulation
 {
 
 struct Check {
-    World::Options options;
+    SimulatedCluster::Options options;
     Span settles = seconds(2.2), lasts = seconds(4);  // before anything can go wrong, and after
     size_t most = 1;                                  // things that go wrong in one run
     size_t part = 0, parts = 1;                       // of the runs, this part only
@@ -33,4 +33,4 @@
 std::vector<Broken> play(const Check& check, const Way& way, std::vector<std::string>* trace,
                          std::vector<uint8_t>* ways);
 
-}  // namespace firtide::lab
+}  // namespace firtide::simulation
--- a/lab/walk.cpp
+++ b/simulation/randomized_run.cpp
@@ -1,12 +1,12 @@
-#include "walk.h"
+#include "randomized_run.h"
 
-namespace firtide::lab
+namespace firtide::simulation
 {
 namespace
 {
 
 // A member's own agent of discovery tells an older list for a while.
-void agents_fall_behind(World& w, uint64_t version)
+void agents_fall_behind(SimulatedCluster& w, uint64_t version)
 {
     const auto node = static_cast<size_t>(w.roll() * static_cast<double>(w.size()));
     const uint64_t lag = static_cast<uint64_t>(w.roll() * 6);
@@ -15,7 +15,7 @@
 }
 
 // Long after all has healed every member has what the holder of `list` has.
-std::string list_apart(World& w)
+std::string list_apart(SimulatedCluster& w)
 {
     const auto holders = w.holders("list");
     if (holders.size() != 1) return "list is held by nobody long after all has healed";
@@ -31,30 +31,30 @@
 
 }  // namespace
 
-Walked walk(const Walk& walk, uint64_t seed, bool traced)
+Walked run_randomized(const RandomizedRun& run, uint64_t seed, bool traced)
 {
-    World w(walk.options, seed);
+    SimulatedCluster w(run.options, seed);
     w.traced = traced;
     const size_t n = w.size();
     const auto any = [&] { return static_cast<size_t>(w.roll() * static_cast<double>(n)); };
     const auto span = [&](double least, double most) { return seconds(least + (most - least) * w.roll()); };
     for (size_t i = 0; i < n; ++i) {
         w.start(i);
-        if (walk.clocks) w.clock(i, 1 + walk.options.lease.drift * (w.roll() - 0.5));
+        if (run.clocks) w.clock(i, 1 + run.options.lease.drift * (w.roll() - 0.5));
     }
-    if (walk.clock_beyond > 0) w.clock(n - 1, 1 / (1 + walk.clock_beyond));
+    if (run.clock_beyond > 0) w.clock(n - 1, 1 / (1 + run.clock_beyond));
     Walked out;
-    const Point end = w.now() + walk.lasts;
+    const Point end = w.now() + run.lasts;
     uint64_t version = 1;
     w.run(seconds(3));
     while (w.now() < end && w.broken().empty()) {
-        w.run(span(0, 2 / walk.faults));
+        w.run(span(0, 2 / run.faults));
         ++out.faults;
         w.discovery_is(++version);
-        if (walk.options.deltas) agents_fall_behind(w, version);
+        if (run.options.deltas) agents_fall_behind(w, version);
         const size_t a = any(), b = any();
-        const double lease = walk.options.lease.length.seconds();
-        switch (static_cast<int>(w.roll() * (walk.disks ? 14 : 10))) {
+        const double lease = run.options.lease.length.seconds();
+        switch (static_cast<int>(w.roll() * (run.disks ? 14 : 10))) {
             case 0: w.crash(a); break;
             case 1:
             case 2: w.start(a); break;
@@ -85,20 +85,20 @@
             default: w.disk(a).sync_takes = {}, w.disk(a).full = false; break;
         }
     }
-    if (walk.quiet_end && w.broken().empty()) {
+    if (run.quiet_end && w.broken().empty()) {
         w.heal();
         for (size_t i = 0; i < n; ++i) {
             w.disk(i).full = false, w.disk(i).sync_takes = {};
             w.discovery_of(i, std::nullopt);
             w.start(i);
         }
-        w.run(seconds(20) + walk.options.lease.length * 4);
-        for (size_t d = 0; d < walk.options.duties && w.broken().empty(); ++d)
+        w.run(seconds(20) + run.options.lease.length * 4);
+        for (size_t d = 0; d < run.options.duties && w.broken().empty(); ++d)
             if (w.holders("d" + std::to_string(d + 1)).size() != 1)
                 out.broken.push_back(
                     {"d" + std::to_string(d + 1) + " is held by nobody long after all has healed", w.now()});
     }
-    if (walk.quiet_end && walk.options.deltas && w.broken().empty() && out.broken.empty())
+    if (run.quiet_end && run.options.deltas && w.broken().empty() && out.broken.empty())
         if (const auto apart = list_apart(w); !apart.empty()) out.broken.push_back({apart, w.now()});
     for (const Broken& b : w.broken()) out.broken.push_back(b);
     out.count = w.count;
@@ -107,4 +107,4 @@
     return out;
 }
 
-}  // namespace firtide::lab
+}  // namespace firtide::simulation
--- a/lab/walk.h
+++ b/simulation/randomized_run.h
@@ -1,13 +1,13 @@
 // Random walks: a fleet under faults drawn from a seed.
 #pragma once
 
-#include "world.h"
+#include "simulated_cluster.h"
 
-namespace firtide::lab
+namespace firtide::simulation
 {
 
-struct Walk {
-    World::Options options;
+struct RandomizedRun {
+    SimulatedCluster::Options options;
     Span lasts = seconds(60);
     double faults = 1;        // a second, about
     bool disks = true;        // lost, torn, full, slow
@@ -18,12 +18,12 @@
 
 struct Walked {
     std::vector<Broken> broken;
-    World::Count count;
+    SimulatedCluster::Count count;
     uint64_t faults = 0;
     std::vector<std::string> trace;
     std::vector<Span> gaps;
 };
 
-Walked walk(const Walk& walk, uint64_t seed, bool traced = false);
+Walked run_randomized(const RandomizedRun& run, uint64_t seed, bool traced = false);
 
-}  // namespace firtide::lab
+}  // namespace firtide::simulation
--- a/lab/scale.cpp
+++ b/simulation/scale.cpp
@@ -4,9 +4,9 @@
 #include <cstdio>
 #include <nlohmann/json.hpp>
 
-#include "src/fleet/list_text.h"
+#include "src/fleet/endpoints/endpoint_text.h"
 
-namespace firtide::lab
+namespace firtide::simulation
 {
 namespace
 {
@@ -37,18 +37,18 @@
     return {static_cast<double>(*middle) / over, static_cast<double>(greatest) / over};
 }
 
-World::Traffic operator-(const World::Traffic& a, const World::Traffic& b)
+SimulatedCluster::Traffic operator-(const SimulatedCluster::Traffic& a, const SimulatedCluster::Traffic& b)
 {
     return {a.messages_out - b.messages_out, a.bytes_out - b.bytes_out, a.messages_in - b.messages_in,
             a.bytes_in - b.bytes_in};
 }
 
-RoleTraffic role_traffic(const std::vector<World::Traffic>& of, double lasts)
+RoleTraffic role_traffic(const std::vector<SimulatedCluster::Traffic>& of, double lasts)
 {
     constexpr double kilo = 1000;
     const auto spread = [&](double over, auto&& value) {
         std::vector<uint64_t> values;
-        for (const World::Traffic& t : of) values.push_back(value(t));
+        for (const SimulatedCluster::Traffic& t : of) values.push_back(value(t));
         return spread_of(std::move(values), over);
     };
     RoleTraffic role;
@@ -109,9 +109,9 @@
     return "";
 }
 
-World::Options ScaleRun::world_options() const
+SimulatedCluster::Options ScaleRun::world_options() const
 {
-    World::Options options;
+    SimulatedCluster::Options options;
     options.members = plan_.members, options.voters = plan_.voters, options.duties = plan_.duties;
     options.zones = plan_.zones;
     options.list = true;
@@ -123,13 +123,14 @@
 
 ScaleRun::ScaleRun(const ScalePlan& plan)
     : plan_(plan),
-      world_(world_options(), plan.seed),
+      cluster_(world_options(), plan.seed),
       members_(plan.members),
       chance_(static_cast<uint32_t>(plan.seed + 1))
 {
-    changed_at_.assign(first_version + 1, world_.now());
-    world_.discovery_is(first_version, whole_list_text(first_version, world_.discovery_lines(first_version)));
-    world_.on_effect = [this](size_t node, FleetEffect& effect) {
+    changed_at_.assign(first_version + 1, cluster_.now());
+    cluster_.discovery_is(first_version,
+                          whole_list_text(first_version, cluster_.discovery_lines(first_version)));
+    cluster_.on_effect = [this](size_t node, FleetEffect& effect) {
         if (const auto* use = std::get_if<ApplyEndpointList>(&effect)) list_in_use(node, use->version);
     };
 }
@@ -138,16 +139,17 @@
 {
     MemberState& member = members_[node];
     for (uint64_t v = std::max(member.list + 1, member.first_counted); v <= version; ++v)
-        if (v > first_version) waits_us_.push_back(static_cast<uint32_t>((world_.now() - changed_at_[v]).us));
+        if (v > first_version)
+            waits_us_.push_back(static_cast<uint32_t>((cluster_.now() - changed_at_[v]).us));
     member.list = std::max(member.list, version);
 }
 
 void ScaleRun::change_list()
 {
     const uint64_t version = changed_at_.size();
-    changed_at_.push_back(world_.now());
-    world_.discovery_is(
-        version, plan_.deltas ? std::string() : whole_list_text(version, world_.discovery_lines(version)));
+    changed_at_.push_back(cluster_.now());
+    cluster_.discovery_is(
+        version, plan_.deltas ? std::string() : whole_list_text(version, cluster_.discovery_lines(version)));
 }
 
 // Of a Poisson process: changes keep no step with the times at which discovery is asked.
@@ -159,33 +161,33 @@
 void ScaleRun::begin_seconds()
 {
     seconds_.clear();
-    second_began_ = world_.now();
-    second_before_ = world_.count;
+    second_began_ = cluster_.now();
+    second_before_ = cluster_.count;
 }
 
 void ScaleRun::advance(Point until)
 {
-    while (world_.now() < until) {
+    while (cluster_.now() < until) {
         const bool change = changing_ && next_change_ <= until;
         const Point second_ends = second_began_ + bucket;
-        world_.run_until(std::min(second_ends, change ? next_change_ : until));
-        if (change && world_.now() >= next_change_) {
+        cluster_.run_until(std::min(second_ends, change ? next_change_ : until));
+        if (change && cluster_.now() >= next_change_) {
             change_list();
             next_change_ = next_change_ + until_next_change();
         }
-        if (world_.now() < second_ends) continue;
+        if (cluster_.now() < second_ends) continue;
         seconds_.push_back(
-            {world_.count.messages - second_before_.messages, world_.count.bytes - second_before_.bytes});
-        second_began_ = world_.now();
-        second_before_ = world_.count;
+            {cluster_.count.messages - second_before_.messages, cluster_.count.bytes - second_before_.bytes});
+        second_began_ = cluster_.now();
+        second_before_ = cluster_.count;
     }
 }
 
-void ScaleRun::run_for(Span span) { advance(world_.now() + span); }
+void ScaleRun::run_for(Span span) { advance(cluster_.now() + span); }
 
 std::optional<size_t> ScaleRun::list_holder() const
 {
-    const auto holders = world_.holders("list");
+    const auto holders = cluster_.holders("list");
     return holders.empty() ? std::nullopt : std::optional(holders.front());
 }
 
@@ -199,28 +201,28 @@
 // What each member's role is at the end counts for the whole time: at rest roles do not move.
 void ScaleRun::measure_rest()
 {
-    const auto before = world_.traffic;
+    const auto before = cluster_.traffic;
     run_for(seconds(plan_.seconds));
-    const auto leader = world_.leader(), holder = list_holder();
-    std::map<std::string, std::vector<World::Traffic>> by_role;
+    const auto leader = cluster_.leader(), holder = list_holder();
+    std::map<std::string, std::vector<SimulatedCluster::Traffic>> by_role;
     for (size_t i = 0; i < plan_.members; ++i)
-        by_role[role_of(i, leader, holder)].push_back(world_.traffic[i] - before[i]);
+        by_role[role_of(i, leader, holder)].push_back(cluster_.traffic[i] - before[i]);
     for (const auto& [role, traffic] : by_role) result_.roles[role] = role_traffic(traffic, plan_.seconds);
 }
 
 void ScaleRun::start(size_t node)
 {
     members_[node] = {0, changed_at_.size()};
-    world_.start(node);
+    cluster_.start(node);
 }
 
-void ScaleRun::crash(size_t node) { world_.crash(node); }
+void ScaleRun::crash(size_t node) { cluster_.crash(node); }
 
 std::vector<size_t> ScaleRun::members_to_kill()
 {
     std::vector<size_t> all(plan_.members);
     for (size_t i = 0; i < all.size(); ++i) all[i] = i;
-    std::shuffle(all.begin(), all.end(), world_.chance());
+    std::shuffle(all.begin(), all.end(), cluster_.chance());
     all.resize(std::max<size_t>(1, all.size() / one_killed_of));
     return all;
 }
@@ -234,23 +236,23 @@
 
 void ScaleRun::split_regions()
 {
-    for (size_t i = 0; i < plan_.members; ++i) world_.set_region(i, region_of(i, plan_.voters));
+    for (size_t i = 0; i < plan_.members; ++i) cluster_.set_region(i, region_of(i, plan_.voters));
     const auto holder = list_holder();
     const uint32_t known_in = holder ? region_of(*holder, plan_.voters) : 0;
-    world_.discovery_answers = [this, known_in](size_t node) {
+    cluster_.discovery_answers = [this, known_in](size_t node) {
         return region_of(node, plan_.voters) == known_in;
     };
     run_for(split_for);
-    world_.discovery_answers = nullptr;
-    world_.heal();
+    cluster_.discovery_answers = nullptr;
+    cluster_.heal();
 }
 
 void ScaleRun::restart_all()
 {
     const Span step = restarted_within * (1.0 / static_cast<double>(plan_.members));
     for (size_t i = 0; i < plan_.members; ++i) {
-        world_.schedule(step * static_cast<double>(i), SIZE_MAX, [this, i] { crash(i); });
-        world_.schedule(step * static_cast<double>(i) + down_at_restart, SIZE_MAX, [this, i] { start(i); });
+        cluster_.schedule(step * static_cast<double>(i), SIZE_MAX, [this, i] { crash(i); });
+        cluster_.schedule(step * static_cast<double>(i) + down_at_restart, SIZE_MAX, [this, i] { start(i); });
     }
     run_for(restarted_within + down_at_restart);
 }
@@ -276,9 +278,9 @@
         case ScaleTrouble::restart: restart_all(); break;
     }
     TroubleOutcome outcome;
-    const Point ended = world_.now();
+    const Point ended = cluster_.now();
     if (settle(changed_at_.size() - 1, longest_settling))
-        outcome.seconds_until_agreed = (world_.now() - ended).seconds();
+        outcome.seconds_until_agreed = (cluster_.now() - ended).seconds();
     run_for(bucket);  // so that the last second is whole
     for (const Second& s : seconds_) {
         outcome.traffic_peak_over_rest =
@@ -293,22 +295,22 @@
 {
     std::optional<size_t> first;
     size_t up = 0;
-    for (size_t i = 0; i < plan_.members; ++i) up += world_.up(i);
+    for (size_t i = 0; i < plan_.members; ++i) up += cluster_.up(i);
     for (size_t i = 0; i < plan_.members; ++i) {
-        if (!world_.up(i)) continue;
+        if (!cluster_.up(i)) continue;
         if (!first) first = i;
-        const Membership& members = world_.fleet(i).members();
+        const Membership& members = cluster_.fleet(i).members();
         if (members.alive() != up || members_[i].list < version) return false;
-        if (members.digest() != world_.fleet(*first).members().digest()) return false;
+        if (members.digest() != cluster_.fleet(*first).members().digest()) return false;
     }
     return true;
 }
 
 bool ScaleRun::settle(uint64_t version, Span longest)
 {
-    const Point end = world_.now() + longest;
+    const Point end = cluster_.now() + longest;
     while (!agreed(version)) {
-        if (world_.now() >= end) return false;
+        if (cluster_.now() >= end) return false;
         run_for(look_every);
     }
     return true;
@@ -321,14 +323,14 @@
     const uint64_t newest = changed_at_.size() - 1;
     settle(newest, longest_settling);
     for (size_t i = 0; i < plan_.members; ++i) {
-        if (!world_.up(i)) continue;
+        if (!cluster_.up(i)) continue;
         const uint64_t has = std::max(members_[i].list, members_[i].first_counted - 1);
         result_.changes_missing += newest - std::min(newest, has);
     }
     // Who was started anew needs the newest list, however old its changes are.
     for (size_t i = 0; i < plan_.members; ++i)
         result_.changes_missing +=
-            world_.up(i) && members_[i].list < newest && members_[i].first_counted > newest;
+            cluster_.up(i) && members_[i].list < newest && members_[i].first_counted > newest;
     std::sort(waits_us_.begin(), waits_us_.end());
     ChangeTimes& times = result_.change_in_force;
     times.counted = waits_us_.size();
@@ -338,16 +340,16 @@
         return waits_us_[place] / 1e6;
     };
     times.p50 = at(0.5), times.p99 = at(0.99), times.greatest = at(1);
-    result_.messages = world_.count.messages, result_.bytes = world_.count.bytes;
-    result_.broken = world_.broken();
+    result_.messages = cluster_.count.messages, result_.bytes = cluster_.count.bytes;
+    result_.broken = cluster_.broken();
 }
 
 ScaleResult ScaleRun::run()
 {
-    world_.start_all_with_known_members();
-    world_.run(warm_up);
+    cluster_.start_all_with_known_members();
+    cluster_.run(warm_up);
     changing_ = plan_.changes_per_second > 0;
-    if (changing_) next_change_ = world_.now() + until_next_change();
+    if (changing_) next_change_ = cluster_.now() + until_next_change();
     begin_seconds();
     measure_rest();
     if (plan_.trouble != ScaleTrouble::none) play_trouble();
@@ -371,10 +373,10 @@
     const auto spread = [&](const Spread& s) {
         return Json{{"median", rounded(s.median)}, {"greatest", rounded(s.greatest)}};
     };
-    const std::string command = "firtide-lab scale --members " + std::to_string(plan.members) + " --voters " +
-                                std::to_string(plan.voters) + " --duties " + std::to_string(plan.duties) +
-                                " --zones " + std::to_string(plan.zones) + " --upstreams " +
-                                std::to_string(plan.upstreams) + " --changes-per-second " +
+    const std::string command = "firtide-simulation scale --members " + std::to_string(plan.members) +
+                                " --voters " + std::to_string(plan.voters) + " --duties " +
+                                std::to_string(plan.duties) + " --zones " + std::to_string(plan.zones) +
+                                " --upstreams " + std::to_string(plan.upstreams) + " --changes-per-second " +
                                 number(plan.changes_per_second) + " --seconds " + number(plan.seconds) +
                                 " --seed " + std::to_string(plan.seed) + " --trouble " +
                                 text_of(plan.trouble) + (plan.deltas ? " --deltas" : "");
@@ -421,4 +423,4 @@
     return json.dump(2) + "\n";
 }
 
-}  // namespace firtide::lab
+}  // namespace firtide::simulation
--- a/lab/scale.h
+++ b/simulation/scale.h
@@ -9,9 +9,9 @@
 #include <string_view>
 #include <vector>
 
-#include "world.h"
+#include "simulated_cluster.h"
 
-namespace firtide::lab
+namespace firtide::simulation
 {
 
 enum class ScaleTrouble : uint8_t {
@@ -82,7 +82,7 @@
 
     // All live members hold each other as alive and all others as not, and have this version of the list.
     bool agreed(uint64_t version);
-    World& world() { return world_; }
+    SimulatedCluster& cluster() { return cluster_; }
 
   private:
     struct MemberState {
@@ -93,7 +93,7 @@
         uint64_t messages = 0, bytes = 0;
     };
 
-    World::Options world_options() const;
+    SimulatedCluster::Options world_options() const;
     void list_in_use(size_t node, uint64_t version);
     void change_list();
     Span until_next_change();
@@ -114,7 +114,7 @@
     std::optional<size_t> list_holder() const;
 
     const ScalePlan plan_;
-    World world_;
+    SimulatedCluster cluster_;
     std::vector<MemberState> members_;
     std::vector<Point> changed_at_;  // by version
     std::vector<uint32_t> waits_us_;
@@ -122,7 +122,7 @@
     Point next_change_;
     bool changing_ = false;
     Point second_began_;
-    World::Count second_before_;
+    SimulatedCluster::Count second_before_;
     std::vector<Second> seconds_;  // of traffic
     ScaleResult result_;
 };
@@ -135,4 +135,4 @@
 // JSON, with the command that repeats the run.
 std::string scale_report(const ScalePlan& plan, const ScaleResult& result, const ScaleMachine& machine);
 
-}  // namespace firtide::lab
+}  // namespace firtide::simulation
--- a/lab/service_simulation.cpp
+++ b/simulation/service_simulation.cpp
@@ -3,16 +3,16 @@
 #include <algorithm>
 #include <cmath>
 
-namespace firtide::lab
+namespace firtide::simulation
 {
 namespace
 {
 
 constexpr Span ticks = seconds(0.1), one_way = seconds(0.0005);
 
-World::Options world_options(const ServiceSimulation::Options& o)
+SimulatedCluster::Options world_options(const ServiceSimulation::Options& o)
 {
-    World::Options w;
+    SimulatedCluster::Options w;
     w.members = o.balancers;
     w.voters = o.balancers >= 5 ? 5 : 3;
     w.duties = 0;
@@ -56,7 +56,7 @@
 };
 
 ServiceSimulation::ServiceSimulation(Options options, uint64_t seed)
-    : options_(std::move(options)), world_(world_options(options_), seed), load_(options_.load)
+    : options_(std::move(options)), cluster_(world_options(options_), seed), load_(options_.load)
 {
     for (size_t u = 0; u < options_.upstreams; ++u) {
         servers_.push_back(std::make_unique<Up>());
@@ -64,8 +64,8 @@
         servers_.back()->server.zone = static_cast<uint32_t>(u % 3);
     }
     for (size_t i = 0; i < options_.balancers; ++i) nodes_.push_back(std::make_unique<Node>());
-    since_ = world_.now();
-    world_.on_effect = [this](size_t node, FleetEffect& e) {
+    since_ = cluster_.now();
+    cluster_.on_effect = [this](size_t node, FleetEffect& e) {
         if (auto* uses = std::get_if<ApplySubsetPeers>(&e)) {
             tell(node, net::SubsetPeersUpdated{std::move(uses->sharers)});
         } else if (auto* signals = std::get_if<ApplyOutlierReports>(&e)) {
@@ -75,7 +75,7 @@
         } else if (auto* state = std::get_if<ApplyFleetState>(&e)) {
             tell(node, net::FleetStateUpdated{state->state});
         } else if (auto* parts = std::get_if<ApplyQuotas>(&e)) {
-            const Span apart = world_.now() - world_.clock_of(node);
+            const Span apart = cluster_.now() - cluster_.clock_of(node);
             for (QuotaLease& p : parts->parts)
                 p.full_until = p.full_until + apart, p.none_from = p.none_from + apart;
             tell(node, net::QuotasUpdated{std::move(parts->parts)});
@@ -124,7 +124,7 @@
     n.setup.sizes_listed = true;
     static uint64_t runs = 0;
     n.run = ++runs;
-    n.reducer = std::make_unique<net::Reducer>(n.setup, world_.chance()(), "here:1");
+    n.reducer = std::make_unique<net::Reducer>(n.setup, cluster_.chance()(), "here:1");
     if (options_.recovery) n.reducer->recover(*options_.recovery);
     if (options_.subset || options_.signals || options_.turns || options_.recovery)
         n.reducer->join({options_.subset,
@@ -134,8 +134,8 @@
                          0,
                          {},
                          0.1});
-    world_.start(b);
-    world_.schedule({}, b, [this, b] {
+    cluster_.start(b);
+    cluster_.schedule({}, b, [this, b] {
         tell(b, net::ServiceStarted{});
         list_to(b, nodes_[b]->without);
         tick(b);
@@ -145,17 +145,17 @@
 
 void ServiceSimulation::stop(size_t b)
 {
-    world_.crash(b);
+    cluster_.crash(b);
     nodes_[b]->reducer.reset();
     nodes_[b]->shown = 0;
 }
 
-void ServiceSimulation::run(Span span) { world_.run(span); }
+void ServiceSimulation::run(Span span) { cluster_.run(span); }
 
 void ServiceSimulation::tick(size_t b)
 {
     tell(b, net::Tick{});
-    world_.schedule(ticks, b, [this, b] { tick(b); });
+    cluster_.schedule(ticks, b, [this, b] { tick(b); });
 }
 
 // Poisson arrivals, in even parts among those that run.
@@ -165,12 +165,12 @@
     for (const auto& n : nodes_) all += n->reducer ? 1 : 0;
     for (const auto& up : servers_) able += static_cast<double>(up->server.slots) / up->server.mean;
     const double rate = load_ * able / all;
-    const Span next = seconds(-std::log(1 - world_.roll()) / rate);
-    world_.schedule(next, b, [this, b] {
+    const Span next = seconds(-std::log(1 - cluster_.roll()) / rate);
+    cluster_.schedule(next, b, [this, b] {
         Node& n = *nodes_[b];
         if (!n.reducer) return;
         const net::RequestId caller = n.next_caller++;
-        n.asked[caller] = world_.now();
+        n.asked[caller] = cluster_.now();
         ++count.asked;
         net::Request request{"GET", "/op", "", 0, 0, options_.client_timeout, {}, ""};
         request.id = std::to_string(caller);
@@ -182,7 +182,7 @@
 void ServiceSimulation::tell(size_t b, net::Event event)
 {
     if (!nodes_[b]->reducer) return;
-    carry_out(b, nodes_[b]->reducer->reduce(world_.now(), std::move(event)));
+    carry_out(b, nodes_[b]->reducer->reduce(cluster_.now(), std::move(event)));
 }
 
 void ServiceSimulation::carry_out(size_t b, std::vector<net::Effect> effects)
@@ -194,9 +194,9 @@
             if (at == n.asked.end()) continue;
             const bool well = a->response.status == 200;
             count.served += well, n.served += well;
-            const bool in_time = well && world_.now() - at->second <= options_.objective;
+            const bool in_time = well && cluster_.now() - at->second <= options_.objective;
             count.in_time += in_time;
-            const auto window = static_cast<size_t>((world_.now() - since_) / seconds(0.5));
+            const auto window = static_cast<size_t>((cluster_.now() - since_) / seconds(0.5));
             if (window >= in_time_by_.size()) in_time_by_.resize(window + 1);
             in_time_by_[window] += in_time;
             count.throttled += a->response.status == 503;
@@ -206,14 +206,14 @@
             const size_t up = std::stoul(d->endpoint.substr(d->endpoint.find(':') + 1)) - 1;
             n.attempts[d->attempt] = {up, {}, true};
             const bool whole = !n.broken_roads.count(up);
-            world_.schedule(whole ? one_way * 2 : seconds(0.05), b, [this, b, id = d->attempt, whole] {
+            cluster_.schedule(whole ? one_way * 2 : seconds(0.05), b, [this, b, id = d->attempt, whole] {
                 if (!nodes_[b]->attempts.count(id)) return;
                 if (whole) return tell(b, net::UpstreamConnected{id});
                 nodes_[b]->attempts.erase(id);
                 tell(b, net::AttemptFailed{
                             id, {net::AttemptProgress::not_connected, net::FailureCause::no_answer_in_time}});
             });
-            world_.schedule(d->limit, b, [this, b, id = d->attempt] {
+            cluster_.schedule(d->limit, b, [this, b, id = d->attempt] {
                 const auto open = nodes_[b]->attempts.find(id);
                 if (open == nodes_[b]->attempts.end()) return;
                 if (open->second.job) servers_[open->second.upstream]->called_off.insert(*open->second.job);
@@ -229,18 +229,18 @@
             at->second.job = job.number;
             ++count.forwards;
             if (servers_[at->second.upstream]->started &&
-                world_.now() - *servers_[at->second.upstream]->started < options_.cold) {
+                cluster_.now() - *servers_[at->second.upstream]->started < options_.cold) {
                 ++count.cold_forwards;
             }
-            world_.schedule(one_way, SIZE_MAX, [this, up = at->second.upstream, job] { reach(up, job); });
+            cluster_.schedule(one_way, SIZE_MAX, [this, up = at->second.upstream, job] { reach(up, job); });
         } else if (auto* up = std::get_if<net::CloseUpstream>(&e)) {
             const auto at = n.attempts.find(up->attempt);
             if (at == n.attempts.end()) continue;
             if (at->second.job) servers_[at->second.upstream]->called_off.insert(*at->second.job);
             n.attempts.erase(at);
         } else if (auto* wake = std::get_if<net::StartTimer>(&e)) {
-            world_.schedule(wake->at - world_.now(), b,
-                            [this, b, name = wake->name] { tell(b, net::TimerFired{name}); });
+            cluster_.schedule(wake->at - cluster_.now(), b,
+                              [this, b, name = wake->name] { tell(b, net::TimerFired{name}); });
         } else if (auto* observed = std::get_if<net::LocalObservations>(&e)) {
             count.widened += observed->wider > n.wider, count.narrowed += observed->wider < n.wider;
             n.shown = observed->shown, n.wider = observed->wider;
@@ -249,7 +249,7 @@
                 std::erase_if(observed->evidence, [&](const OutlierEvidence& v) { return v.upstream == id; });
                 observed->evidence.push_back({id, 1, 0, 20, {}, seconds(9), {}});
             }
-            world_.tell(b, std::move(*observed));
+            cluster_.tell(b, std::move(*observed));
         }
     }
 }
@@ -257,7 +257,7 @@
 size_t ServiceSimulation::slots_now(const Up& up) const
 {
     if (!up.started) return up.server.slots;
-    const double age = std::min(1.0, (world_.now() - *up.started) / options_.cold);
+    const double age = std::min(1.0, (cluster_.now() - *up.started) / options_.cold);
     const double part = options_.cold_share + (1 - options_.cold_share) * age;
     return std::max<size_t>(1, static_cast<size_t>(std::lround(part * static_cast<double>(up.server.slots))));
 }
@@ -266,10 +266,10 @@
 void ServiceSimulation::judge_cold(size_t u)
 {
     Up& up = *servers_[u];
-    if (!up.started || world_.now() - *up.started >= options_.cold) return;
-    up.lately.push_back(world_.now());
-    while (world_.now() - up.lately.front() > options_.falls_after) up.lately.pop_front();
-    const double age = (world_.now() - *up.started) / options_.cold;
+    if (!up.started || cluster_.now() - *up.started >= options_.cold) return;
+    up.lately.push_back(cluster_.now());
+    while (cluster_.now() - up.lately.front() > options_.falls_after) up.lately.pop_front();
+    const double age = (cluster_.now() - *up.started) / options_.cold;
     const double able = (options_.cold_share + (1 - options_.cold_share) * age) *
                         static_cast<double>(up.server.slots) / up.server.mean *
                         options_.falls_after.seconds();
@@ -295,17 +295,17 @@
 {
     Up& up = *servers_[u];
     ++up.busy;
-    const Span takes = seconds(-std::log(1 - world_.roll()) * up.server.mean);
-    world_.schedule(takes, SIZE_MAX, [this, u, job, life = up.life] { end(u, job, life); });
+    const Span takes = seconds(-std::log(1 - cluster_.roll()) * up.server.mean);
+    cluster_.schedule(takes, SIZE_MAX, [this, u, job, life = up.life] { end(u, job, life); });
 }
 
 void ServiceSimulation::end(size_t u, Job job, uint64_t life)
 {
     Up& up = *servers_[u];
     if (up.life != life) return;
-    if (world_.now() < up.frozen_until)
-        return world_.schedule(up.frozen_until - world_.now(), SIZE_MAX,
-                               [this, u, job, life] { end(u, job, life); });
+    if (cluster_.now() < up.frozen_until)
+        return cluster_.schedule(up.frozen_until - cluster_.now(), SIZE_MAX,
+                                 [this, u, job, life] { end(u, job, life); });
     --up.busy;
     if (up.called_off.erase(job.number) == 0) {
         net::Response well;
@@ -322,23 +322,23 @@
 
 void ServiceSimulation::answer(const Job& job, net::Response response)
 {
-    world_.schedule(one_way, SIZE_MAX, [this, job, response = std::move(response)]() mutable {
+    cluster_.schedule(one_way, SIZE_MAX, [this, job, response = std::move(response)]() mutable {
         Node& n = *nodes_[job.node];
         if (!n.reducer || n.run != job.run || !n.attempts.erase(job.attempt)) return;
         // A process that stands still reads it later.
-        world_.schedule({}, job.node, [this, job, response = std::move(response)]() mutable {
+        cluster_.schedule({}, job.node, [this, job, response = std::move(response)]() mutable {
             tell(job.node, net::ResponseReceived{job.attempt, std::move(response)});
         });
     });
 }
 
-void ServiceSimulation::freeze(size_t u, Span span) { servers_[u]->frozen_until = world_.now() + span; }
+void ServiceSimulation::freeze(size_t u, Span span) { servers_[u]->frozen_until = cluster_.now() + span; }
 
 void ServiceSimulation::restart(size_t u)
 {
     Up& up = *servers_[u];
     ++up.life;
-    up.started = world_.now();
+    up.started = cluster_.now();
     up.lately.clear(), up.called_off.clear();
     up.busy = 0, up.waiting.clear();
     for (size_t b = 0; b < nodes_.size(); ++b) {
@@ -348,7 +348,7 @@
             if (a.upstream == u && a.job) broken.push_back(id);
         for (const net::AttemptId id : broken) {
             nodes_[b]->attempts.erase(id);
-            world_.schedule(one_way, b, [this, b, id] {
+            cluster_.schedule(one_way, b, [this, b, id] {
                 tell(b, net::AttemptFailed{id, {net::AttemptProgress::written, net::FailureCause::broken}});
             });
         }
@@ -380,8 +380,8 @@
 {
     for (size_t b = 0; b < nodes_.size(); ++b)
         if (nodes_[b]->reducer)
-            world_.schedule(seconds(0.005 + 0.05 * world_.roll()), b,
-                            [this, b] { list_to(b, nodes_[b]->without); });
+            cluster_.schedule(seconds(0.005 + 0.05 * cluster_.roll()), b,
+                              [this, b] { list_to(b, nodes_[b]->without); });
 }
 
 void ServiceSimulation::lies(size_t b, std::vector<size_t> about)
@@ -393,7 +393,7 @@
 {
     count = {};
     in_time_by_.clear();
-    since_ = world_.now();
+    since_ = cluster_.now();
     for (auto& up : servers_) up->reached = 0;
     for (auto& n : nodes_) n->served = 0;
 }
@@ -403,7 +403,7 @@
     std::vector<double> out;
     for (const auto& up : servers_)
         out.push_back(static_cast<double>(up->reached) / up->server.size /
-                      std::max(1e-9, (world_.now() - since_).seconds()));
+                      std::max(1e-9, (cluster_.now() - since_).seconds()));
     return out;
 }
 
@@ -444,4 +444,4 @@
     return out;
 }
 
-}  // namespace firtide::lab
+}  // namespace firtide::simulation
--- a/lab/service_simulation.h
+++ b/simulation/service_simulation.h
@@ -4,10 +4,10 @@
 
 #include <deque>
 
+#include "simulated_cluster.h"
 #include "src/net/reducer.h"
-#include "world.h"
 
-namespace firtide::lab
+namespace firtide::simulation
 {
 
 // A server of so many slots and a queue, first come first served; times are exponential. After a start its
@@ -38,7 +38,7 @@
     ServiceSimulation(Options options, uint64_t seed);
     ~ServiceSimulation();
 
-    World& world() { return world_; }
+    SimulatedCluster& cluster() { return cluster_; }
     size_t balancers() const { return nodes_.size(); }
     size_t upstreams() const { return servers_.size(); }
     void start(size_t balancer);
@@ -62,7 +62,7 @@
     Count count;
     // Since reset(): for each upstream what reached it, over its size.
     void reset();
-    Span since() const { return world_.now() - since_; }
+    Span since() const { return cluster_.now() - since_; }
     std::vector<double> offered() const;
     double greatest_over_mean() const;
     size_t connections() const;               // upstreams that balancers use, added up
@@ -94,7 +94,7 @@
     net::ListedEndpoint entry(size_t upstream) const;
 
     Options options_;
-    World world_;
+    SimulatedCluster cluster_;
     std::vector<std::unique_ptr<Node>> nodes_;
     std::vector<std::unique_ptr<Up>> servers_;
     double load_;
@@ -103,4 +103,4 @@
     std::vector<uint64_t> in_time_by_;  // half a second each
 };
 
-}  // namespace firtide::lab
+}  // namespace firtide::simulation
--- a/lab/world.cpp
+++ b/simulation/simulated_cluster.cpp
@@ -1,10 +1,10 @@
-#include "world.h"
+#include "simulated_cluster.h"
 
 #include <algorithm>
 
 #include "src/net/discovery.h"
 
-namespace firtide::lab
+namespace firtide::simulation
 {
 namespace
 {
@@ -64,7 +64,7 @@
     }
 }
 
-struct World::Node {
+struct SimulatedCluster::Node {
     FleetConfig file;
     Disk disk;
     std::unique_ptr<Fleet> fleet;
@@ -90,7 +90,7 @@
     bool list_corrupted = false;
 };
 
-World::World(Options options, uint64_t seed)
+SimulatedCluster::SimulatedCluster(Options options, uint64_t seed)
     : options_(std::move(options)), chance_(static_cast<uint32_t>(seed * 2654435761u + 1))
 {
     FleetConfig file;
@@ -139,15 +139,15 @@
         if (d.kind != DutyKind::drain) watched_[d.name].without = now_;
 }
 
-World::~World() = default;
+SimulatedCluster::~SimulatedCluster() = default;
 
-Point World::clock_of(size_t node) const
+Point SimulatedCluster::clock_of(size_t node) const
 {
     const Node& n = *nodes_[node];
     return n.clock_was + (now_ - n.clock_from) * n.rate;
 }
 
-void World::clock(size_t node, double rate)
+void SimulatedCluster::clock(size_t node, double rate)
 {
     Node& n = *nodes_[node];
     n.clock_was = clock_of(node);
@@ -156,7 +156,7 @@
     check_due_ = true;
 }
 
-void World::note(const std::string& text)
+void SimulatedCluster::note(const std::string& text)
 {
     if (!traced) return;
     char at[32];
@@ -164,19 +164,19 @@
     trace_.push_back(at + text);
 }
 
-void World::breaks(const std::string& rule)
+void SimulatedCluster::breaks(const std::string& rule)
 {
     note("BROKEN " + rule);
     broken_.push_back({rule, now_});
 }
 
-void World::later(Span after, size_t node, std::function<void()> what, bool checked)
+void SimulatedCluster::later(Span after, size_t node, std::function<void()> what, bool checked)
 {
     events_.push({now_ + std::max(after, Span{}), order_++, node, node < size() ? nodes_[node]->run : 0,
                   std::move(what), checked});
 }
 
-bool World::step(Point until)
+bool SimulatedCluster::step(Point until)
 {
     if (events_.empty() || events_.top().at > until) return false;
     Event e = events_.top();
@@ -200,14 +200,14 @@
     return true;
 }
 
-void World::run_until(Point until)
+void SimulatedCluster::run_until(Point until)
 {
     while (step(until)) {
     }
     now_ = std::max(now_, until);
 }
 
-void World::start(size_t node)
+void SimulatedCluster::start(size_t node)
 {
     Node& n = *nodes_[node];
     if (n.up) return;
@@ -240,7 +240,7 @@
     later(options_.tick * roll(), node, [this, node] { tick(node); });
 }
 
-void World::start_all_with_known_members()
+void SimulatedCluster::start_all_with_known_members()
 {
     auto members = std::make_shared<std::vector<Membership::MemberState>>();
     for (size_t i = 0; i < size(); ++i) {
@@ -252,7 +252,7 @@
 }
 
 // Another way for a process to go on than to go on.
-bool World::forked_turn(size_t node)
+bool SimulatedCluster::forked_turn(size_t node)
 {
     const Span lease = options_.lease.length;
     switch (fork(Fork::turn)) {
@@ -269,7 +269,7 @@
     return true;
 }
 
-void World::tick(size_t node)
+void SimulatedCluster::tick(size_t node)
 {
     Node& n = *nodes_[node];
     if (options_.fork && ++n.ticks % 10 == 0 && forked_turn(node)) return;
@@ -278,7 +278,7 @@
     later(options_.tick, node, [this, node] { tick(node); });
 }
 
-void World::crash(size_t node, bool power)
+void SimulatedCluster::crash(size_t node, bool power)
 {
     Node& n = *nodes_[node];
     if (!n.up) return;
@@ -293,7 +293,7 @@
     if (power) n.disk.lose_power();
 }
 
-void World::stop(size_t node)
+void SimulatedCluster::stop(size_t node)
 {
     if (!nodes_[node]->up) return;
     note(nodes_[node]->file.id + " stops");
@@ -301,32 +301,32 @@
     later(seconds(0.3), node, [this, node] { crash(node); });
 }
 
-void World::freeze(size_t node, Span span)
+void SimulatedCluster::freeze(size_t node, Span span)
 {
     Node& n = *nodes_[node];
     note(n.file.id + " stands still for " + std::to_string(span.us / 1000) + " ms");
     n.frozen_until = std::max(n.frozen_until, now_ + span);
 }
 
-void World::freeze_in_effect(size_t node, Span span) { nodes_[node]->freeze_at_effect = span; }
+void SimulatedCluster::freeze_in_effect(size_t node, Span span) { nodes_[node]->freeze_at_effect = span; }
 
-void World::isolate(size_t node, bool cut)
+void SimulatedCluster::isolate(size_t node, bool cut)
 {
     note(nodes_[node]->file.id + (cut ? " is cut off" : " is joined again"));
     for (size_t i = 0; i < size(); ++i)
         if (i != node) link(i, node).cut = link(node, i).cut = cut;
 }
 
-void World::heal()
+void SimulatedCluster::heal()
 {
     note("all links are whole");
     links_.clear();
     for (auto& node : nodes_) node->region = 0;
 }
 
-void World::set_region(size_t node, uint32_t region) { nodes_[node]->region = region; }
+void SimulatedCluster::set_region(size_t node, uint32_t region) { nodes_[node]->region = region; }
 
-const Link& World::link_between(size_t from, size_t to) const
+const Link& SimulatedCluster::link_between(size_t from, size_t to) const
 {
     static const Link whole, between_regions{true, 0, {}, {}, 0};
     if (nodes_[from]->region != nodes_[to]->region) return between_regions;
@@ -334,31 +334,32 @@
     return at == links_.end() ? whole : at->second;
 }
 
-Disk& World::disk(size_t node) { return nodes_[node]->disk; }
-bool World::up(size_t node) const { return nodes_[node]->up; }
-Fleet& World::fleet(size_t node) { return *nodes_[node]->fleet; }
-uint64_t World::list_of(size_t node) const { return nodes_[node]->list; }
+Disk& SimulatedCluster::disk(size_t node) { return nodes_[node]->disk; }
+bool SimulatedCluster::up(size_t node) const { return nodes_[node]->up; }
+Fleet& SimulatedCluster::fleet(size_t node) { return *nodes_[node]->fleet; }
+uint64_t SimulatedCluster::list_of(size_t node) const { return nodes_[node]->list; }
 
-void World::ask(size_t node, const std::string& what, const std::string& first, const std::string& second)
+void SimulatedCluster::ask(size_t node, const std::string& what, const std::string& first,
+                           const std::string& second)
 {
     later({}, node, [=, this] { tell(node, AdminRequest{1, what, first, second}); });
 }
 
-std::string World::show(size_t node)
+std::string SimulatedCluster::show(size_t node)
 {
     last_reply.clear();
     tell(node, AdminRequest{1, "show-fleet", "", ""});
     return last_reply;
 }
 
-std::optional<size_t> World::leader() const
+std::optional<size_t> SimulatedCluster::leader() const
 {
     for (size_t i = 0; i < size(); ++i)
         if (nodes_[i]->up && nodes_[i]->fleet->lease_manager().is_leader()) return i;
     return {};
 }
 
-std::vector<size_t> World::holders(const std::string& duty) const
+std::vector<size_t> SimulatedCluster::holders(const std::string& duty) const
 {
     std::vector<size_t> out;
     for (size_t i = 0; i < size(); ++i)
@@ -366,14 +367,15 @@
     return out;
 }
 
-void World::tell(size_t node, FleetEvent event)
+void SimulatedCluster::tell(size_t node, FleetEvent event)
 {
     Node& n = *nodes_[node];
     if (!n.up) return;
     carry_out(node, n.fleet->reduce(clock_of(node), std::move(event)));
 }
 
-void World::call_voter_agent(size_t node, const std::function<std::vector<VoterAgentEffect>(Point)>& call)
+void SimulatedCluster::call_voter_agent(size_t node,
+                                        const std::function<std::vector<VoterAgentEffect>(Point)>& call)
 {
     Node& n = *nodes_[node];
     // The voter agent has a thread of its own, that may wait for the disk.
@@ -388,7 +390,7 @@
     });
 }
 
-void World::send(size_t from, const Send& s)
+void SimulatedCluster::send(size_t from, const Send& s)
 {
     const size_t to = s.to;
     const Link l = link_between(from, to);
@@ -423,7 +425,7 @@
     if (l.repeat > 0 && roll() < l.repeat) later(at - now_ + seconds(0.5 * roll()), to, deliver);
 }
 
-void World::act(size_t node, const LeasedEffect& a, Span travels)
+void SimulatedCluster::act(size_t node, const LeasedEffect& a, Span travels)
 {
     Node& n = *nodes_[node];
     if (options_.gate && !n.fleet->lease_allows(clock_of(node), a)) {
@@ -458,7 +460,7 @@
     }
 }
 
-void World::ask_discovery(size_t node)
+void SimulatedCluster::ask_discovery(size_t node)
 {
     Node& n = *nodes_[node];
     if (!n.asking) return;
@@ -467,16 +469,19 @@
     later(seconds(0.5), node, [this, node] { ask_discovery(node); });
 }
 
-void World::discovery_of(size_t node, std::optional<uint64_t> version) { nodes_[node]->discovery = version; }
-const EndpointTexts& World::shown_list(size_t node) const { return nodes_[node]->shown; }
+void SimulatedCluster::discovery_of(size_t node, std::optional<uint64_t> version)
+{
+    nodes_[node]->discovery = version;
+}
+const EndpointTexts& SimulatedCluster::shown_list(size_t node) const { return nodes_[node]->shown; }
 
-void World::corrupt_list(size_t node, const std::string& uid, const std::string& text)
+void SimulatedCluster::corrupt_list(size_t node, const std::string& uid, const std::string& text)
 {
     nodes_[node]->list_corrupted = true;
     nodes_[node]->fleet->replica_to_corrupt()->corrupt(uid, text);
 }
 
-EndpointTexts World::discovery_lines(uint64_t version) const
+EndpointTexts SimulatedCluster::discovery_lines(uint64_t version) const
 {
     EndpointTexts lines;
     const uint64_t entries = options_.list_entries;
@@ -489,7 +494,7 @@
     return lines;
 }
 
-EndpointListFetched World::discovery_answer(size_t node)
+EndpointListFetched SimulatedCluster::discovery_answer(size_t node)
 {
     Node& n = *nodes_[node];
     const uint64_t version = n.discovery.value_or(discovery_);
@@ -510,7 +515,7 @@
     return {"", version, "", n.seen, std::move(uids)};
 }
 
-void World::use_list(size_t node, const ApplyEndpointList& use)
+void SimulatedCluster::use_list(size_t node, const ApplyEndpointList& use)
 {
     Node& n = *nodes_[node];
     if (use.version < n.list) breaks("an older list was taken");
@@ -521,7 +526,7 @@
         breaks(n.file.id + " uses a list that is not that of version " + std::to_string(use.version));
 }
 
-void World::carry_out(size_t node, std::vector<FleetEffect> effects)
+void SimulatedCluster::carry_out(size_t node, std::vector<FleetEffect> effects)
 {
     Node& n = *nodes_[node];
     for (FleetEffect& e : effects) {
@@ -570,7 +575,7 @@
 }
 
 // Replicas at one revision have one state. Nothing but its own events changes a member's.
-void World::check_replica(size_t at_node)
+void SimulatedCluster::check_replica(size_t at_node)
 {
     Node& node = *nodes_[at_node];
     if (!node.up || !node.fleet->replica()) return;
@@ -583,7 +588,7 @@
                std::to_string(replica.revision().epoch) + "." + std::to_string(replica.revision().number));
 }
 
-void World::holders_changed(size_t node, const LogEvent& noted)
+void SimulatedCluster::holders_changed(size_t node, const LogEvent& noted)
 {
     if (noted.event != "gained" && noted.event != "lost") return;
     check_due_ = true;
@@ -598,7 +603,7 @@
 }
 
 // No later than its lease ends, in true time.
-Point World::lease_ends(size_t node) const
+Point SimulatedCluster::lease_ends(size_t node) const
 {
     const Node& n = *nodes_[node];
     const Span left = n.fleet->holder().left(clock_of(node));
@@ -607,7 +612,7 @@
 
 // At every moment, by each one's own clock. Between events of those that were granted something and the end
 // of a lease nothing can be other than it was.
-void World::check()
+void SimulatedCluster::check()
 {
     if (!check_due_ && now_ < check_at_) return;
     check_due_ = false;
@@ -633,7 +638,7 @@
     }
 }
 
-std::map<std::string, Span> World::longest_gap() const
+std::map<std::string, Span> SimulatedCluster::longest_gap() const
 {
     std::map<std::string, Span> out;
     for (const auto& [duty, watched] : watched_)
@@ -641,4 +646,4 @@
     return out;
 }
 
-}  // namespace firtide::lab
+}  // namespace firtide::simulation
--- a/lab/world.h
+++ b/simulation/simulated_cluster.h
@@ -14,7 +14,7 @@
 
 #include "src/fleet/fleet.h"
 
-namespace firtide::lab
+namespace firtide::simulation
 {
 
 using namespace fleet;
@@ -57,7 +57,7 @@
     Point at;
 };
 
-class World
+class SimulatedCluster
 {
   public:
     struct Options {
@@ -78,8 +78,8 @@
         std::function<void(LeaseManager&)> lease_manager;  // a safety rule taken out
         std::function<size_t(Fork)> fork;                  // which way; absent: the first
     };
-    World(Options options, uint64_t seed);
-    ~World();
+    SimulatedCluster(Options options, uint64_t seed);
+    ~SimulatedCluster();
 
     size_t size() const { return nodes_.size(); }
     Point now() const { return now_; }
@@ -217,4 +217,4 @@
     std::map<EndpointRevision, uint64_t> digests_;  // of the states that replicas have had
 };
 
-}  // namespace firtide::lab
+}  // namespace firtide::simulation
--- a/lab/subsets.cpp
+++ b/simulation/subsets.cpp
@@ -8,7 +8,7 @@
 #include <numeric>
 #include <random>
 
-namespace firtide::lab
+namespace firtide::simulation
 {
 namespace
 {
@@ -216,4 +216,4 @@
     return out;
 }
 
-}  // namespace firtide::lab
+}  // namespace firtide::simulation
--- a/lab/subsets.h
+++ b/simulation/subsets.h
@@ -4,9 +4,9 @@
 #include <string>
 #include <vector>
 
-#include "src/fleet/subset.h"
+#include "src/fleet/endpoints/subset.h"
 
-namespace firtide::lab
+namespace firtide::simulation
 {
 
 struct Compared {
@@ -19,4 +19,4 @@
 
 std::vector<Compared> compare_subsets(size_t members, size_t upstreams, uint32_t size, size_t seeds);
 
-}  // namespace firtide::lab
+}  // namespace firtide::simulation
--- a/drill/instance.h
+++ b/simulator_adapter/instance.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "frames.h"
-#include "src/decode_settings.h"
+#include "src/balance/decode_settings.h"
 
 namespace firtide::drill
 {
--- a/drill/main.cpp
+++ b/simulator_adapter/main.cpp
@@ -1,4 +1,4 @@
-// firtide_drill: many independent instances of the decision module on the simulator's wire.
+// firtide-simulator-adapter: many independent instances of the decision module on the simulator's wire.
 // Reads batches from standard input, writes one reply for each to standard output, exits at the end of input.
 #include <cstdio>
 #include <memory>
@@ -126,7 +126,7 @@
     try {
         return firtide::drill::run();
     } catch (const std::exception& e) {
-        std::fprintf(stderr, "firtide_drill: %s\n", e.what());
+        std::fprintf(stderr, "firtide-simulator-adapter: %s\n", e.what());
         return 1;
     }
 }
--- a/src/balance.cpp
+++ b/src/balance/balancer.cpp
@@ -1,6 +1,6 @@
 // All decisions of firtide. The interface: balance.h; the mechanism and its exceptions: docs/design.md.
 
-#include "balance.h"
+#include "balancer.h"
 
 #include <algorithm>
 #include <array>
@@ -10,7 +10,7 @@
 #include <unordered_map>
 #include <utility>
 
-#include "told.h"
+#include "peer_message.h"
 
 namespace firtide
 {
--- a/src/balance.h
+++ b/src/balance/balancer.h
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "settings.h"
-#include "time.h"
+#include "src/base/time.h"
 
 namespace firtide
 {
--- a/src/decode_settings.h
+++ b/src/balance/decode_settings.h
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-#include "src/balance.h"
+#include "balancer.h"
 
 namespace firtide
 {
--- a/src/told.cpp
+++ b/src/balance/peer_message.cpp
@@ -1,4 +1,4 @@
-#include "told.h"
+#include "peer_message.h"
 
 #include <algorithm>
 
--- a/src/settings.h
+++ b/src/balance/settings.h
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <vector>
 
-#include "time.h"
+#include "src/base/time.h"
 
 namespace firtide
 {
--- a/src/fault.h
+++ b/src/base/config_error.h
@@ -7,18 +7,18 @@
 namespace firtide
 {
 
-struct Place {
+struct ConfigLocation {
     std::string key;
     uint32_t line = 0;
 };
 
-struct Fault {
-    Place at;
+struct ConfigError {
+    ConfigLocation at;
     std::string what;
 };
 
 // "line 3: limits.clients: ..."
-inline std::string text_of(const Fault& fault)
+inline std::string text_of(const ConfigError& fault)
 {
     return "line " + std::to_string(fault.at.line) + ": " + fault.at.key + ": " + fault.what;
 }
--- a/src/toml_table.h
+++ b/src/base/toml_table.h
@@ -9,22 +9,22 @@
 #include <string>
 #include <string_view>
 
-#include "fault.h"
+#include "config_error.h"
 #include "time.h"
 
 namespace firtide
 {
 
 // A fault in an operator file: ends the reading, and is a value again where that began.
-struct WrongToml {
-    Fault fault;
+struct TomlConfigError {
+    ConfigError fault;
 };
 
 inline uint32_t line_of(const toml::node& node) { return static_cast<uint32_t>(node.source().begin.line); }
 
 [[noreturn]] inline void wrong(const std::string& key, uint32_t line, const std::string& what)
 {
-    throw WrongToml{{{key, line}, what}};
+    throw TomlConfigError{{{key, line}, what}};
 }
 
 class TomlTable
@@ -43,7 +43,7 @@
     {
         return path_.empty() ? std::string(key) : path_ + "." + std::string(key);
     }
-    Place place() const { return {path_, line_of(from_)}; }
+    ConfigLocation place() const { return {path_, line_of(from_)}; }
     bool has(std::string_view key) const { return from_.get(key) != nullptr; }
     uint32_t line(std::string_view key) const
     {
--- a/src/fleet/commands.cpp
+++ b/src/fleet/commands.cpp
@@ -17,7 +17,7 @@
     std::stringstream text;
     if (!file || !(text << file.rdbuf())) throw CannotStart(path + ": cannot be read");
     auto decoded = decode_fleet_config(text.str());
-    if (const auto* fault = std::get_if<Fault>(&decoded))
+    if (const auto* fault = std::get_if<ConfigError>(&decoded))
         throw CannotStart(path + ":" + std::to_string(fault->at.line) + ": " + fault->at.key + ": " +
                           fault->what);
     FleetConfig fleet_file = std::move(std::get<FleetConfig>(decoded));
--- a/src/fleet/config.cpp
+++ b/src/fleet/config.cpp
@@ -2,7 +2,7 @@
 
 #include <set>
 
-#include "src/toml_table.h"
+#include "src/base/toml_table.h"
 
 namespace firtide::fleet
 {
@@ -191,7 +191,7 @@
     file.data = fleet.text("data");
     try {
         read_members(top, file);
-    } catch (WrongToml& w) {
+    } catch (TomlConfigError& w) {
         if (w.fault.at.key == "fleet.id") w.fault.at.line = fleet.line("id");
         throw;
     }
@@ -214,13 +214,14 @@
     return {};
 }
 
-std::variant<FleetConfig, Fault> decode_fleet_config(std::string_view text)
+std::variant<FleetConfig, ConfigError> decode_fleet_config(std::string_view text)
 {
     try {
         return read(toml::parse(text));
     } catch (const toml::parse_error& e) {
-        return Fault{{"TOML", static_cast<uint32_t>(e.source().begin.line)}, std::string(e.description())};
-    } catch (const WrongToml& w) {
+        return ConfigError{{"TOML", static_cast<uint32_t>(e.source().begin.line)},
+                           std::string(e.description())};
+    } catch (const TomlConfigError& w) {
         return w.fault;
     }
 }
--- a/src/fleet/config.h
+++ b/src/fleet/config.h
@@ -7,10 +7,10 @@
 #include <variant>
 #include <vector>
 
-#include "roster.h"
-#include "rules.h"
-#include "src/fault.h"
-#include "src/time.h"
+#include "shared_choices_config.h"
+#include "src/base/config_error.h"
+#include "src/base/time.h"
+#include "src/fleet/membership/roster.h"
 
 namespace firtide::fleet
 {
@@ -79,6 +79,6 @@
     std::optional<DutyIndex> duty_of(std::string_view name) const;
 };
 
-std::variant<FleetConfig, Fault> decode_fleet_config(std::string_view text);
+std::variant<FleetConfig, ConfigError> decode_fleet_config(std::string_view text);
 
 }  // namespace firtide::fleet
--- a/src/fleet/store.cpp
+++ b/src/fleet/consensus/store.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <cstring>
 
-#include "pack.h"
+#include "src/fleet/transport/pack.h"
 
 namespace firtide::fleet
 {
--- a/src/fleet/store.h
+++ b/src/fleet/consensus/store.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "files.h"
+#include "src/fleet/storage/file_system.h"
 
 namespace firtide::fleet
 {
--- a/src/fleet/voter.cpp
+++ b/src/fleet/consensus/voter.cpp
@@ -7,7 +7,7 @@
 #include <cstring>
 #include <deque>
 
-#include "pack.h"
+#include "src/fleet/transport/pack.h"
 
 namespace firtide::fleet
 {
--- a/src/fleet/voter.h
+++ b/src/fleet/consensus/voter.h
@@ -9,7 +9,7 @@
 #include <variant>
 #include <vector>
 
-#include "src/time.h"
+#include "src/base/time.h"
 #include "store.h"
 
 namespace firtide::fleet
--- a/src/fleet/voter_agent.h
+++ b/src/fleet/consensus/voter_agent.h
@@ -6,8 +6,8 @@
 #include <memory>
 #include <optional>
 
-#include "config.h"
-#include "table.h"
+#include "src/fleet/config.h"
+#include "src/fleet/lease/lease_table.h"
 #include "voter.h"
 
 namespace firtide::fleet
--- a/src/fleet/list_distribution.cpp
+++ b/src/fleet/endpoints/endpoint_distribution.cpp
@@ -1,4 +1,4 @@
-#include "list_distribution.h"
+#include "endpoint_distribution.h"
 
 #include <utility>
 
--- a/src/fleet/list_distribution.h
+++ b/src/fleet/endpoints/endpoint_distribution.h
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "list_replica.h"
-#include "members.h"
+#include "endpoint_replica.h"
+#include "src/fleet/membership/membership.h"
 
 namespace firtide::fleet
 {
--- a/src/fleet/list_replica.cpp
+++ b/src/fleet/endpoints/endpoint_replica.cpp
@@ -1,4 +1,4 @@
-#include "list_replica.h"
+#include "endpoint_replica.h"
 
 #include <xxhash.h>
 
--- a/src/fleet/list_replica.h
+++ b/src/fleet/endpoints/endpoint_replica.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "config.h"
-#include "list_text.h"
-#include "messages.h"
+#include "endpoint_text.h"
+#include "src/fleet/config.h"
+#include "src/fleet/transport/messages.h"
 
 namespace firtide::fleet
 {
--- a/src/fleet/list_text.cpp
+++ b/src/fleet/endpoints/endpoint_text.cpp
@@ -1,4 +1,4 @@
-#include "list_text.h"
+#include "endpoint_text.h"
 
 #include <cstdio>
 
--- a/src/fleet/view.cpp
+++ b/src/fleet/endpoints/endpoint_view.cpp
@@ -1,4 +1,4 @@
-#include "view.h"
+#include "endpoint_view.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/fleet/view.h
+++ b/src/fleet/endpoints/endpoint_view.h
@@ -10,10 +10,10 @@
 #include <optional>
 #include <vector>
 
-#include "memory.h"
-#include "shares.h"
-#include "signals.h"
-#include "src/balance.h"
+#include "src/balance/balancer.h"
+#include "src/fleet/outlier/outlier_gossip.h"
+#include "src/fleet/quota/quota.h"
+#include "src/fleet/startup/member_snapshot.h"
 #include "subset.h"
 
 namespace firtide::fleet
--- a/src/fleet/subset.h
+++ b/src/fleet/endpoints/subset.h
@@ -5,8 +5,8 @@
 #include <optional>
 #include <vector>
 
-#include "messages.h"
-#include "rules.h"
+#include "src/fleet/shared_choices_config.h"
+#include "src/fleet/transport/messages.h"
 
 namespace firtide::fleet
 {
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -10,13 +10,13 @@
 #include <variant>
 #include <vector>
 
-#include "leases.h"
-#include "list_distribution.h"
-#include "members.h"
-#include "recovery.h"
-#include "traffic.h"
-#include "view.h"
-#include "voter_agent.h"
+#include "src/fleet/consensus/voter_agent.h"
+#include "src/fleet/endpoints/endpoint_distribution.h"
+#include "src/fleet/endpoints/endpoint_view.h"
+#include "src/fleet/lease/leases.h"
+#include "src/fleet/membership/membership.h"
+#include "src/fleet/startup/startup_sequencer.h"
+#include "src/fleet/transport/traffic.h"
 
 namespace firtide::fleet
 {
--- a/src/fleet/host.cpp
+++ b/src/fleet/host.cpp
@@ -7,7 +7,7 @@
 #include <fstream>
 #include <nlohmann/json.hpp>
 
-#include "src/net/log.h"
+#include "src/io/log.h"
 
 namespace firtide::fleet
 {
--- a/src/fleet/host.h
+++ b/src/fleet/host.h
@@ -7,9 +7,9 @@
 #include <mutex>
 #include <thread>
 
-#include "duty_notifier.h"
 #include "fleet.h"
-#include "peers.h"
+#include "src/fleet/transport/duty_notifier.h"
+#include "src/fleet/transport/peers.h"
 
 namespace firtide::fleet
 {
--- a/src/fleet/table.cpp
+++ b/src/fleet/lease/lease_table.cpp
@@ -1,4 +1,4 @@
-#include "table.h"
+#include "lease_table.h"
 
 #include <algorithm>
 
--- a/src/fleet/table.h
+++ b/src/fleet/lease/lease_table.h
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-#include "messages.h"
+#include "src/fleet/transport/messages.h"
 
 namespace firtide::fleet
 {
--- a/src/fleet/leases.h
+++ b/src/fleet/lease/leases.h
@@ -15,8 +15,8 @@
 #include <string>
 #include <vector>
 
-#include "members.h"
-#include "table.h"
+#include "lease_table.h"
+#include "src/fleet/membership/membership.h"
 
 namespace firtide::fleet
 {
--- a/src/fleet/members.cpp
+++ b/src/fleet/membership/membership.cpp
@@ -1,4 +1,4 @@
-#include "members.h"
+#include "membership.h"
 
 #include <xxhash.h>
 
--- a/src/fleet/members.h
+++ b/src/fleet/membership/membership.h
@@ -11,7 +11,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "config.h"
+#include "src/fleet/config.h"
 
 namespace firtide::fleet
 {
--- a/src/fleet/roster.h
+++ b/src/fleet/membership/roster.h
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-#include "messages.h"
+#include "src/fleet/transport/messages.h"
 
 namespace firtide::fleet
 {
--- a/src/fleet/signals.cpp
+++ b/src/fleet/outlier/outlier_gossip.cpp
@@ -1,4 +1,4 @@
-#include "signals.h"
+#include "outlier_gossip.h"
 
 #include <algorithm>
 
@@ -126,7 +126,7 @@
 // answers since they found it hold both down to a part: an own road that is well says more than others' that
 // may not be.
 OutlierGossip::Verdict OutlierGossip::result(Point now, uint64_t upstream,
-                                            const std::map<MemberKey, Held>& by) const
+                                             const std::map<MemberKey, Held>& by) const
 {
     double first = 0, second = 0;
     Point found{INT64_MIN / 2};
--- a/src/fleet/shares.cpp
+++ b/src/fleet/quota/quota.cpp
@@ -1,4 +1,4 @@
-#include "shares.h"
+#include "quota.h"
 
 #include <algorithm>
 
--- a/src/fleet/shares.h
+++ b/src/fleet/quota/quota.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "config.h"
+#include "src/fleet/config.h"
 
 namespace firtide::fleet
 {
--- a/src/fleet/rules.h
+++ b/src/fleet/shared_choices_config.h
@@ -6,7 +6,7 @@
 #include <optional>
 #include <string>
 
-#include "src/time.h"
+#include "src/base/time.h"
 
 namespace firtide::fleet
 {
--- a/src/fleet/memory.cpp
+++ b/src/fleet/startup/member_snapshot.cpp
@@ -1,4 +1,4 @@
-#include "memory.h"
+#include "member_snapshot.h"
 
 #include <xxhash.h>
 
--- a/src/fleet/memory.h
+++ b/src/fleet/startup/member_snapshot.h
@@ -6,7 +6,7 @@
 #include <variant>
 #include <vector>
 
-#include "messages.h"
+#include "src/fleet/transport/messages.h"
 
 namespace firtide::fleet
 {
--- a/src/fleet/recovery.cpp
+++ b/src/fleet/startup/startup_sequencer.cpp
@@ -1,4 +1,4 @@
-#include "recovery.h"
+#include "startup_sequencer.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/fleet/recovery.h
+++ b/src/fleet/startup/startup_sequencer.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "rules.h"
+#include "src/fleet/shared_choices_config.h"
 
 namespace firtide::fleet
 {
--- a/src/fleet/files.cpp
+++ b/src/fleet/storage/file_system.cpp
@@ -1,4 +1,4 @@
-#include "files.h"
+#include "file_system.h"
 
 #include <fcntl.h>
 #include <sys/file.h>
--- a/src/fleet/duty_notifier.h
+++ b/src/fleet/transport/duty_notifier.h
@@ -7,9 +7,9 @@
 #include <string>
 
 #include "messages.h"
-#include "src/decode_settings.h"
-#include "src/net/event.h"
-#include "src/net/message.h"
+#include "src/balance/decode_settings.h"
+#include "src/http/message.h"
+#include "src/io/event.h"
 
 namespace firtide::fleet
 {
--- a/src/fleet/messages.h
+++ b/src/fleet/transport/messages.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "pack.h"
-#include "store.h"
+#include "src/fleet/consensus/store.h"
 
 namespace firtide::fleet
 {
--- a/src/fleet/peers.cpp
+++ b/src/fleet/transport/peers.cpp
@@ -10,7 +10,7 @@
 #include <algorithm>
 #include <stdexcept>
 
-#include "src/net/log.h"
+#include "src/io/log.h"
 
 namespace firtide::fleet
 {
--- a/src/fleet/peers.h
+++ b/src/fleet/transport/peers.h
@@ -10,8 +10,8 @@
 #include <map>
 #include <random>
 
-#include "config.h"
-#include "src/net/event.h"
+#include "src/fleet/config.h"
+#include "src/io/event.h"
 #include "traffic.h"
 
 struct evconnlistener;
--- a/src/net/message.h
+++ b/src/http/message.h
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "src/decode_settings.h"
+#include "src/balance/decode_settings.h"
 
 namespace firtide::net
 {
--- a/src/net/event.h
+++ b/src/io/event.h
@@ -9,7 +9,7 @@
 #include <memory>
 #include <utility>
 
-#include "src/time.h"
+#include "src/base/time.h"
 
 namespace firtide::net
 {
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -3,8 +3,8 @@
 #include <cstdio>
 
 #include "src/fleet/commands.h"
+#include "src/io/log.h"
 #include "src/net/discovery.h"
-#include "src/net/log.h"
 #include "src/net/service.h"
 
 int main(int argc, char** argv)
--- a/src/modbus/config.cpp
+++ b/src/modbus/config.cpp
@@ -2,7 +2,7 @@
 
 #include <charconv>
 
-#include "src/toml_table.h"
+#include "src/base/toml_table.h"
 
 namespace firtide::modbus
 {
@@ -77,19 +77,20 @@
     });
     if (routes.empty()) wrong("route", 1, "no unit is routed anywhere");
     auto made = Routes::make(std::move(pools), routes);
-    if (auto* fault = std::get_if<Fault>(&made)) throw WrongToml{std::move(*fault)};
+    if (auto* fault = std::get_if<ConfigError>(&made)) throw TomlConfigError{std::move(*fault)};
     return {std::move(listen), limits, times, std::move(std::get<Routes>(made))};
 }
 
 }  // namespace
 
-std::variant<OperatorFile, Fault> decode_operator_file(std::string_view text)
+std::variant<OperatorFile, ConfigError> decode_operator_file(std::string_view text)
 {
     try {
         return read(toml::parse(text));
     } catch (const toml::parse_error& e) {
-        return Fault{{"TOML", static_cast<uint32_t>(e.source().begin.line)}, std::string(e.description())};
-    } catch (const WrongToml& w) {
+        return ConfigError{{"TOML", static_cast<uint32_t>(e.source().begin.line)},
+                           std::string(e.description())};
+    } catch (const TomlConfigError& w) {
         return w.fault;
     }
 }
--- a/src/modbus/config.h
+++ b/src/modbus/config.h
@@ -6,7 +6,7 @@
 #include <variant>
 
 #include "routes.h"
-#include "src/time.h"
+#include "src/base/time.h"
 
 namespace firtide::modbus
 {
@@ -31,6 +31,6 @@
     Routes routes;
 };
 
-std::variant<OperatorFile, Fault> decode_operator_file(std::string_view text);
+std::variant<OperatorFile, ConfigError> decode_operator_file(std::string_view text);
 
 }  // namespace firtide::modbus
--- a/src/modbus/routes.h
+++ b/src/modbus/routes.h
@@ -8,7 +8,7 @@
 #include <variant>
 #include <vector>
 
-#include "src/fault.h"
+#include "src/base/config_error.h"
 
 namespace firtide::modbus
 {
@@ -16,27 +16,27 @@
 struct Server {
     std::string name, endpoint;
     bool draining = false;
-    Place at;
+    ConfigLocation at;
 };
 
 struct Pool {
     std::string name;
     std::vector<Server> servers;
-    Place at;
+    ConfigLocation at;
 };
 
 // Units first to last, both included.
 struct Route {
     uint32_t first = 0, last = 0;
     std::string pool;
-    Place at;
+    ConfigLocation at;
 };
 
 class Routes
 {
   public:
     // A fault is the first in the order of the file: pools, then routes.
-    static std::variant<Routes, Fault> make(std::vector<Pool> pools, const std::vector<Route>& routes);
+    static std::variant<Routes, ConfigError> make(std::vector<Pool> pools, const std::vector<Route>& routes);
 
     // Nullopt where no route names the unit.
     std::optional<size_t> pool_of(uint8_t unit) const
--- a/src/net/management.cpp
+++ b/src/net/admin_server.cpp
@@ -1,4 +1,4 @@
-#include "management.h"
+#include "admin_server.h"
 
 #include <event2/util.h>
 #include <sys/socket.h>
@@ -6,7 +6,7 @@
 
 #include <algorithm>
 
-#include "log.h"
+#include "src/io/log.h"
 
 namespace firtide::net
 {
--- a/src/net/management.h
+++ b/src/net/admin_server.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "config.h"
-#include "event.h"
+#include "src/io/event.h"
 
 namespace firtide::net
 {
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
-#include "log.h"
+#include "src/io/log.h"
 
 namespace firtide::net
 {
--- a/src/net/discovery.h
+++ b/src/net/discovery.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "config.h"
-#include "event.h"
+#include "src/io/event.h"
 
 namespace firtide::net
 {
--- a/src/net/callers.cpp
+++ b/src/net/downstream_server.cpp
@@ -1,4 +1,4 @@
-#include "callers.h"
+#include "downstream_server.h"
 
 #include <event2/buffer.h>
 #include <netinet/in.h>
@@ -8,7 +8,7 @@
 
 #include <algorithm>
 
-#include "log.h"
+#include "src/io/log.h"
 
 namespace firtide::net
 {
--- a/src/net/callers.h
+++ b/src/net/downstream_server.h
@@ -11,8 +11,8 @@
 #include <unordered_map>
 
 #include "config.h"
-#include "event.h"
-#include "room.h"
+#include "connection_budget.h"
+#include "src/io/event.h"
 
 namespace firtide::net
 {
--- a/src/net/handover.cpp
+++ b/src/net/hot_restart.cpp
@@ -1,4 +1,4 @@
-#include "handover.h"
+#include "hot_restart.h"
 
 #include <fcntl.h>
 #include <sys/file.h>
@@ -7,7 +7,7 @@
 #include <cstdlib>
 #include <filesystem>
 
-#include "log.h"
+#include "src/io/log.h"
 
 namespace firtide::net
 {
--- a/src/net/handover.h
+++ b/src/net/hot_restart.h
@@ -5,7 +5,7 @@
 
 #include <string>
 
-#include "event.h"
+#include "src/io/event.h"
 
 namespace firtide::net
 {
--- a/src/net/reducer.h
+++ b/src/net/reducer.h
@@ -10,9 +10,9 @@
 #include <variant>
 #include <vector>
 
-#include "message.h"
-#include "src/fleet/recovery.h"
-#include "src/fleet/view.h"
+#include "src/fleet/endpoints/endpoint_view.h"
+#include "src/fleet/startup/startup_sequencer.h"
+#include "src/http/message.h"
 
 namespace firtide::net
 {
--- a/src/net/service.cpp
+++ b/src/net/service.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <csignal>
 
-#include "log.h"
+#include "src/io/log.h"
 
 namespace firtide::net
 {
--- a/src/net/service.h
+++ b/src/net/service.h
@@ -4,12 +4,12 @@
 
 #include <deque>
 
-#include "callers.h"
+#include "admin_server.h"
 #include "discovery.h"
-#include "handover.h"
-#include "management.h"
+#include "downstream_server.h"
+#include "hot_restart.h"
 #include "src/fleet/host.h"
-#include "upstreams.h"
+#include "upstream_pool.h"
 
 namespace firtide::net
 {
--- a/src/net/upstreams.cpp
+++ b/src/net/upstream_pool.cpp
@@ -1,4 +1,4 @@
-#include "upstreams.h"
+#include "upstream_pool.h"
 
 #include <event2/buffer.h>
 #include <event2/util.h>
@@ -9,7 +9,7 @@
 #include <algorithm>
 #include <cerrno>
 
-#include "log.h"
+#include "src/io/log.h"
 
 namespace firtide::net
 {
--- a/src/net/upstreams.h
+++ b/src/net/upstream_pool.h
@@ -7,9 +7,9 @@
 #include <list>
 #include <unordered_map>
 
-#include "event.h"
+#include "connection_budget.h"
 #include "reducer.h"
-#include "room.h"
+#include "src/io/event.h"
 
 namespace firtide::net
 {
--- a/tests/adding_up.cpp
+++ b/tests/adding_up.cpp
@@ -3,9 +3,9 @@
 #include <cstdio>
 #include <random>
 
-#include "src/fleet/shares.h"
-#include "src/fleet/signals.h"
-#include "src/fleet/subset.h"
+#include "src/fleet/endpoints/subset.h"
+#include "src/fleet/outlier/outlier_gossip.h"
+#include "src/fleet/quota/quota.h"
 
 using namespace firtide;
 using namespace firtide::fleet;
--- a/tests/balancer_host.h
+++ b/tests/balancer_host.h
@@ -13,7 +13,7 @@
 #include <variant>
 #include <vector>
 
-#include "src/balance.h"
+#include "src/balance/balancer.h"
 
 namespace firtide
 {
--- a/tests/capacity_test.py
+++ b/tests/capacity_test.py
@@ -56,9 +56,9 @@
 
 
 def virtual_run(kb=2.0, **options):
-    """As firtide-lab scale writes one."""
+    """As firtide-simulation scale writes one."""
     run = {
-        "command": "firtide-lab scale",
+        "command": "firtide-simulation scale",
         "members": 50,
         "voters": 3,
         "duties": 3,
--- a/tests/compatibility.cpp
+++ b/tests/compatibility.cpp
@@ -5,9 +5,9 @@
 #include <fstream>
 #include <sstream>
 
-#include "lab/world.h"
-#include "src/fleet/memory.h"
-#include "src/fleet/voter_agent.h"
+#include "simulation/simulated_cluster.h"
+#include "src/fleet/consensus/voter_agent.h"
+#include "src/fleet/startup/member_snapshot.h"
 
 namespace firtide::fleet
 {
@@ -39,7 +39,7 @@
   protected:
     void place(const std::string& name) { ASSERT_FALSE(disk_.replace("voter.log", read_data(name))); }
 
-    lab::Disk disk_;
+    simulation::Disk disk_;
 };
 
 TEST_F(StoredVoter, HasItsOwnerTermAndSnapshot)
--- a/tests/fleet_check.cpp
+++ b/tests/fleet_model_check.cpp
@@ -1,10 +1,10 @@
 // The model checker: three members, one duty, and every single thing that can go wrong, at every place.
 #include <cstdio>
 
-#include "lab/check.h"
+#include "simulation/model_check.h"
 
 using namespace firtide;
-using namespace firtide::lab;
+using namespace firtide::simulation;
 
 int main()
 {
--- a/tests/fleet_lab.cpp
+++ b/tests/fleet_simulation.cpp
@@ -2,10 +2,10 @@
 #include <cstdio>
 #include <cstring>
 
-#include "lab/walk.h"
+#include "simulation/randomized_run.h"
 
 using namespace firtide;
-using namespace firtide::lab;
+using namespace firtide::simulation;
 
 namespace
 {
@@ -15,11 +15,11 @@
     std::string first;
 };
 
-Found play(Walk walk, uint64_t from, uint64_t to, const char* only = "")
+Found play(RandomizedRun run, uint64_t from, uint64_t to, const char* only = "")
 {
     Found found;
     for (uint64_t seed = from; seed <= to; ++seed)
-        for (const Broken& b : lab::walk(walk, seed).broken)
+        for (const Broken& b : simulation::run_randomized(run, seed).broken)
             if (std::strstr(b.rule.c_str(), only)) {
                 if (found.walks++ == 0) found.first = "seed " + std::to_string(seed) + ": " + b.rule;
                 break;
@@ -27,15 +27,15 @@
     return found;
 }
 
-void must_hold(const char* what, const Walk& walk)
+void must_hold(const char* what, const RandomizedRun& run)
 {
-    const auto found = play(walk, 1, 30);
+    const auto found = play(run, 1, 30);
     std::printf("%s: %s\n", what, found.walks ? found.first.c_str() : "nothing broken");
 }
 
-void must_break(const char* what, const Walk& walk, uint64_t to, const char* rule)
+void must_break(const char* what, const RandomizedRun& run, uint64_t to, const char* rule)
 {
-    std::printf("%s: %s\n", what, play(walk, 1, to, rule).walks ? "found" : "NOT FOUND");
+    std::printf("%s: %s\n", what, play(run, 1, to, rule).walks ? "found" : "NOT FOUND");
 }
 
 // A leader stands still while another is elected; one holder reaches nobody else and goes on asking it. When
@@ -44,9 +44,9 @@
 {
     size_t broken = 0;
     for (uint64_t seed = 1; seed <= 10; ++seed) {
-        World::Options o;
+        SimulatedCluster::Options o;
         o.lease_manager = [confirm](LeaseManager& g) { g.disabled_checks.confirm = !confirm; };
-        World w(o, seed);
+        SimulatedCluster w(o, seed);
         for (size_t i = 0; i < w.size(); ++i) w.start(i);
         w.run(seconds(5));
         const auto leader = w.leader();
@@ -65,20 +65,20 @@
 
 int main()
 {
-    Walk five;
+    RandomizedRun five;
     five.options.list = true;
     must_hold("five members, three voters", five);
-    Walk seven = five;
+    RandomizedRun seven = five;
     seven.options.members = seven.options.voters = 7;
     seven.options.duties = 3;
     must_hold("seven voters", seven);
-    Walk one;
+    RandomizedRun one;
     one.options.members = 3;
     one.options.duties = 1;
     one.faults = 2;
     must_hold("three members, one duty, twice the faults", one);
 
-    Walk w = five;
+    RandomizedRun w = five;
     w.options.lease_manager = [](LeaseManager& g) { g.disabled_checks.wait_in_office = true; };
     must_break("a new leader that does not wait", w, 40, "two hold");
     std::printf("renewals without a majority: %s\n", leader_asleep(false) ? "found" : "NOT FOUND");
--- a/tests/fleet_store.cpp
+++ b/tests/fleet_store.cpp
@@ -3,7 +3,7 @@
 #include <cstdio>
 #include <map>
 
-#include "lab/world.h"
+#include "simulation/simulated_cluster.h"
 
 using namespace firtide;
 using namespace firtide::fleet;
@@ -19,7 +19,7 @@
     PersistentState kept;
 };
 
-std::vector<Said> write(lab::Disk& disk)
+std::vector<Said> write(simulation::Disk& disk)
 {
     std::vector<Said> said;
     Store store(disk);
@@ -37,7 +37,7 @@
     return said;
 }
 
-std::string bytes_of(lab::Disk& disk)
+std::string bytes_of(simulation::Disk& disk)
 {
     std::optional<std::string> text;
     (void)disk.read(file, text);
@@ -46,7 +46,7 @@
 
 OpenResult open(const std::string& bytes, PersistentState& kept, const char* member = "a")
 {
-    lab::Disk disk;
+    simulation::Disk disk;
     (void)disk.replace(file, bytes);
     Store store(disk);
     const auto opened = store.open("edge", member, 8);
@@ -57,7 +57,7 @@
 void errors()
 {
     for (const char* what : {"full", "broken"}) {
-        lab::Disk disk;
+        simulation::Disk disk;
         Store store(disk);
         store.open("edge", "a", 7);
         store.term_is(1, 0);
@@ -80,7 +80,7 @@
 
 int main()
 {
-    lab::Disk disk;
+    simulation::Disk disk;
     const auto said = write(disk);
     const auto whole = bytes_of(disk);
     std::map<std::string, size_t> seen;
@@ -116,7 +116,7 @@
     PersistentState kept;
     std::printf("another member's: %s\n", text_of(open(whole, kept, "b")));
     {
-        lab::Disk small;
+        simulation::Disk small;
         (void)small.replace(file, whole);
         Store store(small);
         store.open("edge", "a", 8);
--- a/tests/rig_checker.cpp
+++ b/tests/history_checker.cpp
@@ -3,11 +3,11 @@
 #include <filesystem>
 #include <fstream>
 
-#include "rig/rig.h"
+#include "fault_injection/test_cluster.h"
 #include "trace.h"
 
 using namespace firtide;
-using namespace firtide::rig;
+using namespace firtide::fault_injection;
 
 namespace
 {
@@ -78,14 +78,14 @@
     for (const bool fleet : {false, true}) {
         Plan plan;
         plan.members = 3, plan.duties = 1, plan.fleet = fleet;
-        Rig rig(plan, program, "", 59);
-        rig.start(0);
-        rig.until([&] { return rig.request(0) == 200; }, seconds(5));
-        rig.run(seconds(1));
+        TestCluster fault_injection(plan, program, "", 59);
+        fault_injection.start(0);
+        fault_injection.until([&] { return fault_injection.request(0) == 200; }, seconds(5));
+        fault_injection.run(seconds(1));
         std::printf("%s: %s; its folder is %s\n", fleet ? "with a fleet file" : "without",
-                    has(rig.process(0)).c_str(),
-                    std::filesystem::exists(rig.folder(0)) ? "there" : "not there");
-        std::printf("  management: %s", rig.ask(0, "show-fleet").substr(0, 12).c_str());
+                    has(fault_injection.process(0)).c_str(),
+                    std::filesystem::exists(fault_injection.folder(0)) ? "there" : "not there");
+        std::printf("  management: %s", fault_injection.ask(0, "show-fleet").substr(0, 12).c_str());
         std::printf("...\n");
     }
 }
--- a/tests/latency.cpp
+++ b/tests/latency.cpp
@@ -15,7 +15,7 @@
 #include "scale/load_generator.h"
 #include "scale/open_loop.h"
 #include "scale/stand_ins.h"
-#include "src/net/event.h"
+#include "src/io/event.h"
 
 namespace firtide::scale
 {
--- a/tests/list_deltas.cpp
+++ b/tests/list_deltas.cpp
@@ -4,10 +4,10 @@
 // revision are equal.
 #include <gtest/gtest.h>
 
-#include "lab/walk.h"
-#include "lab/world.h"
+#include "simulation/randomized_run.h"
+#include "simulation/simulated_cluster.h"
 
-namespace firtide::lab
+namespace firtide::simulation
 {
 namespace
 {
@@ -21,29 +21,29 @@
 class Lists
 {
   public:
-    explicit Lists(World::Options options) : world(std::move(options), seed)
+    explicit Lists(SimulatedCluster::Options options) : cluster(std::move(options), seed)
     {
-        world.on_effect = [this](size_t, FleetEffect& effect) { count(effect); };
-        for (size_t i = 0; i < world.size(); ++i) world.start(i);
-        world.run(seconds(12));
+        cluster.on_effect = [this](size_t, FleetEffect& effect) { count(effect); };
+        for (size_t i = 0; i < cluster.size(); ++i) cluster.start(i);
+        cluster.run(seconds(12));
         sent = {};
     }
 
     void change(uint64_t times, Span apart = seconds(0.8))
     {
         for (uint64_t i = 0; i < times; ++i) {
-            world.discovery_is(++version);
-            world.run(apart);
+            cluster.discovery_is(++version);
+            cluster.run(apart);
         }
     }
     size_t holder() const
     {
-        const auto all = world.holders("list");
+        const auto all = cluster.holders("list");
         return all.size() == 1 ? all[0] : SIZE_MAX;
     }
-    size_t other_than(size_t node) const { return (node + 1) % world.size(); }
-    const EndpointReplica& replica(size_t node) { return *world.fleet(node).replica(); }
-    std::string shown(size_t node) { return world.show(node); }
+    size_t other_than(size_t node) const { return (node + 1) % cluster.size(); }
+    const EndpointReplica& replica(size_t node) { return *cluster.fleet(node).replica(); }
+    std::string shown(size_t node) { return cluster.show(node); }
 
     // All that live have what the holder has, which is what discovery has.
     void expect_all_alike()
@@ -51,18 +51,18 @@
         ASSERT_NE(holder(), SIZE_MAX) << "list is held by nobody";
         const EndpointReplica& published = replica(holder());
         EXPECT_EQ(published.version().number, version);
-        EXPECT_EQ(published.lines(), world.discovery_lines(version));
-        for (size_t i = 0; i < world.size(); ++i) {
-            if (!world.up(i)) continue;
+        EXPECT_EQ(published.lines(), cluster.discovery_lines(version));
+        for (size_t i = 0; i < cluster.size(); ++i) {
+            if (!cluster.up(i)) continue;
             EXPECT_EQ(replica(i).revision(), published.revision()) << "m" << i + 1;
             EXPECT_EQ(replica(i).digest(), published.digest()) << "m" << i + 1;
-            EXPECT_EQ(world.shown_list(i), published.lines()) << "m" << i + 1;
-            EXPECT_EQ(world.list_of(i), version) << "m" << i + 1;
+            EXPECT_EQ(cluster.shown_list(i), published.lines()) << "m" << i + 1;
+            EXPECT_EQ(cluster.list_of(i), version) << "m" << i + 1;
         }
-        for (const Broken& broken : world.broken()) ADD_FAILURE() << broken.rule;
+        for (const Broken& broken : cluster.broken()) ADD_FAILURE() << broken.rule;
     }
 
-    World world;
+    SimulatedCluster cluster;
     Sent sent;
     uint64_t version = 1;
 
@@ -83,9 +83,9 @@
     }
 };
 
-World::Options options(size_t members = 7, EndpointDeltaConfig deltas = {})
+SimulatedCluster::Options options(size_t members = 7, EndpointDeltaConfig deltas = {})
 {
-    World::Options o;
+    SimulatedCluster::Options o;
     o.members = members;
     o.duties = 1;
     o.list = true;
@@ -105,9 +105,9 @@
 TEST(ListDeltas, OneMemberAsksDiscovery)
 {
     Lists lists(options());
-    const auto before = lists.world.count.list_calls;
+    const auto before = lists.cluster.count.list_calls;
     lists.change(10);
-    const double calls = static_cast<double>(lists.world.count.list_calls - before);
+    const double calls = static_cast<double>(lists.cluster.count.list_calls - before);
     EXPECT_LE(calls / 8, 2.5) << "a second, of seven members";
 }
 
@@ -116,10 +116,10 @@
     auto o = options();
     o.list_entries = entries;
     Lists lists(o);
-    const auto before = lists.world.count.list_bytes;
+    const auto before = lists.cluster.count.list_bytes;
     lists.change(changes);
     lists.expect_all_alike();
-    return (lists.world.count.list_bytes - before) / changes;
+    return (lists.cluster.count.list_bytes - before) / changes;
 }
 
 TEST(ListDeltas, BytesOfAChangeDoNotGrowWithTheList)
@@ -136,7 +136,7 @@
     auto o = options(5, {1000, seconds(0.5), 2048});
     o.list_entries = 2000;
     Lists lists(o);
-    lists.world.run(seconds(20));
+    lists.cluster.run(seconds(20));
     lists.expect_all_alike();
     lists.change(3);
     lists.expect_all_alike();
@@ -145,15 +145,15 @@
 TEST(ListDeltas, LostRepeatedAndLateMessagesAreRepaired)
 {
     Lists lists(options());
-    for (size_t a = 0; a < lists.world.size(); ++a)
-        for (size_t b = 0; b < lists.world.size(); ++b) {
-            Link& link = lists.world.link(a, b);
+    for (size_t a = 0; a < lists.cluster.size(); ++a)
+        for (size_t b = 0; b < lists.cluster.size(); ++b) {
+            Link& link = lists.cluster.link(a, b);
             link.loss = 0.25, link.repeat = 0.3, link.most = seconds(0.4);
         }
     lists.change(60, seconds(0.3));
     EXPECT_GT(lists.sent.wants, 0u);
-    lists.world.heal();
-    lists.world.run(seconds(10));
+    lists.cluster.heal();
+    lists.cluster.run(seconds(10));
     lists.expect_all_alike();
 }
 
@@ -163,18 +163,18 @@
     const size_t holder = lists.holder();
     // Nobody but one member hears its last delta.
     const size_t only = lists.other_than(holder);
-    for (size_t i = 0; i < lists.world.size(); ++i)
-        if (i != holder && i != only) lists.world.link(holder, i).cut = true;
-    lists.world.discovery_is(++lists.version);
-    lists.world.run(seconds(0.6));
-    lists.world.crash(holder);
+    for (size_t i = 0; i < lists.cluster.size(); ++i)
+        if (i != holder && i != only) lists.cluster.link(holder, i).cut = true;
+    lists.cluster.discovery_is(++lists.version);
+    lists.cluster.run(seconds(0.6));
+    lists.cluster.crash(holder);
     lists.change(1);
-    lists.world.run(seconds(15));
+    lists.cluster.run(seconds(15));
     EXPECT_NE(lists.holder(), holder);
     lists.expect_all_alike();
-    lists.world.heal();
-    lists.world.start(holder);
-    lists.world.run(seconds(10));
+    lists.cluster.heal();
+    lists.cluster.start(holder);
+    lists.cluster.run(seconds(10));
     lists.expect_all_alike();
 }
 
@@ -183,13 +183,13 @@
     auto o = options();
     o.list_entries = 500;
     Lists lists(o);
-    const auto before = lists.world.count.list_bytes;
-    lists.world.crash(lists.holder());
-    lists.world.run(seconds(10));
+    const auto before = lists.cluster.count.list_bytes;
+    lists.cluster.crash(lists.holder());
+    lists.cluster.run(seconds(10));
     lists.change(2);
     lists.expect_all_alike();
     EXPECT_EQ(lists.sent.chunks, 0u);
-    EXPECT_LT(lists.world.count.list_bytes - before, 20'000u) << "the list itself is 20 KB";
+    EXPECT_LT(lists.cluster.count.list_bytes - before, 20'000u) << "the list itself is 20 KB";
 }
 
 TEST(ListDeltas, RestartedMemberGetsASnapshotOfANeighbour)
@@ -199,10 +199,10 @@
     Lists lists(o);
     lists.change(10);
     const size_t member = lists.other_than(lists.holder());
-    lists.world.crash(member);
+    lists.cluster.crash(member);
     lists.change(3);
-    lists.world.start(member);
-    lists.world.run(seconds(5));
+    lists.cluster.start(member);
+    lists.cluster.run(seconds(5));
     lists.expect_all_alike();
     EXPECT_GT(lists.sent.chunks, 10u);
 }
@@ -214,20 +214,20 @@
     Lists lists(o);
     lists.change(5);
     const size_t next = lists.other_than(lists.holder());
-    lists.world.crash(next);
-    lists.world.run(seconds(1));
-    const auto before = lists.world.count.list_bytes;
-    lists.world.start(next);
+    lists.cluster.crash(next);
+    lists.cluster.run(seconds(1));
+    const auto before = lists.cluster.count.list_bytes;
+    lists.cluster.start(next);
     for (int tries = 0; tries < 100 && lists.holder() != next; ++tries) {
         if (lists.holder() != SIZE_MAX)
-            lists.world.ask(lists.holder(), "hand-over", "list", "m" + std::to_string(next + 1));
-        lists.world.run(seconds(0.05));
+            lists.cluster.ask(lists.holder(), "hand-over", "list", "m" + std::to_string(next + 1));
+        lists.cluster.run(seconds(0.05));
     }
     ASSERT_EQ(lists.holder(), next);
     lists.change(2);
-    lists.world.run(seconds(5));
+    lists.cluster.run(seconds(5));
     lists.expect_all_alike();
-    EXPECT_LT(lists.world.count.list_bytes - before, 100'000u)
+    EXPECT_LT(lists.cluster.count.list_bytes - before, 100'000u)
         << "the list is 20 KB: once for this member, and not three times for each of the others";
 }
 
@@ -235,10 +235,10 @@
 {
     Lists lists(options());
     const size_t member = lists.other_than(lists.holder());
-    lists.world.isolate(member, true);
+    lists.cluster.isolate(member, true);
     lists.change(3, seconds(0.5));
-    lists.world.isolate(member, false);
-    lists.world.run(seconds(6));
+    lists.cluster.isolate(member, false);
+    lists.cluster.run(seconds(6));
     lists.expect_all_alike();
     EXPECT_GT(lists.sent.wants, 0u);
     EXPECT_EQ(lists.sent.chunks, 0u);
@@ -248,10 +248,10 @@
 {
     Lists lists(options(7, {2, seconds(0.5), 1024}));
     const size_t member = lists.other_than(lists.holder());
-    lists.world.isolate(member, true);
+    lists.cluster.isolate(member, true);
     lists.change(10);
-    lists.world.isolate(member, false);
-    lists.world.run(seconds(6));
+    lists.cluster.isolate(member, false);
+    lists.cluster.run(seconds(6));
     lists.expect_all_alike();
     EXPECT_GT(lists.sent.chunks, 0u);
 }
@@ -261,15 +261,15 @@
     Lists lists(options(6));
     const auto cut = [&](bool on) {
         for (size_t a = 0; a < 2; ++a)
-            for (size_t b = 2; b < lists.world.size(); ++b)
-                lists.world.link(a, b).cut = lists.world.link(b, a).cut = on;
+            for (size_t b = 2; b < lists.cluster.size(); ++b)
+                lists.cluster.link(a, b).cut = lists.cluster.link(b, a).cut = on;
     };
     cut(true);
     lists.change(15);
     // Those without a majority ask discovery themselves, and use what it says.
-    EXPECT_GE(lists.world.list_of(0) + 2, lists.version);
+    EXPECT_GE(lists.cluster.list_of(0) + 2, lists.version);
     cut(false);
-    lists.world.run(seconds(15));
+    lists.cluster.run(seconds(15));
     lists.expect_all_alike();
 }
 
@@ -278,15 +278,15 @@
     Lists lists(options());
     lists.change(10);
     const size_t next = lists.other_than(lists.holder());
-    lists.world.discovery_of(next, lists.version - 6);
-    lists.world.ask(lists.holder(), "hand-over", "list", "m" + std::to_string(next + 1));
-    lists.world.run(seconds(3));
+    lists.cluster.discovery_of(next, lists.version - 6);
+    lists.cluster.ask(lists.holder(), "hand-over", "list", "m" + std::to_string(next + 1));
+    lists.cluster.run(seconds(3));
     ASSERT_EQ(lists.holder(), next);
-    for (size_t i = 0; i < lists.world.size(); ++i) EXPECT_EQ(lists.world.list_of(i), lists.version);
-    lists.world.discovery_of(next, std::nullopt);
-    lists.world.run(seconds(5));
+    for (size_t i = 0; i < lists.cluster.size(); ++i) EXPECT_EQ(lists.cluster.list_of(i), lists.version);
+    lists.cluster.discovery_of(next, std::nullopt);
+    lists.cluster.run(seconds(5));
     lists.change(2);
-    lists.world.run(seconds(3));
+    lists.cluster.run(seconds(3));
     lists.expect_all_alike();
 }
 
@@ -295,8 +295,8 @@
     Lists lists(options());
     lists.change(3);
     const size_t member = lists.other_than(lists.holder());
-    lists.world.corrupt_list(member, "u1", "{}");
-    lists.world.run(seconds(5));
+    lists.cluster.corrupt_list(member, "u1", "{}");
+    lists.cluster.run(seconds(5));
     EXPECT_GT(lists.sent.chunks, 0u);
     lists.expect_all_alike();
 }
@@ -316,25 +316,25 @@
 {
     auto o = options();
     o.deltas.reset();
-    World world(o, seed);
-    for (size_t i = 0; i < world.size(); ++i) world.start(i);
-    world.run(seconds(10));
-    EXPECT_EQ(world.fleet(0).replica(), nullptr);
-    EXPECT_EQ(world.count.list_bytes, 0u);
-    EXPECT_EQ(world.show(0).find("list revision"), std::string::npos);
-    EXPECT_TRUE(world.broken().empty());
+    SimulatedCluster cluster(o, seed);
+    for (size_t i = 0; i < cluster.size(); ++i) cluster.start(i);
+    cluster.run(seconds(10));
+    EXPECT_EQ(cluster.fleet(0).replica(), nullptr);
+    EXPECT_EQ(cluster.count.list_bytes, 0u);
+    EXPECT_EQ(cluster.show(0).find("list revision"), std::string::npos);
+    EXPECT_TRUE(cluster.broken().empty());
 }
 
 TEST(ListDeltas, WalksThroughFaultsEndAlike)
 {
-    Walk walking;
+    RandomizedRun walking;
     walking.options = options(5, {8, seconds(0.5), 256});
     for (uint64_t walk_seed = 1; walk_seed <= 12; ++walk_seed) {
-        const auto walked = walk(walking, walk_seed);
+        const auto walked = run_randomized(walking, walk_seed);
         for (const Broken& broken : walked.broken)
             ADD_FAILURE() << "seed " << walk_seed << ": " << broken.rule;
     }
 }
 
 }  // namespace
-}  // namespace firtide::lab
+}  // namespace firtide::simulation
--- a/tests/list_replica.cpp
+++ b/tests/list_replica.cpp
@@ -1,11 +1,10 @@
 // The replicated list, unit by unit: its replica, what a member says of it to others, its texts, messages and
 // its table in the fleet file. Scripted calls, no clock.
-#include "src/fleet/list_replica.h"
-
 #include <gtest/gtest.h>
 
 #include "src/fleet/config.h"
-#include "src/fleet/list_distribution.h"
+#include "src/fleet/endpoints/endpoint_distribution.h"
+#include "src/fleet/endpoints/endpoint_replica.h"
 #include "src/net/discovery.h"
 
 namespace firtide::fleet
@@ -606,7 +605,7 @@
 std::string fault_of(const std::string& more)
 {
     const auto got = decode_fleet_config(fleet_file(more));
-    const auto* fault = std::get_if<Fault>(&got);
+    const auto* fault = std::get_if<ConfigError>(&got);
     return fault ? text_of(*fault) : "none";
 }
 
--- a/tests/malformed.sh
+++ b/tests/malformed.sh
@@ -10,7 +10,7 @@
     size=$(wc -c <"${TMPDIR:-/tmp}/firtide.$$")
     rm -f "${TMPDIR:-/tmp}/firtide.$$"
     if [ -n "$2" ]; then
-        [ $code -ne 0 ] && [ "$said" = "firtide_drill: $2" ] && [ "$size" -eq 0 ] && return
+        [ $code -ne 0 ] && [ "$said" = "firtide-simulator-adapter: $2" ] && [ "$size" -eq 0 ] && return
     else
         [ $code -eq 0 ] && [ -z "$said" ] && [ "$size" -eq "$3" ] && return
     fi
--- a/tests/members.cpp
+++ b/tests/members.cpp
@@ -1,12 +1,12 @@
 // The roster that members share, and what a member keeps of the others.
-#include "src/fleet/members.h"
-
 #include <gtest/gtest.h>
 
 #include <memory>
 #include <random>
 #include <set>
 
+#include "src/fleet/membership/membership.h"
+
 using namespace firtide;
 using namespace firtide::fleet;
 
--- a/tests/message.cpp
+++ b/tests/message.cpp
@@ -1,5 +1,5 @@
 // Messages: what is taken from callers and from upstreams, and in what pieces.
-#include "src/net/message.h"
+#include "src/http/message.h"
 
 #include "src/net/config.h"
 #include "src/net/discovery.h"
--- a/tests/modbus_config.cpp
+++ b/tests/modbus_config.cpp
@@ -14,7 +14,7 @@
 void show(const char* what, const std::string& text)
 {
     const auto got = decode_operator_file(text);
-    if (const auto* fault = std::get_if<Fault>(&got)) {
+    if (const auto* fault = std::get_if<ConfigError>(&got)) {
         std::printf("%s: %s\n", what, text_of(*fault).c_str());
         return;
     }
--- a/tests/modbus_routes.cpp
+++ b/tests/modbus_routes.cpp
@@ -26,7 +26,7 @@
 void show(const char* what, std::vector<Pool> pools, const std::vector<Route>& routes)
 {
     const auto made = Routes::make(std::move(pools), routes);
-    if (const auto* fault = std::get_if<Fault>(&made)) {
+    if (const auto* fault = std::get_if<ConfigError>(&made)) {
         std::printf("%s: line %u, %s: %s\n", what, fault->at.line, fault->at.key.c_str(),
                     fault->what.c_str());
         return;
--- a/tests/told.cpp
+++ b/tests/peer_messages.cpp
@@ -1,7 +1,6 @@
 // What instances tell each other, where messages are allowed; and what waits at upstreams, where they report
 // it.
-#include "src/told.h"
-
+#include "src/balance/peer_message.h"
 #include "trace.h"
 
 using namespace firtide;
--- a/tests/recovery.cpp
+++ b/tests/recovery.cpp
@@ -1,7 +1,6 @@
 // After a power loss: what is remembered, what is believed of it, and the order of return. No sockets.
-#include "src/fleet/recovery.h"
-
 #include "src/fleet/fleet.h"
+#include "src/fleet/startup/startup_sequencer.h"
 #include "src/net/reducer.h"
 #include "trace.h"
 
--- a/tests/lab_scale.cpp
+++ b/tests/simulation_scale.cpp
@@ -2,10 +2,10 @@
 // in force at each live member and one view of the members.
 #include <gtest/gtest.h>
 
-#include "lab/scale.h"
+#include "simulation/scale.h"
 
 using namespace firtide;
-using namespace firtide::lab;
+using namespace firtide::simulation;
 
 namespace
 {
@@ -30,9 +30,9 @@
     ASSERT_TRUE(result.trouble);
     EXPECT_TRUE(result.trouble->seconds_until_agreed);
     for (size_t i = 0; i < plan.members; ++i) {
-        ASSERT_TRUE(run.world().up(i));
-        EXPECT_EQ(run.world().fleet(i).members().alive(), plan.members);
-        EXPECT_EQ(run.world().fleet(i).members().digest(), run.world().fleet(0).members().digest());
+        ASSERT_TRUE(run.cluster().up(i));
+        EXPECT_EQ(run.cluster().fleet(i).members().alive(), plan.members);
+        EXPECT_EQ(run.cluster().fleet(i).members().digest(), run.cluster().fleet(0).members().digest());
     }
 }
 
--- a/tests/trace.h
+++ b/tests/trace.h
@@ -23,7 +23,7 @@
 #include <vector>
 
 #include "balancer_host.h"
-#include "src/balance.h"
+#include "src/balance/balancer.h"
 
 namespace firtide
 {
