--- a/simulation/main.cpp
+++ b/simulation/main.cpp
@@ -33,10 +33,10 @@
     void take_out_of(SimulatedCluster::Options& o) const
     {
         if (without == "office")
-            o.lease_manager = [](LeaseManager& g) { g.disabled_checks.wait_in_office = true; };
+            o.lease_manager = [](LeaseManager& g) { g.disabled_checks.wait_after_election = true; };
         if (without == "majority")
-            o.lease_manager = [](LeaseManager& g) { g.disabled_checks.confirm = true; };
-        if (without == "expiry") o.lease_manager = [](LeaseManager& g) { g.disabled_checks.expiry = true; };
+            o.lease_manager = [](LeaseManager& g) { g.disabled_checks.confirm_by_majority = true; };
+        if (without == "expiry") o.lease_manager = [](LeaseManager& g) { g.disabled_checks.full_expiry = true; };
         if (without == "gate") o.gate = false;
         if (without == "fence") o.fences = false;
     }
--- a/simulation/simulated_cluster.cpp
+++ b/simulation/simulated_cluster.cpp
@@ -606,7 +606,7 @@
 Point SimulatedCluster::lease_ends(size_t node) const
 {
     const Node& n = *nodes_[node];
-    const Span left = n.fleet->holder().left(clock_of(node));
+    const Span left = n.fleet->lease_client().time_left(clock_of(node));
     return now_ + left * (1 / n.rate) - Span{2};
 }
 
--- a/src/fleet/config.h
+++ b/src/fleet/config.h
@@ -22,7 +22,7 @@
     double drift = 0.02;  // clocks' rates differ by this part at the most
 
     // By its own clock a holder stops so long after it asked.
-    Span of_holder() const { return length * (1 - 2 * drift); }
+    Span holder_duration() const { return length * (1 - 2 * drift); }
 };
 
 enum class DutyKind : uint8_t {
--- a/src/fleet/consensus/store.h
+++ b/src/fleet/consensus/store.h
@@ -7,15 +7,12 @@
 #include <string>
 #include <vector>
 
+#include "src/fleet/ids.h"
 #include "src/fleet/storage/file_system.h"
 
 namespace firtide::fleet
 {
 
-using LogIndex = uint64_t;  // of the log, from 1
-using Term = uint64_t;
-using DiskId = uint64_t;  // drawn once for each new disk; a voter's name in the log is that of its disk
-
 struct LogEntry {
     Term term = 0;
     uint16_t kind = 0;
--- a/src/fleet/consensus/voter_agent.cpp
+++ b/src/fleet/consensus/voter_agent.cpp
@@ -18,7 +18,7 @@
         if (const auto commands = unpack<std::vector<LeaseCommand>>(command)) table.apply(*commands);
     }
     std::string snapshot() const override { return table.encode(); }
-    void restore(std::string_view snapshot) override { table.decode(snapshot); }
+    void restore(std::string_view snapshot) override { (void)table.decode(snapshot); }
 };
 
 VoterAgent::VoterAgent(const FleetConfig& file, FileSystem& files, VoterTimes times, uint64_t seed)
@@ -258,9 +258,9 @@
 std::vector<VoterAgentEffect> VoterAgent::propose(Point now, const Proposal& propose)
 {
     if (stage_ == VoterStage::voting && !store_->failed())
-        take(voter_->propose(now, propose.name, pack(propose.commands)));
+        take(voter_->propose(now, propose.id, pack(propose.commands)));
     else
-        effects_.push_back(ProposalResult{propose.name, false, "it does not vote"});
+        effects_.push_back(ProposalResult{propose.id, false, "it does not vote"});
     return out(now);
 }
 
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -38,7 +38,7 @@
       lease_client_(file, instance, seed + 2),
       lease_manager_(file, seed + 3)
 {
-    lease_manager_.table_is(table_);
+    lease_manager_.set_table(table_);
     if (file_.deltas) distribution_.emplace(*file_.deltas);
     if (file_.signals) signals_.emplace(*file_.signals, file_.members[self_].key, instance);
     if (file_.turns) {
@@ -118,7 +118,7 @@
                    [&](const Hello&) {},
                    [&](const Ping& p) {
                        members_.on(now_, from, p);
-                       lease_client_.leader_is(p.leader, p.term);
+                       lease_client_.set_leader(p.leader, p.term);
                        hear_list(from, p);
                    },
                    [&](const IndirectProbeRequest& a) { members_.on(now_, from, a); },
@@ -136,15 +136,16 @@
                        effects_.push_back(CallVoterAgent{std::pair{from, std::move(f)}});
                    },
                    [&](const LeaseRenewRequest& r) {
-                       if (lease_manager_.is_leader()) return lease_manager_.on(now_, from, r);
+                       if (lease_manager_.is_leader()) return lease_manager_.on_renew_request(now_, from, r);
                        const LeaderRedirect refer{leader_key(), standing_ ? standing_->standing.term : 0};
                        if (from != self_) return effects_.push_back(Send{from, refer});
-                       if (refer.leader != file_.members[self_].key) lease_client_.on(now_, self_, refer);
+                       if (refer.leader != file_.members[self_].key)
+                           lease_client_.on_redirect(now_, self_, refer);
                    },
-                   [&](const LeaseRenewResponse& r) { lease_client_.on(now_, from, r); },
-                   [&](const LeaderRedirect& r) { lease_client_.on(now_, from, r); },
-                   [&](const LeaseRevoke& r) { lease_client_.on(now_, from, r); },
-                   [&](const LeaseRelease& r) { lease_manager_.on(now_, from, r); },
+                   [&](const LeaseRenewResponse& r) { lease_client_.on_renew_response(now_, from, r); },
+                   [&](const LeaderRedirect& r) { lease_client_.on_redirect(now_, from, r); },
+                   [&](const LeaseRevoke& r) { lease_client_.on_revoke(now_, from, r); },
+                   [&](const LeaseRelease& r) { lease_manager_.on_release(now_, from, r); },
                    [&](const AdminCommand& o) { hear(from, o); },
                    [&](const AdminCommandResult& o) { hear(from, o); },
                    [&](Broadcast& n) { hear(from, n); },
@@ -196,7 +197,7 @@
                         effects_.push_back(Send{member, obeyed});
                     return;
                 }
-                lease_manager_.proposed(now_, table_, p.name, p.well);
+                lease_manager_.on_proposal_result(table_, p.name, p.well);
             },
             [&](VoterStatus& s) {
                 const bool led = lease_manager_.is_leader();
@@ -219,7 +220,7 @@
                                                 st.term,
                                                 "",
                                                 {}});
-                lease_client_.leader_is(leader_key(), st.term);
+                lease_client_.set_leader(leader_key(), st.term);
             },
         },
         said.effect);
@@ -275,23 +276,24 @@
             b.slice = (b.slice + 1) % probe_slices;
         } else if (duty.kind == DutyKind::other && !duty.tell.empty()) {
             b.next = now_ + duty.every;
-            effects_.push_back(
-                LeasedEffect{name,
-                             b.epoch,
-                             {},
-                             NotifySubscriber{duty.tell, ++b.number, lease_client_.left(now_).us / 1000}});
+            effects_.push_back(LeasedEffect{
+                name,
+                b.epoch,
+                {},
+                NotifySubscriber{duty.tell, ++b.number, lease_client_.time_left(now_).us / 1000}});
         }
     }
 }
 
 void Fleet::changed(const LeaseChange& c)
 {
-    effects_.push_back(LogEvent{c.gained ? "gained" : "lost", c.duty, c.why, c.epoch, "", c.until});
+    const bool gained = c.kind == LeaseChange::Kind::gained;
+    effects_.push_back(LogEvent{gained ? "gained" : "lost", c.duty, c.reason, c.epoch, "", c.until});
     const auto d = file_.duty_of(c.duty);
     if (!d) return;
     const DutyKind kind = file_.duties[*d].kind;
     // Guards against a probe that is still out as its prober gives the duty up.
-    if (c.gained)
+    if (gained)
         beats_[c.duty] = {c.epoch, 0, kind == DutyKind::probe ? now_ + probe_lasts : now_, 0};
     else
         beats_.erase(c.duty);
@@ -299,11 +301,11 @@
         list_published_.clear();
         numbers_[c.duty] = 0;
         list_gained_ = now_;
-        if (asking_ != c.gained) effects_.push_back(SetDiscoveryPolling{asking_ = c.gained});
+        if (asking_ != gained) effects_.push_back(SetDiscoveryPolling{asking_ = gained});
         list_fresh_ = std::max(list_fresh_, now_ - file_.list->stale * 0.5);
     } else if (kind == DutyKind::parts) {
-        if (c.gained) allocator_->begin(now_, c.epoch);
-    } else if (kind == DutyKind::drain && c.gained) {
+        if (gained) allocator_->begin(now_, c.epoch);
+    } else if (kind == DutyKind::drain && gained) {
         if (wants_turn_) {
             effects_.push_back(LeasedEffect{c.duty, c.epoch, {}, StartDrain{}});
             if (turn_)
@@ -315,7 +317,7 @@
     } else if (kind == DutyKind::drain && wants_turn_) {
         // Guards against more being drained than may be: another may have this turn before long.
         wants_turn_ = false;
-        lease_client_.want("drain", false);
+        lease_client_.cancel_request("drain");
         effects_.push_back(EndDrain{});
     }
 }
@@ -324,7 +326,7 @@
 {
     Broadcast n{duty, epoch, ++numbers_[duty], 0, 0, std::move(bytes)};
     n.base = n.bytes.empty() ? list_base_ : n.number;
-    fencing_.accept(duty, epoch, n.number);
+    (void)fencing_.accept(duty, epoch, n.number);
     if (duty == "list" && !n.bytes.empty()) {
         list_base_ = n.number;
         newest_[duty] = n;
@@ -357,20 +359,20 @@
 
 void Fleet::on(ProbesCompleted& seen)
 {
-    if (lease_client_.mine(now_, seen.duty) != seen.epoch) return;
+    if (lease_client_.held_epoch(now_, seen.duty) != seen.epoch) return;
     publish(seen.duty, seen.epoch, std::move(seen.bytes));
 }
 
 void Fleet::on(const EffectRefused& refused)
 {
-    if (lease_client_.mine(now_, refused.duty) == refused.epoch)
+    if (lease_client_.held_epoch(now_, refused.duty) == refused.epoch)
         lease_client_.release(now_, refused.duty, "a receiver has met a higher epoch");
 }
 
 void Fleet::on(const ShutdownRequested&)
 {
     stopping_ = true;
-    lease_client_.leave(now_);
+    lease_client_.depart(now_);
     members_.leave(now_);
 }
 
@@ -381,7 +383,7 @@
     if (turn_ == left.caller) {
         turn_.reset();
         wants_turn_ = false;
-        lease_client_.want("drain", false);
+        lease_client_.cancel_request("drain");
     }
 }
 
@@ -395,13 +397,13 @@
             return reply(asked.caller, "FAILURE a turn is asked for, or taken, already\n");
         turn_ = asked.caller;
         wants_turn_ = true;
-        return lease_client_.want("drain", true);
+        return lease_client_.request("drain");
     }
     if (asked.what == "turn-over") {
         wants_turn_ = false;
-        lease_client_.want("drain", false);
+        lease_client_.cancel_request("drain");
         if (turn_) reply(*std::exchange(turn_, std::nullopt), "FAILURE called off\n");
-        for (const auto& [duty, epoch] : lease_client_.held(now_))
+        for (const auto& [duty, epoch] : lease_client_.held_duties(now_))
             if (duty.starts_with("drain.")) lease_client_.release(now_, duty, "its turn is over");
         return;
     }
@@ -428,7 +430,7 @@
 
 void Fleet::hear(MemberIndex from, const AdminCommand& o)
 {
-    if (o.what == "hand-over") return lease_manager_.hand_over(now_, from, o);
+    if (o.what == "hand-over") return lease_manager_.transfer(now_, from, o);
     // A vote can be taken from whoever has one, also from who has left the fleet file.
     const auto m = file_.member_of(std::string_view(o.first));
     const bool in = o.what == "let-in";
@@ -509,8 +511,8 @@
     if (!shares_) return;
     if (now_ - wanted_parts_ >= file_.turns->length * 0.25 && !stopping_) {
         wanted_parts_ = now_;
-        const auto own = lease_client_.mine(now_, "parts");
-        const auto entry = lease_client_.table().of("parts");
+        const auto own = lease_client_.held_epoch(now_, "parts");
+        const auto entry = lease_client_.table().entry("parts");
         const auto holder = own            ? std::optional(self_)
                             : entry.holder ? file_.member_of(entry.holder)
                                            : std::nullopt;
@@ -527,7 +529,7 @@
 
 void Fleet::hear(MemberIndex from, const QuotaRequest& want)
 {
-    const auto epoch = lease_client_.mine(now_, "parts");
+    const auto epoch = lease_client_.held_epoch(now_, "parts");
     if (!allocator_ || !epoch || *epoch != allocator_->epoch()) return;
     auto parts = allocator_->answer(now_, file_.members[from].key, want);
     if (parts.all.empty()) return;
@@ -592,8 +594,8 @@
         recalled.memory = why;
         return on(recalled);
     }
-    lease_client_.recall(memory->epochs);
-    for (const SeenEpoch& e : memory->epochs) fencing_.accept(e.duty, e.epoch, 0);
+    lease_client_.restore_epochs(memory->epochs);
+    for (const SeenEpoch& e : memory->epochs) fencing_.observe(e.duty, e.epoch);
     recalled_.push_back("trusted epochs of " + std::to_string(memory->epochs.size()) + " duties");
     recalled_.push_back("hint list version " + std::to_string(memory->list_version) + ", " +
                         std::to_string(memory->list.size()) + " bytes");
@@ -624,11 +626,12 @@
     }
     FleetState state;
     state.members = file_.members.size(), state.alive = members_.alive();
-    state.majority = lease_client_.confirmed(now_);
+    state.majority = lease_client_.is_confirmed(now_);
     for (const Duty& d : file_.duties) {
         if (d.kind == DutyKind::drain) continue;
         ++state.duties;
-        state.held += lease_client_.table().of(d.name).holder != 0 || lease_client_.mine(now_, d.name);
+        state.held +=
+            lease_client_.table().entry(d.name).holder != 0 || lease_client_.held_epoch(now_, d.name);
     }
     effects_.push_back(ApplyFleetState{state});
     if (now_ - kept_at_ < file_.recovery->every || stopping_) return;
@@ -641,7 +644,7 @@
     m.sharers = observed_.sharers ? observed_.sharers : static_cast<uint32_t>(members_.alive());
     m.reductions = observed_.reductions, m.open = observed_.open;
     for (const Duty& d : file_.duties)
-        if (const Epoch e = std::max(lease_client_.table().of(d.name).epoch, fencing_.epoch(d.name)))
+        if (const Epoch e = std::max(lease_client_.table().entry(d.name).epoch, fencing_.epoch(d.name)))
             m.epochs.push_back({d.name, e});
     effects_.push_back(WriteSnapshot{std::move(m)});
 }
@@ -659,13 +662,13 @@
 {
     const Term term = std::max(lease_client_.term(), standing_ ? standing_->standing.term : 0);
     MemberKey leader = leader_key();
-    if (!leader && lease_client_.confirmed(now_) && lease_client_.leader())
+    if (!leader && lease_client_.is_confirmed(now_) && lease_client_.leader())
         leader = file_.members[*lease_client_.leader()].key;
     const auto leader_at = leader ? file_.member_of(leader) : std::nullopt;
     std::string out = "me " + file_.id + " incarnation " + std::to_string(members_.incarnation()) + " term " +
                       std::to_string(term) + " leader " +
                       (leader_at ? file_.members[*leader_at].id : "none") + " majority " +
-                      (lease_client_.confirmed(now_) ? "yes" : "no");
+                      (lease_client_.is_confirmed(now_) ? "yes" : "no");
     if (standing_) {
         out += std::string(" voter ") + text_of(standing_->stage);
         if (!standing_->trouble.empty()) out += " trouble: " + standing_->trouble;
@@ -682,8 +685,8 @@
     }
     const LeaseTable& table = lease_client_.table();
     for (const Duty& d : file_.duties) {
-        const auto e = table.of(d.name);
-        const auto own = lease_client_.mine(now_, d.name);
+        const auto e = table.entry(d.name);
+        const auto own = lease_client_.held_epoch(now_, d.name);
         const auto holder = e.holder ? file_.member_of(e.holder) : std::nullopt;
         const Epoch epoch = own ? *own : e.epoch;
         out += "duty " + d.name + " holder " +
@@ -691,7 +694,8 @@
                 : holder ? file_.members[*holder].id
                          : "none") +
                " epoch " + std::to_string(epoch) + " left_ms " +
-               std::to_string(own ? lease_client_.left(now_).us / 1000 : 0) + (own ? " mine" : "") + "\n";
+               std::to_string(own ? lease_client_.time_left(now_).us / 1000 : 0) + (own ? " mine" : "") +
+               "\n";
     }
     return out + show_list() + show_choices() + "EOT\n";
 }
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -13,7 +13,9 @@
 #include "src/fleet/consensus/voter_agent.h"
 #include "src/fleet/endpoints/endpoint_distribution.h"
 #include "src/fleet/endpoints/endpoint_view.h"
-#include "src/fleet/lease/leases.h"
+#include "src/fleet/lease/fencing_guard.h"
+#include "src/fleet/lease/lease_client.h"
+#include "src/fleet/lease/lease_manager.h"
 #include "src/fleet/membership/membership.h"
 #include "src/fleet/startup/startup_sequencer.h"
 #include "src/fleet/transport/traffic.h"
@@ -170,10 +172,13 @@
 
     // The gate. The one place where it is decided whether an effect of a duty may leave.
     bool lease_allows(Point now, const LeasedEffect& act) const;
-    bool mine(Point now, const std::string& duty) const { return lease_client_.mine(now, duty).has_value(); }
+    bool mine(Point now, const std::string& duty) const
+    {
+        return lease_client_.held_epoch(now, duty).has_value();
+    }
 
     Incarnation incarnation() const { return members_.incarnation(); }
-    const LeaseClient& holder() const { return lease_client_; }
+    const LeaseClient& lease_client() const { return lease_client_; }
     const Membership& members() const { return members_; }
     // Of the list; nothing without [deltas].
     const EndpointReplica* replica() const { return distribution_ ? &distribution_->replica() : nullptr; }
--- a/src/fleet/fleet_endpoints.cpp
+++ b/src/fleet/fleet_endpoints.cpp
@@ -78,7 +78,7 @@
 void Fleet::list_confirmed(Span age)
 {
     list_fresh_ = std::max(list_fresh_, now_ - age);
-    if (asking_ && !lease_client_.mine(now_, "list"))
+    if (asking_ && !lease_client_.held_epoch(now_, "list"))
         effects_.push_back(SetDiscoveryPolling{asking_ = false});
 }
 
@@ -92,7 +92,7 @@
         ++refused_;
         return;
     }
-    fencing_.accept("list", delta.to.epoch, 0);
+    fencing_.observe("list", delta.to.epoch);
     const auto heard = distribution_->hear(now_, from, delta);
     if (heard.pass_on)
         for (const MemberIndex m : members_.successors())
@@ -161,7 +161,7 @@
     if (distribution_) return replicate(seen);
     if (!use_list(seen.source, seen.version, seen.whole)) return;
     list_fresh_ = now_;
-    const auto epoch = lease_client_.mine(now_, "list");
+    const auto epoch = lease_client_.held_epoch(now_, "list");
     if (!epoch) return;
     auto bytes = pack(EndpointListBroadcast{seen.source, seen.version, std::move(seen.whole)});
     if (bytes == list_published_) return publish("list", *epoch, {});
@@ -176,7 +176,7 @@
     hint_version_ = 0;
     list_source_ = seen.source;
     list_fresh_ = now_;
-    const auto epoch = lease_client_.mine(now_, "list");
+    const auto epoch = lease_client_.held_epoch(now_, "list");
     const bool waits = epoch && distribution_->must_wait_to_publish(now_, *epoch, list_gained_);
     unpublished_list_ = waits ? std::optional(seen) : std::nullopt;
     if (!epoch || waits) {
@@ -194,7 +194,7 @@
 {
     constexpr size_t most_pushed = 4;
     list_base_ = distribution_->replica().revision().number;
-    fencing_.accept("list", epoch, 0);
+    fencing_.observe("list", epoch);
     Publish pushed;
     for (size_t i = 0; i < deltas.size() && i < most_pushed; ++i)
         for (const MemberIndex m : members_.successors()) pushed.sends.push_back({m, deltas[i]});
@@ -205,7 +205,7 @@
 void Fleet::list_tick()
 {
     if (distribution_) replica_tick();
-    if (!file_.list || asking_ || stopping_ || lease_client_.mine(now_, "list")) return;
+    if (!file_.list || asking_ || stopping_ || lease_client_.held_epoch(now_, "list")) return;
     if (now_ - list_fresh_ <= file_.list->stale + list_spread_) return;
     effects_.push_back(SetDiscoveryPolling{asking_ = true});
     effects_.push_back(
@@ -217,7 +217,7 @@
     distribution_->tick(now_);
     use_replica();
     if (!unpublished_list_) return;
-    const auto epoch = lease_client_.mine(now_, "list");
+    const auto epoch = lease_client_.held_epoch(now_, "list");
     if (!epoch) return unpublished_list_.reset();
     if (distribution_->must_wait_to_publish(now_, *epoch, list_gained_)) return;
     replicate(*std::exchange(unpublished_list_, std::nullopt));
--- /dev/null
+++ b/src/fleet/lease/lease_manager.cpp
@@ -0,0 +1,296 @@
+#include "lease_manager.h"
+
+#include <algorithm>
+#include <random>
+
+#include "lease_rank.h"
+#include "lease_timing.h"
+
+namespace firtide::fleet
+{
+namespace
+{
+
+constexpr Span max_batch_interval = seconds(0.15);
+constexpr double settling_intervals = 1.2;  // renewal intervals after an election without new grants
+constexpr double disabled_expiry = 0.3;     // see DisabledChecks::full_expiry
+
+// The part of a duty's name before the dot.
+std::string family_of(const std::string& duty) { return duty.substr(0, duty.find('.')); }
+
+}  // namespace
+
+LeaseManager::LeaseManager(const FleetConfig& config, uint64_t seed) : config_(config), sessions_(config)
+{
+    // So that a restarted leader does not take the result of an earlier proposal for its own.
+    std::ranlux24_base random(static_cast<uint32_t>(seed ^ seed >> 32));
+    last_proposal_id_ = uint64_t{random()} << 32;
+}
+
+void LeaseManager::on_elected(Point now, Term term)
+{
+    is_leader_ = true;
+    term_ = term;
+    elected_at_ = last_rebalance_ = now;
+    last_proposal_ = now - max_batch_interval;
+    sessions_.clear();
+    pending_renewals_.clear();
+    pending_proposals_.clear();
+    pending_duties_.clear();
+    transfers_.clear();
+}
+
+void LeaseManager::on_stepped_down()
+{
+    if (!std::exchange(is_leader_, false)) return;
+    for (const auto& [duty, transfer] : transfers_) report(transfer.origin, false, "the leader stepped down");
+    transfers_.clear();
+    pending_renewals_.clear();
+    pending_proposals_.clear();
+    pending_duties_.clear();
+}
+
+void LeaseManager::tick(Point now)
+{
+    if (!is_leader_ || !table_) return;
+    drive_transfers(now);
+    assign_leases(now);
+    rebalance(now);
+    propose_pending_renewals(now);
+    sessions_.expire(now);
+}
+
+// ---- renewals ----
+
+void LeaseManager::on_renew_request(Point now, MemberIndex from, const LeaseRenewRequest& request)
+{
+    if (!is_leader_) return;
+    sessions_.record(now, from, request);
+    for (const SeenEpoch& seen : request.seen_epochs)
+        epoch_floors_[seen.duty] = std::max(epoch_floors_[seen.duty], seen.epoch);
+    for (const SeenEpoch& lease : request.given_up) take_back(now, from, request.instance, lease);
+    // A later renewal of the same instance replaces the earlier one.
+    std::erase_if(pending_renewals_, [&](const PendingRenewal& renewal) {
+        return renewal.from == from && renewal.request.instance == request.instance;
+    });
+    if (disabled_checks.confirm_by_majority && table_) return answer({from, request}, *table_);
+    pending_renewals_.push_back({from, request});
+}
+
+void LeaseManager::propose_pending_renewals(Point now)
+{
+    const Span batch = std::min(max_batch_interval, config_.lease.length * lease_timing::batch_interval);
+    if (!pending_renewals_.empty() && now - last_proposal_ >= batch) propose(now, {});
+}
+
+// Pending renewals are confirmed by whatever is committed next.
+void LeaseManager::propose(Point now, std::vector<LeaseCommand> commands)
+{
+    if (commands.empty()) commands.push_back({});
+    const uint64_t id = ++last_proposal_id_;
+    pending_proposals_[id] = {std::exchange(pending_renewals_, {}), commands};
+    last_proposal_ = now;
+    proposals_.push_back({id, std::move(commands)});
+}
+
+void LeaseManager::on_proposal_result(const LeaseTable& table, uint64_t proposal, bool committed)
+{
+    auto node = pending_proposals_.extract(proposal);
+    if (node.empty()) return;
+    const PendingProposal pending = std::move(node.mapped());
+    for (const LeaseCommand& command : pending.commands) pending_duties_.erase(command.duty);
+    if (!is_leader_ || !committed) return;
+    for (const PendingRenewal& renewal : pending.renewals) answer(renewal, table);
+    notify_grantees(pending.commands, table);
+    finish_transfers(pending.commands, table);
+}
+
+void LeaseManager::answer(const PendingRenewal& renewal, const LeaseTable& table)
+{
+    const LeaseRenewRequest& request = renewal.request;
+    LeaseRenewResponse response{term_, request.nonce, table.version(), false, {}};
+    response.full_table = request.table_version != table.version();
+    const MemberKey key = config_.members[renewal.from].key;
+    for (const auto& [duty, entry] : table.entries()) {
+        const bool own = entry.holder == key && entry.instance == request.instance;
+        if (response.full_table || own)
+            response.leases.push_back({duty, entry.holder, entry.instance, entry.epoch});
+    }
+    sends_.push_back({renewal.from, std::move(response)});
+}
+
+// Whoever was granted something hears of it at once, without a nonce: that renews nothing.
+void LeaseManager::notify_grantees(const std::vector<LeaseCommand>& commands, const LeaseTable& table)
+{
+    std::set<MemberIndex> notified;
+    for (const LeaseCommand& command : commands) {
+        if (command.what != LeaseCommand::grant) continue;
+        const auto entry = table.entry(command.duty);
+        const auto member = config_.member_of(command.holder);
+        const bool granted = entry.holder == command.holder && entry.instance == command.instance;
+        if (member && granted && notified.insert(*member).second) notify_grantee(*member, command, table);
+    }
+}
+
+void LeaseManager::notify_grantee(MemberIndex member, const LeaseCommand& grant, const LeaseTable& table)
+{
+    LeaseRenewResponse response{term_, 0, table.version(), false, {}};
+    for (const auto& [duty, entry] : table.entries())
+        if (entry.holder == grant.holder && entry.instance == grant.instance)
+            response.leases.push_back({duty, entry.holder, entry.instance, entry.epoch});
+    sends_.push_back({member, std::move(response)});
+}
+
+// ---- grants ----
+
+// Whether nobody can hold it any more, by whatever clock within the stated drift.
+bool LeaseManager::is_expired(Point now, const LeaseTable::Entry& lease) const
+{
+    const auto renewed = sessions_.last_renewal(lease.holder, lease.instance);
+    Point last = renewed ? std::max(elected_at_, *renewed) : elected_at_;
+    if (disabled_checks.wait_after_election && !renewed) last = elected_at_ - config_.lease.length;
+    const Span length = config_.lease.length * (disabled_checks.full_expiry ? disabled_expiry : 1);
+    return now - last > length;
+}
+
+void LeaseManager::assign_leases(Point now)
+{
+    std::vector<LeaseCommand> commands;
+    Loads loads = sessions_.loads(now, *table_);
+    for (const Duty& duty : config_.duties)
+        if (!pending_duties_.count(duty.name)) assign_lease(now, duty, loads, commands);
+    if (!commands.empty()) propose(now, std::move(commands));
+}
+
+void LeaseManager::assign_lease(Point now, const Duty& duty, Loads& loads,
+                                std::vector<LeaseCommand>& commands)
+{
+    const auto lease = table_->entry(duty.name);
+    // After an election, who is live shows within one renewal: the first to ask must not be granted
+    // everything.
+    const Span settling = config_.lease.length * (lease_timing::renewal_interval * settling_intervals);
+    const bool settled = now - elected_at_ > settling;
+    if (lease.holder ? !is_expired(now, lease) : !settled) return;
+    if (lease.holder) release_expired(duty, lease, loads, commands);
+    if (duty.kind == DutyKind::drain) return grant_permit(now, duty, commands);
+    const auto target = live_transfer_target(now, duty.name);
+    const auto to = target ? target : choose(duty.name, loads);
+    if (!to) return;
+    ++loads[*to];
+    grant(commands, duty.name, *to, transfers_.count(duty.name) ? "handed over" : "nobody held it");
+}
+
+void LeaseManager::release_expired(const Duty& duty, const LeaseTable::Entry& lease, Loads& loads,
+                                   std::vector<LeaseCommand>& commands)
+{
+    commands.push_back({LeaseCommand::release, duty.name, lease.epoch, 0, 0, "its lease ran out", false});
+    pending_duties_.insert(duty.name);
+    // It must not be granted again to the member that it is taken from.
+    if (const auto member = config_.member_of(lease.holder)) loads.erase(*member);
+}
+
+// Permits go to the members that have asked, in the order of asking; one for each member.
+void LeaseManager::grant_permit(Point now, const Duty& duty, std::vector<LeaseCommand>& commands)
+{
+    const std::string family = family_of(duty.name);
+    std::optional<MemberIndex> first;
+    Point first_requested;
+    for (const auto& [member, session] : sessions_.all()) {
+        const auto requested = session.requested.find(family);
+        if (!sessions_.is_live(now, member) || requested == session.requested.end()) continue;
+        if (has_permit(member, session, family, commands)) continue;
+        if (first && requested->second >= first_requested) continue;
+        first = member;
+        first_requested = requested->second;
+    }
+    if (first) grant(commands, duty.name, *first, "its turn");
+}
+
+// Also where it is granted by a proposal that is not committed yet.
+bool LeaseManager::has_permit(MemberIndex member, const LeaseSession& session, const std::string& family,
+                              const std::vector<LeaseCommand>& commands) const
+{
+    const MemberKey key = config_.members[member].key;
+    const auto is_grant_to_it = [&](const LeaseCommand& command) {
+        return family_of(command.duty) == family && command.holder == key;
+    };
+    for (const auto& [duty, entry] : table_->entries())
+        if (family_of(duty) == family && entry.holder == key && entry.instance == session.instance)
+            return true;
+    if (std::any_of(commands.begin(), commands.end(), is_grant_to_it)) return true;
+    return std::any_of(pending_proposals_.begin(), pending_proposals_.end(), [&](const auto& pending) {
+        const auto& proposed = pending.second.commands;
+        return std::any_of(proposed.begin(), proposed.end(), is_grant_to_it);
+    });
+}
+
+// Of the members that hold fewer than an even share, the one that ranks highest for this duty.
+std::optional<MemberIndex> LeaseManager::choose(const std::string& duty, const Loads& loads) const
+{
+    if (loads.empty()) return {};
+    const auto spread =
+        static_cast<size_t>(std::count_if(config_.duties.begin(), config_.duties.end(),
+                                          [](const Duty& each) { return each.kind != DutyKind::drain; }));
+    const size_t even_share = (spread + loads.size() - 1) / loads.size();
+    std::optional<MemberIndex> best;
+    for (const auto& [member, load] : loads) {
+        if (load >= even_share) continue;
+        const bool better = !best || lease_rank(duty, config_.members[member].key) >
+                                         lease_rank(duty, config_.members[*best].key);
+        if (better) best = member;
+    }
+    return best;
+}
+
+void LeaseManager::grant(std::vector<LeaseCommand>& commands, const std::string& duty, MemberIndex to,
+                         const std::string& reason)
+{
+    const auto floor = epoch_floors_.find(duty);
+    const auto transfer = transfers_.find(duty);
+    LeaseCommand command;
+    command.what = LeaseCommand::grant;
+    command.duty = duty;
+    command.epoch = floor == epoch_floors_.end() ? 0 : floor->second;
+    command.holder = config_.members[to].key;
+    command.instance = sessions_.instance_of(to);
+    command.why = reason;
+    command.placed = transfer != transfers_.end() && transfer->second.origin && transfer->second.to == to;
+    commands.push_back(std::move(command));
+    pending_duties_.insert(duty);
+}
+
+void LeaseManager::on_release(Point now, MemberIndex from, const LeaseRelease& release)
+{
+    if (is_leader_) take_back(now, from, release.instance, {release.duty, release.epoch});
+}
+
+// The holder says that it does not hold a lease any more. The next grant is in the same entry of the log, so
+// that nobody holds the duty for as short as possible.
+void LeaseManager::take_back(Point now, MemberIndex from, InstanceId instance, const SeenEpoch& lease)
+{
+    if (!table_) return;
+    const auto entry = table_->entry(lease.duty);
+    const bool is_holder = entry.holder == config_.members[from].key && entry.instance == instance;
+    if (!is_holder || entry.epoch != lease.epoch || pending_duties_.count(lease.duty)) return;
+    std::vector<LeaseCommand> commands{
+        {LeaseCommand::release, lease.duty, lease.epoch, 0, 0, "released", false}};
+    pending_duties_.insert(lease.duty);
+    const auto duty = config_.duty_of(lease.duty);
+    if (duty && config_.duties[*duty].kind != DutyKind::drain)
+        if (const auto to = next_holder(now, lease.duty, from))
+            grant(commands, lease.duty, *to, transfers_.count(lease.duty) ? "handed over" : "released");
+    propose(now, std::move(commands));
+}
+
+std::optional<MemberIndex> LeaseManager::next_holder(Point now, const std::string& duty,
+                                                     MemberIndex last_holder) const
+{
+    if (const auto target = live_transfer_target(now, duty)) return target;
+    Loads loads = sessions_.loads(now, *table_);
+    loads.erase(last_holder);
+    if (const auto chosen = choose(duty, loads)) return chosen;
+    if (loads.empty()) return {};
+    return loads.begin()->first;
+}
+
+}  // namespace firtide::fleet
--- a/src/fleet/lease/lease_table.cpp
+++ b/src/fleet/lease/lease_table.cpp
@@ -2,12 +2,15 @@
 
 #include <algorithm>
 
+#include "src/fleet/transport/pack.h"
+
 namespace firtide::fleet
 {
 namespace
 {
 
-struct Line {
+// The stored form.
+struct StoredEntry {
     std::string duty;
     MemberKey holder = 0;
     InstanceId instance = 0;
@@ -16,63 +19,67 @@
     bool placed = false;
     MSGPACK_DEFINE(duty, holder, instance, epoch, why, placed)
 };
-struct All {
+struct StoredTable {
     uint64_t version = 0;
-    std::vector<Line> lines;
-    MSGPACK_DEFINE(version, lines)
+    std::vector<StoredEntry> entries;
+    MSGPACK_DEFINE(version, entries)
 };
 
 }  // namespace
 
-std::vector<std::string> LeaseTable::apply(const std::vector<LeaseCommand>& commands)
+void LeaseTable::apply(const std::vector<LeaseCommand>& commands)
+{
+    for (const LeaseCommand& command : commands) {
+        if (command.what == LeaseCommand::confirm) continue;
+        if (apply(command, entries_[command.duty])) ++version_;
+    }
+}
+
+bool LeaseTable::apply(const LeaseCommand& command, Entry& entry)
 {
-    std::vector<std::string> changed;
-    for (const LeaseCommand& c : commands) {
-        if (c.what == LeaseCommand::confirm) continue;
-        Entry& e = entries_[c.duty];
-        if (c.what == LeaseCommand::release) {
-            // Guards against a release that comes late: the duty is another's by now.
-            if (!e.holder || e.epoch != c.epoch) continue;
-            e.holder = 0, e.instance = 0, e.why = c.why, e.placed = false;
-        } else {
-            if (e.holder || !c.holder) continue;
-            e = {c.holder, c.instance, std::max(e.epoch, c.epoch) + 1, c.why, c.placed};
-        }
-        ++version_;
-        changed.push_back(c.duty);
+    if (command.what == LeaseCommand::release) {
+        // A release that comes late must not take the duty from its next holder.
+        if (!entry.holder || entry.epoch != command.epoch) return false;
+        entry = {0, 0, entry.epoch, command.why, false};
+        return true;
     }
-    return changed;
+    if (entry.holder || !command.holder) return false;
+    const Epoch epoch = std::max(entry.epoch, command.epoch) + 1;
+    entry = {command.holder, command.instance, epoch, command.why, command.placed};
+    return true;
 }
 
-LeaseTable::Entry LeaseTable::of(const std::string& duty) const
+LeaseTable::Entry LeaseTable::entry(const std::string& duty) const
 {
-    const auto at = entries_.find(duty);
-    return at == entries_.end() ? Entry{} : at->second;
+    const auto found = entries_.find(duty);
+    return found == entries_.end() ? Entry{} : found->second;
 }
 
-void LeaseTable::take(const std::vector<LeaseRecord>& rows, uint64_t version)
+void LeaseTable::assign(const std::vector<LeaseRecord>& leases, uint64_t version)
 {
     entries_.clear();
-    for (const LeaseRecord& r : rows) entries_[r.duty] = {r.holder, r.instance, r.epoch, {}, false};
+    for (const LeaseRecord& lease : leases)
+        entries_[lease.duty] = {lease.holder, lease.instance, lease.epoch, {}, false};
     version_ = version;
 }
 
 std::string LeaseTable::encode() const
 {
-    All all{version_, {}};
-    for (const auto& [duty, e] : entries_)
-        all.lines.push_back({duty, e.holder, e.instance, e.epoch, e.why, e.placed});
-    return pack(all);
+    StoredTable stored{version_, {}};
+    for (const auto& [duty, entry] : entries_)
+        stored.entries.push_back({duty, entry.holder, entry.instance, entry.epoch, entry.why, entry.placed});
+    return pack(stored);
 }
 
 bool LeaseTable::decode(std::string_view bytes)
 {
-    auto all = unpack<All>(bytes);
-    if (!all) return false;
+    auto stored = unpack<StoredTable>(bytes);
+    if (!stored) return false;
     entries_.clear();
-    version_ = all->version;
-    for (Line& l : all->lines)
-        entries_[std::move(l.duty)] = {l.holder, l.instance, l.epoch, std::move(l.why), l.placed};
+    version_ = stored->version;
+    for (StoredEntry& entry : stored->entries)
+        entries_[std::move(entry.duty)] = {entry.holder, entry.instance, entry.epoch, std::move(entry.why),
+                                           entry.placed};
     return true;
 }
 
--- a/src/fleet/membership/membership.h
+++ b/src/fleet/membership/membership.h
@@ -12,15 +12,11 @@
 #include <vector>
 
 #include "src/fleet/config.h"
+#include "src/fleet/transport/outgoing.h"
 
 namespace firtide::fleet
 {
 
-struct Send {
-    MemberIndex to = 0;
-    Message message;
-};
-
 struct HealthChange {
     MemberIndex member = 0;
     Health health = Health::gone;
--- a/src/fleet/membership/roster.h
+++ b/src/fleet/membership/roster.h
@@ -15,8 +15,6 @@
 namespace firtide::fleet
 {
 
-using MemberIndex = uint32_t;  // place in the fleet file
-
 struct MemberConfig {
     std::string id;
     MemberKey key = 0;    // key_of(id); set by Roster::push_back
--- a/src/fleet/transport/messages.h
+++ b/src/fleet/transport/messages.h
@@ -9,18 +9,11 @@
 #include <vector>
 
 #include "pack.h"
-#include "src/fleet/consensus/store.h"
+#include "src/fleet/ids.h"
 
 namespace firtide::fleet
 {
 
-using MemberKey = uint64_t;   // of a member's id, the same in every process
-using InstanceId = uint64_t;  // one run of a process, drawn at its start
-using Epoch = uint64_t;       // of a duty; only grows
-using Incarnation = uint64_t;
-
-MemberKey key_of(std::string_view id);
-
 enum class Health : uint8_t { alive, suspect, gone };  // at one incarnation, later ones overrule earlier ones
 enum class VoterStage : uint8_t { empty, checking, voting, failed, refused };
 const char* text_of(Health health);
@@ -96,43 +89,50 @@
     std::vector<std::pair<std::string, DiskId>> voters;
     MSGPACK_DEFINE(voters)
 };
+// ---- leases ----
+
+// An epoch of a duty that a member knows of.
 struct SeenEpoch {
     std::string duty;
     Epoch epoch = 0;
     MSGPACK_DEFINE(duty, epoch)
 };
+// A member renews its lease on all that it holds.
 struct LeaseRenewRequest {
     InstanceId instance = 0;
-    uint64_t nonce = 0;
-    uint64_t table = 0;              // version of the table that its sender has
-    std::vector<std::string> wants;  // duties, or families of them, asked for
-    std::vector<SeenEpoch> seen;     // higher than that table has them
-    bool leaving = false;            // wants nothing any more
-    uint64_t heard = 0;              // the newest of its askings that it had an answer to
-    std::vector<SeenEpoch> done;     // granted to it, and not held any more
-    MSGPACK_DEFINE(instance, nonce, table, wants, seen, leaving, heard, done)
+    uint64_t nonce = 0;                  // grows with each request of this instance
+    uint64_t table_version = 0;          // of the lease table that the member has
+    std::vector<std::string> requested;  // families of duties that it asks for
+    std::vector<SeenEpoch> seen_epochs;  // higher than that table has them
+    bool departing = false;              // it wants nothing any more
+    uint64_t last_answered_nonce = 0;    // the newest request that it has an answer to
+    std::vector<SeenEpoch> given_up;     // leases that were granted to it and that it does not hold any more
+    MSGPACK_DEFINE(instance, nonce, table_version, requested, seen_epochs, departing, last_answered_nonce,
+                   given_up)
 };
 struct LeaseRecord {
     std::string duty;
-    MemberKey holder = 0;  // zero: none
+    MemberKey holder = 0;  // zero: nobody
     InstanceId instance = 0;
     Epoch epoch = 0;
     MSGPACK_DEFINE(duty, holder, instance, epoch)
 };
-// Confirmed by a majority. Without a nonce it renews nothing.
+// The leader's answer, confirmed by a majority. With nonce zero it is a notification, which renews nothing.
 struct LeaseRenewResponse {
     Term term = 0;
-    uint64_t nonce = 0;
-    uint64_t table = 0;
-    bool whole = false;  // rows are all there are; else only those of the receiver
-    std::vector<LeaseRecord> rows;
-    MSGPACK_DEFINE(term, nonce, table, whole, rows)
-};
-struct LeaderRedirect {  // to the leader; zero: none is known
-    MemberKey leader = 0;
+    uint64_t nonce = 0;  // of the request
+    uint64_t table_version = 0;
+    bool full_table = false;  // the leases are the whole table; otherwise the receiver's own alone
+    std::vector<LeaseRecord> leases;
+    MSGPACK_DEFINE(term, nonce, table_version, full_table, leases)
+};
+// The answer of a member that does not lead.
+struct LeaderRedirect {
+    MemberKey leader = 0;  // zero: it knows of none
     Term term = 0;
     MSGPACK_DEFINE(leader, term)
 };
+// The leader asks the holder to release a lease.
 struct LeaseRevoke {
     std::string duty;
     Epoch epoch = 0;
@@ -144,6 +144,7 @@
     InstanceId instance = 0;
     MSGPACK_DEFINE(duty, epoch, instance)
 };
+
 // Asked of the leader for an operator at the sender's management address.
 struct AdminCommand {
     uint64_t number = 0;
--- a/tests/compatibility.cpp
+++ b/tests/compatibility.cpp
@@ -69,7 +69,7 @@
     ASSERT_TRUE(table.decode(store.kept().snapshot.bytes));
     EXPECT_EQ(table.version(), 511u);
     ASSERT_EQ(table.entries().size(), 1u);
-    EXPECT_EQ(table.of("reports"), (LeaseTable::Entry{key_of("m-2"), 355, 256, "handed over", true}));
+    EXPECT_EQ(table.entry("reports"), (LeaseTable::Entry{key_of("m-2"), 355, 256, "handed over", true}));
     EXPECT_EQ(key_of("m-2"), 11121217268466692007u);
 }
 
@@ -124,8 +124,8 @@
     EXPECT_EQ(status->standing.seats, (std::vector<VoterConfig>{{12941553096165680594u, "m-1", true}}));
     ASSERT_TRUE(table);
     EXPECT_EQ(table->version(), 600u);
-    EXPECT_EQ(table->of("reports"), (LeaseTable::Entry{key_of("m-2"), 399, 300, "nobody held it", false}));
-    EXPECT_EQ(table->of("exports"), (LeaseTable::Entry{key_of("m-2"), 77, 42, "its turn", false}));
+    EXPECT_EQ(table->entry("reports"), (LeaseTable::Entry{key_of("m-2"), 399, 300, "nobody held it", false}));
+    EXPECT_EQ(table->entry("exports"), (LeaseTable::Entry{key_of("m-2"), 77, 42, "its turn", false}));
 }
 
 TEST_F(StoredVoter, HasRecordsOfEveryKind)
--- a/tests/fleet_simulation.cpp
+++ b/tests/fleet_simulation.cpp
@@ -45,7 +45,7 @@
     size_t broken = 0;
     for (uint64_t seed = 1; seed <= 10; ++seed) {
         SimulatedCluster::Options o;
-        o.lease_manager = [confirm](LeaseManager& g) { g.disabled_checks.confirm = !confirm; };
+        o.lease_manager = [confirm](LeaseManager& g) { g.disabled_checks.confirm_by_majority = !confirm; };
         SimulatedCluster w(o, seed);
         for (size_t i = 0; i < w.size(); ++i) w.start(i);
         w.run(seconds(5));
@@ -79,12 +79,12 @@
     must_hold("three members, one duty, twice the faults", one);
 
     RandomizedRun w = five;
-    w.options.lease_manager = [](LeaseManager& g) { g.disabled_checks.wait_in_office = true; };
+    w.options.lease_manager = [](LeaseManager& g) { g.disabled_checks.wait_after_election = true; };
     must_break("a new leader that does not wait", w, 40, "two hold");
     std::printf("renewals without a majority: %s\n", leader_asleep(false) ? "found" : "NOT FOUND");
     std::printf("the same with it: %s\n", leader_asleep(true) ? "BROKEN" : "nothing broken");
     w = five;
-    w.options.lease_manager = [](LeaseManager& g) { g.disabled_checks.expiry = true; };
+    w.options.lease_manager = [](LeaseManager& g) { g.disabled_checks.full_expiry = true; };
     must_break("grants before the lease is over", w, 10, "two hold");
     w = five;
     w.options.gate = false;
