--- a/fault_injection/client_call.cpp
+++ b/fault_injection/client_call.cpp
@@ -5,13 +5,12 @@
 namespace firtide::fault_injection
 {
 
-using net::to_timeval;
 
 namespace
 {
 
 struct Call {
-    net::Stream stream;
+    Stream stream;
     std::string got;
     std::function<void(std::string)> then;
 
@@ -33,7 +32,7 @@
           std::function<void(std::string)> then)
 {
     auto* c =
-        new Call{net::Stream(bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE)), {}, std::move(then)};
+        new Call{Stream(bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE)), {}, std::move(then)};
     bufferevent_setcb(c->stream.get(), nullptr, nullptr, Call::ended, c);
     const auto most = to_timeval(wait);
     bufferevent_set_timeouts(c->stream.get(), &most, &most);
--- a/fault_injection/fault_proxy.cpp
+++ b/fault_injection/fault_proxy.cpp
@@ -12,8 +12,6 @@
 namespace firtide::fault_injection
 {
 
-using net::monotonic_now;
-using net::to_timeval;
 
 sockaddr_in loopback(uint16_t port)
 {
@@ -27,12 +25,12 @@
 struct FaultProxy::Pipe {
     FaultProxy* owner = nullptr;
     Place self;
-    net::Stream from, to;
+    Stream from, to;
     std::deque<Chunk> chunks;
     Point free;           // when the last bytes at the stated rate have passed
     bool spoilt = false;  // something of it never arrived: it ends when the road is whole again
     bool ending = false;  // its sender has ended it
-    net::Timer timer;
+    Timer timer;
 };
 
 FaultProxy::FaultProxy(event_base* base, uint16_t to)
--- a/fault_injection/scenario.cpp
+++ b/fault_injection/scenario.cpp
@@ -87,19 +87,19 @@
         Point from;
         uint64_t sent = 0;
         size_t at = 0;
-        net::Timer timer;
+        Timer timer;
     };
 
     void flood()
     {
         flood_ = std::make_unique<Flood>();
-        flood_->player = this, flood_->rate = number(), flood_->from = net::monotonic_now();
+        flood_->player = this, flood_->rate = number(), flood_->from = monotonic_now();
         if (more()) flood_->tenant = next();
         flood_->timer.reset(event_new(
             rig_.base(), -1, EV_PERSIST,
             [](evutil_socket_t, short, void* self) {
                 auto& f = *static_cast<Flood*>(self);
-                const auto due = static_cast<uint64_t>(f.rate * (net::monotonic_now() - f.from).seconds());
+                const auto due = static_cast<uint64_t>(f.rate * (monotonic_now() - f.from).seconds());
                 TestCluster& fault_injection = f.player->rig_;
                 for (size_t tries = 0; f.sent < due && tries < due - f.sent + fault_injection.size();
                      ++tries) {
@@ -110,7 +110,7 @@
                 }
             },
             flood_.get()));
-        const auto every = net::to_timeval(seconds(0.005));
+        const auto every = to_timeval(seconds(0.005));
         event_add(flood_->timer.get(), &every);
     }
 
@@ -137,7 +137,7 @@
     // the mean.
     void expect_reached(const std::string& name, Span most, double least, double greatest, double mean)
     {
-        const Point from = net::monotonic_now();
+        const Point from = monotonic_now();
         rig_.run(most);
         std::vector<Point> all;
         for (size_t i = 0; i < scenario_.plan.upstreams; ++i) {
--- a/fault_injection/standins.cpp
+++ b/fault_injection/standins.cpp
@@ -12,7 +12,6 @@
 namespace firtide::fault_injection
 {
 
-using net::to_timeval;
 
 constexpr Span probe_takes = seconds(0.03), watch_lasts = seconds(2);
 constexpr size_t most_reached = 20000;
@@ -88,7 +87,7 @@
     const std::string path = evhttp_request_get_uri(request);
     if (!path.starts_with("/-/")) {
         ++served_;
-        reached_.push_back(net::monotonic_now());
+        reached_.push_back(monotonic_now());
         if (reached_.size() > most_reached) reached_.pop_front();
         const char* id = evhttp_find_header(evhttp_request_get_input_headers(request), "Req-Id");
         if (!wrong_to_.empty() && id && std::string_view(id).starts_with(wrong_to_))
--- a/fault_injection/standins.h
+++ b/fault_injection/standins.h
@@ -24,7 +24,7 @@
     uint16_t port() const { return port_; }
 
   private:
-    std::unique_ptr<evhttp, net::Freed<evhttp_free>> http_;
+    std::unique_ptr<evhttp, Freed<evhttp_free>> http_;
     std::function<void(evhttp_request*)> serve_;
     uint16_t port_ = 0;
 };
--- a/fault_injection/test_cluster.cpp
+++ b/fault_injection/test_cluster.cpp
@@ -23,8 +23,6 @@
 {
 
 namespace fs = std::filesystem;
-using net::monotonic_now;
-using net::to_timeval;
 
 namespace
 {
@@ -45,7 +43,7 @@
     pid_t pid = 0;
     std::optional<int> status;
     std::optional<Point> stopped;
-    net::Stream log;
+    Stream log;
     std::string text;
     Control* control = nullptr;
 };
@@ -55,7 +53,7 @@
 {
     for (;;) {
         const uint16_t port = next_port_++;
-        const net::Descriptor socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
+        const Descriptor socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
         auto at = loopback(port);
         if (bind(socket.fd(), reinterpret_cast<sockaddr*>(&at), sizeof at) == 0) return port;
     }
@@ -94,7 +92,7 @@
         p->door_port = free_port();
         if (plan_.shim) {
             const auto path = folder_ + "/control" + std::to_string(i);
-            const net::Descriptor file(::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600));
+            const Descriptor file(::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600));
             if (ftruncate(file.fd(), sizeof(Control)) != 0) throw std::runtime_error("no control file");
             void* at = mmap(nullptr, sizeof(Control), PROT_READ | PROT_WRITE, MAP_SHARED, file.fd(), 0);
             if (at == MAP_FAILED) throw std::runtime_error("no control file");
--- a/fault_injection/test_cluster.h
+++ b/fault_injection/test_cluster.h
@@ -102,7 +102,7 @@
     uint16_t next_port_;
     uint64_t later_ = 0;
     std::string folder_;
-    net::Base base_;
+    Base base_;
     std::unique_ptr<Receiver> receiver_;
     std::unique_ptr<DiscoveryStandIn> discovery_;
     std::vector<std::unique_ptr<Upstream>> upstreams_;
--- a/scale/child_process.cpp
+++ b/scale/child_process.cpp
@@ -53,7 +53,7 @@
 
 ChildProcess ChildProcess::execute(const std::vector<std::string>& arguments, const std::string& log)
 {
-    const net::Descriptor file(open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600));
+    const Descriptor file(open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600));
     return execute(arguments, ChildStreams{-1, -1, file.fd()});
 }
 
--- a/scale/cluster.cpp
+++ b/scale/cluster.cpp
@@ -57,7 +57,7 @@
 {
     int ends[2];
     if (pipe2(ends, O_CLOEXEC) != 0) return false;
-    const net::Descriptor writes(ends[1]);
+    const Descriptor writes(ends[1]);
     Real& real = real_[member];
     real.log = std::make_unique<LineStream>(
         base_, ends[0], [this, member](std::string_view line) { heard_log(member, line); });
@@ -72,12 +72,12 @@
 {
     int ends[2];
     if (socketpair(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0, ends) != 0) return false;
-    const net::Descriptor child_end(ends[1]);
+    const Descriptor child_end(ends[1]);
     Hollow& hollow = hollow_[group];
     hollow.started = false;
     hollow.line = std::make_unique<LineStream>(base_, ends[0],
                                                [this, group](std::string_view line) { heard(group, line); });
-    const net::Descriptor log(
+    const Descriptor log(
         ::open(layout_.log_path(group).c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600));
     hollow.process = ChildProcess::execute({own_program_, "hollow", layout_.spec_path(group)},
                                            ChildStreams{child_end.fd(), log.fd(), log.fd()});
--- a/scale/hollow_process.cpp
+++ b/scale/hollow_process.cpp
@@ -58,7 +58,7 @@
     {
         if (!host_) return;
         host_->tell(fleet::ShutdownRequested{});
-        const auto wait = net::to_timeval(leaves_within);
+        const auto wait = to_timeval(leaves_within);
         event_add(leaving_.get(), &wait);
     }
 
@@ -119,7 +119,7 @@
     fleet::TrafficCounts earlier_;  // of its lives before this one
     std::optional<fleet::Host> host_;
     std::optional<net::Discovery> discovery_;
-    net::Timer leaving_;
+    Timer leaving_;
 };
 
 class HollowProcess
@@ -154,8 +154,8 @@
             base_.get(), -1, EV_PERSIST,
             [](evutil_socket_t, short, void* self) { static_cast<HollowProcess*>(self)->start_next(); },
             this));
-        const auto every = net::to_timeval(start_every_);
-        start_due_ = net::monotonic_now() + start_every_;
+        const auto every = to_timeval(start_every_);
+        start_due_ = monotonic_now() + start_every_;
         event_add(starting_.get(), &every);
         event_base_dispatch(base_.get());
     }
@@ -164,7 +164,7 @@
     // Nobody is started while this process falls behind.
     void start_next()
     {
-        const Point now = net::monotonic_now();
+        const Point now = monotonic_now();
         const bool late = now - start_due_ > longest_delay;
         start_due_ = now + start_every_;
         if (late) return;
@@ -209,10 +209,10 @@
     const uint32_t first_;
     const Span start_every_;
     const net::Config config_;
-    net::Base base_;
+    Base base_;
     LineStream controller_;
     std::vector<std::unique_ptr<HollowMember>> members_;
-    net::Timer starting_;
+    Timer starting_;
     Point start_due_;
     size_t started_ = 0;  // of the members
 };
@@ -233,7 +233,7 @@
         return 2;
     }
     try {
-        net::start_log("hollow", "error");
+        start_log("hollow", "error");
         HollowProcess(*spec).run();
     } catch (const std::exception& e) {
         std::fprintf(stderr, "firtide-scale: %s\n", e.what());
--- a/scale/layout.cpp
+++ b/scale/layout.cpp
@@ -53,7 +53,7 @@
 std::optional<PortClaim> PortClaim::claim()
 {
     for (uint16_t port = first_port; port < last_port; port = static_cast<uint16_t>(port + ports_each)) {
-        net::Descriptor socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
+        Descriptor socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
         const auto at = socket_address(claimed_host, port);
         if (bind(socket.fd(), reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0)
             return PortClaim(std::move(socket), port);
--- a/scale/layout.h
+++ b/scale/layout.h
@@ -22,9 +22,9 @@
     uint16_t port() const { return port_; }
 
   private:
-    PortClaim(net::Descriptor socket, uint16_t port) : socket_(std::move(socket)), port_(port) {}
+    PortClaim(Descriptor socket, uint16_t port) : socket_(std::move(socket)), port_(port) {}
 
-    net::Descriptor socket_;
+    Descriptor socket_;
     uint16_t port_;
 };
 
--- a/scale/load_generator.cpp
+++ b/scale/load_generator.cpp
@@ -37,16 +37,16 @@
 // A connection to one of the ports, with at most one call at a time.
 struct Connection {
     Connection(int fd, size_t port_index, const ServiceConfig& setup)
-        : socket(fd), port(port_index), reader(std::make_unique<net::ResponseReader>(setup))
+        : socket(fd), port(port_index), reader(std::make_unique<ResponseReader>(setup))
     {
     }
 
-    net::Descriptor socket;
+    Descriptor socket;
     size_t port;
     std::list<Connection>::iterator self;
     std::optional<Call> call;  // none: idle
     std::string unsent;
-    std::unique_ptr<net::ResponseReader> reader;
+    std::unique_ptr<ResponseReader> reader;
 };
 
 enum class ReadResult { nothing, answered, ended };
@@ -167,8 +167,8 @@
             if (size < 0 && (errno == EAGAIN || errno == EINTR)) return ReadResult::nothing;
             if (size <= 0 || !connection.call) return ReadResult::ended;
             const auto state = connection.reader->take({bytes.data(), static_cast<size_t>(size)});
-            if (state == net::MessageReader::State::malformed) return ReadResult::ended;
-            if (state == net::MessageReader::State::whole) return ReadResult::answered;
+            if (state == MessageReader::State::malformed) return ReadResult::ended;
+            if (state == MessageReader::State::whole) return ReadResult::answered;
         }
     }
 
@@ -181,7 +181,7 @@
         else
             loop_.failed(status);
         if (!connection.reader->keeps_connection()) return close(connection);
-        connection.reader = std::make_unique<net::ResponseReader>(setup_);
+        connection.reader = std::make_unique<ResponseReader>(setup_);
         if (waiting_.empty()) {
             idle_[connection.port].push_back(&connection);
             return;
@@ -217,7 +217,7 @@
     std::list<Connection> connections_;
     std::vector<std::vector<Connection*>> idle_;  // of each port
     std::deque<Call> waiting_;                    // for a connection
-    net::Descriptor poll_;
+    Descriptor poll_;
 };
 
 }  // namespace
--- a/scale/run.cpp
+++ b/scale/run.cpp
@@ -24,7 +24,6 @@
 {
 
 using fleet::fleet_now;
-using net::monotonic_now;
 
 constexpr Span poll_every = seconds(0.02), look_every = seconds(0.5), usage_every = seconds(1);
 constexpr Span whole_within = seconds(180);   // from the start: the longest warm-up
@@ -124,8 +123,8 @@
     const Options options_;
     const PortClaim claim_;
     TemporaryFolder folder_;
-    net::Base base_;
-    std::vector<net::Timer> signals_;
+    Base base_;
+    std::vector<Timer> signals_;
     DiscoveryStandIn discovery_;
     const Layout layout_;
     ChangeTracker tracker_;
@@ -172,7 +171,7 @@
 
 bool Run::run_for(Span span)
 {
-    const auto most = net::to_timeval(span);
+    const auto most = to_timeval(span);
     if (!signal_) {
         event_base_loopexit(base_.get(), &most);
         event_base_dispatch(base_.get());
--- a/scale/socket_segments.cpp
+++ b/scale/socket_segments.cpp
@@ -64,7 +64,7 @@
 
 std::optional<SocketSegments> segments_at(uint16_t port)
 {
-    const net::Descriptor socket(::socket(AF_NETLINK, SOCK_RAW | SOCK_CLOEXEC, NETLINK_SOCK_DIAG));
+    const Descriptor socket(::socket(AF_NETLINK, SOCK_RAW | SOCK_CLOEXEC, NETLINK_SOCK_DIAG));
     if (socket.fd() < 0 || !ask(socket.fd())) return {};
     SocketSegments found;
     std::vector<char> bytes(answer_bytes);
--- a/scale/stand_ins.cpp
+++ b/scale/stand_ins.cpp
@@ -32,11 +32,11 @@
     {
         int ends[2];
         if (pipe2(ends, O_CLOEXEC) != 0) throw std::runtime_error("no pipe");
-        reader = net::Descriptor(ends[0]);
-        writer = net::Descriptor(ends[1]);
+        reader = Descriptor(ends[0]);
+        writer = Descriptor(ends[1]);
     }
 
-    net::Descriptor reader, writer;
+    Descriptor reader, writer;
 };
 
 void tell_ports(const Pipe& pipe, const Ports& ports)
@@ -51,7 +51,7 @@
 // Waits until the child has told them.
 Ports read_ports(Pipe& pipe)
 {
-    pipe.writer = net::Descriptor();
+    pipe.writer = Descriptor();
     std::string line;
     char byte = 0;
     while (read(pipe.reader.fd(), &byte, 1) == 1 && byte != '\n') line += byte;
@@ -62,11 +62,11 @@
     return ports;
 }
 
-net::Base precise_base()
+Base precise_base()
 {
     event_config* config = event_config_new();
     event_config_set_flag(config, EVENT_BASE_FLAG_PRECISE_TIMER);
-    net::Base base(event_base_new_with_config(config));
+    Base base(event_base_new_with_config(config));
     event_config_free(config);
     return base;
 }
@@ -138,7 +138,7 @@
 void serve_discovery(const std::vector<Ports>& lists, double changes_per_second, uint64_t seed,
                      std::atomic<uint64_t>& changes, const Pipe& pipe)
 {
-    const net::Base base(event_base_new());
+    const Base base(event_base_new());
     std::vector<std::unique_ptr<fault_injection::DiscoveryStandIn>> servers;
     Ports ports;
     for (const auto& list : lists) {
--- a/scale/test_bed.cpp
+++ b/scale/test_bed.cpp
@@ -44,7 +44,7 @@
     return address;
 }
 
-net::Descriptor stream_socket() { return net::Descriptor(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)); }
+Descriptor stream_socket() { return Descriptor(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)); }
 
 std::string endpoint(uint16_t port) { return "127.0.0.1:" + std::to_string(port); }
 
--- a/simulation/main.cpp
+++ b/simulation/main.cpp
@@ -36,7 +36,8 @@
             o.lease_manager = [](LeaseManager& g) { g.disabled_checks.wait_after_election = true; };
         if (without == "majority")
             o.lease_manager = [](LeaseManager& g) { g.disabled_checks.confirm_by_majority = true; };
-        if (without == "expiry") o.lease_manager = [](LeaseManager& g) { g.disabled_checks.full_expiry = true; };
+        if (without == "expiry")
+            o.lease_manager = [](LeaseManager& g) { g.disabled_checks.full_expiry = true; };
         if (without == "gate") o.gate = false;
         if (without == "fence") o.fences = false;
     }
--- a/simulation/service_simulation.cpp
+++ b/simulation/service_simulation.cpp
@@ -172,7 +172,7 @@
         const net::RequestId caller = n.next_caller++;
         n.asked[caller] = cluster_.now();
         ++count.asked;
-        net::Request request{"GET", "/op", "", 0, 0, options_.client_timeout, {}, ""};
+        Request request{"GET", "/op", "", 0, 0, options_.client_timeout, {}, ""};
         request.id = std::to_string(caller);
         tell(b, net::RequestReceived{caller, std::move(request)});
         ask(b);
@@ -211,7 +211,7 @@
                 if (whole) return tell(b, net::UpstreamConnected{id});
                 nodes_[b]->attempts.erase(id);
                 tell(b, net::AttemptFailed{
-                            id, {net::AttemptProgress::not_connected, net::FailureCause::no_answer_in_time}});
+                            id, {AttemptProgress::not_connected, FailureCause::no_answer_in_time}});
             });
             cluster_.schedule(d->limit, b, [this, b, id = d->attempt] {
                 const auto open = nodes_[b]->attempts.find(id);
@@ -219,7 +219,7 @@
                 if (open->second.job) servers_[open->second.upstream]->called_off.insert(*open->second.job);
                 nodes_[b]->attempts.erase(open);
                 tell(b, net::AttemptFailed{
-                            id, {net::AttemptProgress::written, net::FailureCause::no_answer_in_time}});
+                            id, {AttemptProgress::written, FailureCause::no_answer_in_time}});
             });
         } else if (auto* w = std::get_if<net::WriteUpstream>(&e)) {
             const auto at = n.attempts.find(w->attempt);
@@ -285,7 +285,7 @@
     judge_cold(u);
     if (up.busy < slots_now(up)) return begin(u, job);
     if (up.waiting.size() < up.server.queue) return up.waiting.push_back(job);
-    net::Response declined;
+    Response declined;
     declined.status = 503, declined.declined = true;
     declined.report.queue = static_cast<double>(up.waiting.size());
     answer(job, std::move(declined));
@@ -308,7 +308,7 @@
                                  [this, u, job, life] { end(u, job, life); });
     --up.busy;
     if (up.called_off.erase(job.number) == 0) {
-        net::Response well;
+        Response well;
         well.status = 200;
         well.report.queue = static_cast<double>(up.waiting.size());
         answer(job, std::move(well));
@@ -320,7 +320,7 @@
     }
 }
 
-void ServiceSimulation::answer(const Job& job, net::Response response)
+void ServiceSimulation::answer(const Job& job, Response response)
 {
     cluster_.schedule(one_way, SIZE_MAX, [this, job, response = std::move(response)]() mutable {
         Node& n = *nodes_[job.node];
@@ -349,7 +349,7 @@
         for (const net::AttemptId id : broken) {
             nodes_[b]->attempts.erase(id);
             cluster_.schedule(one_way, b, [this, b, id] {
-                tell(b, net::AttemptFailed{id, {net::AttemptProgress::written, net::FailureCause::broken}});
+                tell(b, net::AttemptFailed{id, {AttemptProgress::written, FailureCause::broken}});
             });
         }
     }
--- a/simulation/service_simulation.h
+++ b/simulation/service_simulation.h
@@ -88,7 +88,7 @@
     void reach(size_t upstream, Job job);
     void begin(size_t upstream, Job job);
     void end(size_t upstream, Job job, uint64_t life);
-    void answer(const Job& job, net::Response response);
+    void answer(const Job& job, Response response);
     size_t slots_now(const Up& up) const;
     void judge_cold(size_t upstream);
     net::ListedEndpoint entry(size_t upstream) const;
--- a/simulation/simulated_cluster.cpp
+++ b/simulation/simulated_cluster.cpp
@@ -535,17 +535,8 @@
             send(node, *s);
         } else if (auto* d = std::get_if<CallVoterAgent>(&e)) {
             if (!n.voter_agent) continue;
-            call_voter_agent(node, [&n, call = std::move(d->call)](Point p) -> std::vector<VoterAgentEffect> {
-                VoterAgent& k = *n.voter_agent;
-                if (const auto* w = std::get_if<std::pair<MemberIndex, DiskReport>>(&call))
-                    return k.on_disk_report(p, w->first, w->second);
-                if (const auto* f = std::get_if<std::pair<MemberIndex, BootstrapConfig>>(&call))
-                    return k.founded(p, f->first, f->second);
-                if (const auto* r = std::get_if<RaftMessage>(&call)) return k.raft(p, *r);
-                if (const auto* q = std::get_if<Proposal>(&call)) return k.propose(p, *q);
-                const auto& o = std::get<VoterConfigChange>(call);
-                return o.in ? k.add_voter(p, o.name, o.member) : k.remove_voter(p, o.name, o.member);
-            });
+            call_voter_agent(
+                node, [&n, call = std::move(d->call)](Point p) { return n.voter_agent->handle(p, call); });
         } else if (auto* a = std::get_if<LeasedEffect>(&e)) {
             const size_t way = options_.fork ? fork(Fork::effect) : 0;
             if (way == 1 || way == 2) n.freeze_at_effect = options_.lease.length * (way == 1 ? 0.7 : 1.4);
--- a/src/balance/balancer.cpp
+++ b/src/balance/balancer.cpp
@@ -859,7 +859,7 @@
             return finish(id, true, retry_after());
         if (over_concurrency_limit(over_share) || refused()) return finish(id, true, retry_after());
         if (set.message_price > 0)
-            may_spend = std::min(may_spend + most_spent / set.message_price * most_message, 1e6);
+            may_spend = std::min(may_spend + most_spent / set.message_price * max_peer_message_bytes, 1e6);
         may_probe = std::min(may_probe + (set.probe_price > 0 ? most_probed / set.probe_price : 1e6),
                              static_cast<double>(ups.size()));
         route(id);
--- a/src/balance/peer_message.cpp
+++ b/src/balance/peer_message.cpp
@@ -12,7 +12,7 @@
         for (; size > 0; --size, n >>= 8) bytes.push_back(static_cast<char>(n & 0xff));
     };
     if (told.all) {
-        const size_t rates = std::min(told.rates.size(), most_rates);
+        const size_t rates = std::min(told.rates.size(), max_tenant_rates);
         put(static_cast<uint32_t>(rates), 1);
         for (size_t i = 0; i < rates; ++i)
             put(static_cast<uint32_t>(std::clamp(told.rates[i] * 16, 0.0, 65535.0)), 2);
@@ -25,11 +25,11 @@
 {
     const auto byte = [&](size_t i) { return static_cast<uint32_t>(static_cast<unsigned char>(bytes[i])); };
     const auto two = [&](size_t i) { return static_cast<uint16_t>(byte(i) | byte(i + 1) << 8); };
-    if (bytes.empty() || bytes.size() > most_message || byte(0) > 1) return {};
+    if (bytes.empty() || bytes.size() > max_peer_message_bytes || byte(0) > 1) return {};
     PeerMessage told{byte(0) == 1, {}, {}};
     size_t at = 1;
     if (told.all) {
-        if (bytes.size() < 2 || byte(1) > most_rates || bytes.size() < 2 + 2 * byte(1)) return {};
+        if (bytes.size() < 2 || byte(1) > max_tenant_rates || bytes.size() < 2 + 2 * byte(1)) return {};
         for (at = 2; at < 2 + 2 * byte(1); at += 2) told.rates.push_back(two(at) / 16.0);
     }
     if ((bytes.size() - at) % 3 != 0) return {};
--- a/src/fleet/commands.cpp
+++ b/src/fleet/commands.cpp
@@ -62,7 +62,7 @@
     int length = sizeof at;
     if (evutil_parse_sockaddr_port(address.c_str(), reinterpret_cast<sockaddr*>(&at), &length) != 0)
         throw CannotStart("'" + address + "' is no numeric address with a port");
-    const net::Descriptor socket(::socket(at.ss_family, SOCK_STREAM | SOCK_CLOEXEC, 0));
+    const Descriptor socket(::socket(at.ss_family, SOCK_STREAM | SOCK_CLOEXEC, 0));
     const timeval wait{5, 0};
     setsockopt(socket.fd(), SOL_SOCKET, SO_RCVTIMEO, &wait, sizeof wait);
     setsockopt(socket.fd(), SOL_SOCKET, SO_SNDTIMEO, &wait, sizeof wait);
--- a/src/fleet/config.cpp
+++ b/src/fleet/config.cpp
@@ -10,7 +10,7 @@
 {
 
 constexpr size_t most_members = 2000, most_duties = 500;
-constexpr uint32_t least_chunk = 1024, most_chunk = most_message / 4;
+constexpr uint32_t least_chunk = 1024, most_chunk = max_frame_bytes / 4;
 
 // Names stand in commands and in lines of words.
 std::string word(const TomlTable& table, std::string_view key)
--- /dev/null
+++ b/src/fleet/consensus/raft_environment.h
@@ -0,0 +1,73 @@
+// What libraft runs on: a voter's disk, network, clock and random numbers, behind the library's raft_io. The
+// library calls back into this object; completions that it wants later are queued and run by
+// run_completions().
+#pragma once
+
+#include <deque>
+#include <functional>
+#include <random>
+#include <vector>
+
+#include "raft_library.h"
+#include "voter.h"
+
+namespace firtide::fleet
+{
+
+class RaftEnvironment
+{
+  public:
+    // Messages to other voters are added to `effects`; `writes` is filled in by the voter. Both must outlive
+    // the environment.
+    RaftEnvironment(Store& store, std::vector<VoterEffect>& effects, uint64_t seed);
+    RaftEnvironment(const RaftEnvironment&) = delete;
+    RaftEnvironment& operator=(const RaftEnvironment&) = delete;
+
+    raft_io* io() { return &io_; }
+    void set_now(Point now) { now_ = now; }
+
+    // Lets the library look at the clock.
+    void tick();
+    // Hands a message to the library. `configuration` names its sender; bytes that are no message change
+    // nothing.
+    void receive(const raft_configuration& configuration, DiskId from, std::string_view bytes);
+    void run_completions();
+    [[nodiscard]] bool has_completions() const { return !completions_.empty(); }
+
+  private:
+    static RaftEnvironment& of(const raft_io* io) { return *static_cast<RaftEnvironment*>(io->impl); }
+    static int status_of(bool success) { return success ? 0 : RAFT_IOERR; }
+
+    // The library's callbacks.
+    static int init(raft_io* io, raft_id id, const char* address);
+    static void close(raft_io* io, raft_io_close_cb done);
+    static int load(raft_io* io, raft_term* term, raft_id* vote, raft_snapshot** snapshot, raft_index* first,
+                    raft_entry** entries, size_t* count);
+    static int start(raft_io* io, unsigned milliseconds, raft_io_tick_cb on_tick, raft_io_recv_cb on_receive);
+    static int bootstrap(raft_io* io, const raft_configuration* configuration);
+    static int recover(raft_io* io, const raft_configuration* configuration);
+    static int set_term(raft_io* io, raft_term term);
+    static int set_vote(raft_io* io, raft_id vote);
+    static int send(raft_io* io, raft_io_send* request, const raft_message* message, raft_io_send_cb done);
+    static int append(raft_io* io, raft_io_append* request, const raft_entry* entries, unsigned count,
+                      raft_io_append_cb done);
+    static int truncate(raft_io* io, raft_index from);
+    static int put_snapshot(raft_io* io, unsigned trailing, raft_io_snapshot_put* request,
+                            const raft_snapshot* snapshot, raft_io_snapshot_put_cb done);
+    static int get_snapshot(raft_io* io, raft_io_snapshot_get* request, raft_io_snapshot_get_cb done);
+    static raft_time time(raft_io* io);
+    static int random(raft_io* io, int least, int most);
+
+    raft_snapshot* stored_snapshot() const;
+
+    Store& store_;
+    std::vector<VoterEffect>& effects_;
+    std::ranlux24_base random_;
+    raft_io io_{};
+    raft_io_tick_cb on_tick_ = nullptr;
+    raft_io_recv_cb on_receive_ = nullptr;
+    Point now_;
+    std::deque<std::function<void()>> completions_;
+};
+
+}  // namespace firtide::fleet
--- a/src/fleet/consensus/store.h
+++ b/src/fleet/consensus/store.h
@@ -1,109 +1,91 @@
-// What a voter has to remember: term, vote, log, snapshot. One file of records, each with length and
-// checksum; what is kept is on the disk before anybody is told of it.
+// The disk of one voter: term, vote, log and snapshot, in one file. Whatever a voter has told anybody is on
+// the disk before it is told.
+//
+// Used by the voter's thread alone; calls that write block on the disk.
 #pragma once
 
-#include <cstdint>
-#include <deque>
+#include <optional>
 #include <string>
+#include <system_error>
 #include <vector>
 
-#include "src/fleet/ids.h"
 #include "src/fleet/storage/file_system.h"
+#include "store_format.h"
 
 namespace firtide::fleet
 {
 
-struct LogEntry {
-    Term term = 0;
-    uint16_t kind = 0;
-    std::string bytes;
-
-    bool operator==(const LogEntry&) const = default;
-};
-
-struct Snapshot {
-    LogIndex index = 0;  // zero: there is none
-    Term term = 0;
-    std::string voters;  // encoded, as of voters_index
-    LogIndex voters_index = 0;
-    std::string bytes;
-
-    bool operator==(const Snapshot&) const = default;
-};
-
-struct PersistentState {
-    Term term = 0;
-    DiskId vote = 0;  // zero: for nobody
-    Snapshot snapshot;
-    LogIndex first = 1;  // of the entries
-    std::deque<LogEntry> entries;
-    uint64_t writes = 0;  // records that this disk has ever taken; what others have seen of it can be no more
-
-    LogIndex last() const { return first + entries.size() - 1; }
-    bool operator==(const PersistentState&) const = default;
+enum class OpenResult {
+    fresh,          // there was no file; one with a new identity has been written
+    intact,         // everything that was stored is there
+    truncated,      // an incomplete record at the end, which nobody was told of, has been cut off
+    other_owner,    // the file is another member's, or another fleet's
+    newer_version,  // the file is of a newer format
+    damaged,        // something that was stored is not there any more
+    failed,         // the disk fails; see error()
 };
+const char* text_of(OpenResult result);
 
-// Whose disk it is.
-struct StoreOwner {
-    std::string fleet, member;
-    DiskId disk = 0;
-
-    bool operator==(const StoreOwner&) const = default;
-};
+// The first failure of the disk. A store that has failed stays failed.
+struct StoreError {
+    std::error_code cause;
 
-enum class OpenResult {
-    fresh,          // there was nothing; a new identity has been written
-    whole,          // all that was kept is there
-    cut,            // half a record at the end, which nobody was told of, has been taken off
-    another,        // it is another member's, or another fleet's
-    newer_version,  // of this file's format
-    damaged,        // something that was kept is not there any more
-    failed,         // the disk does not answer as it should
+    [[nodiscard]] std::string text() const { return cause.message(); }
 };
-const char* text_of(OpenResult opened);
 
 class Store
 {
   public:
+    // `files` must outlive the store.
     explicit Store(FileSystem& files) : files_(files) {}
 
-    // disk: the identity of a fresh one.
-    OpenResult open(const std::string& fleet, const std::string& member, DiskId disk);
-    // Forgets all and begins with another identity.
-    bool renew(DiskId disk);
+    // To be called once, before all else. `disk`: the identity of a fresh one.
+    [[nodiscard]] OpenResult open(const std::string& fleet, const std::string& member, DiskId disk);
+    // Forgets everything and begins with another identity. Returns false where the disk fails.
+    [[nodiscard]] bool reset(DiskId disk);
 
-    const StoreOwner& owner() const { return owner_; }
-    const PersistentState& kept() const { return kept_; }
+    [[nodiscard]] const StoreOwner& owner() const { return owner_; }
+    [[nodiscard]] const PersistentState& state() const { return state_; }
 
-    // Each is kept in memory at once and on the disk after the next sync.
-    void term_is(Term term, DiskId vote);
+    // Each takes effect in state() at once, and on the disk with the next sync().
+    void set_term(Term term, DiskId vote);
     void append(const std::vector<LogEntry>& entries);
     void truncate(LogIndex from);
-    // Replaces what is up to it but for so many entries before it. On the disk at once; false: it is not.
-    bool snapshot_is(Snapshot snapshot, LogIndex trailing);
-
-    // False: the disk has failed, now or before; nothing that was not synced may be told.
-    bool sync();
-    bool failed() const { return !error_.empty(); }
-    const std::string& error() const { return error_; }
-    size_t bytes() const { return bytes_; }  // of the file
-    uint64_t written() const
-    {
-        return written_;
-    }  // PersistentState::writes as it is on the disk: what may be told
+
+    // Replaces the entries up to the snapshot, but for the last `trailing` of them. On the disk when it
+    // returns; false: the disk fails.
+    [[nodiscard]] bool install_snapshot(LogSnapshot snapshot, LogIndex trailing);
+
+    // Writes what is outstanding to the disk. Returns false where the disk fails, now or before: nothing that
+    // was not synced may be told to anybody.
+    [[nodiscard]] bool sync();
+
+    [[nodiscard]] bool failed() const { return error_.has_value(); }
+    [[nodiscard]] const std::optional<StoreError>& error() const { return error_; }
+    [[nodiscard]] size_t file_bytes() const { return file_bytes_; }
+    // PersistentState::writes as it is on the disk: what may be told.
+    [[nodiscard]] uint64_t synced_writes() const { return synced_writes_; }
 
   private:
-    void put(const std::string& payload);
-    bool rewrite(bool counts = true);
-    bool fail(const std::error_code& error);
+    enum class Counting : uint8_t { counts, does_not_count };  // a rewrite, as one more write
+
+    void put(const std::string& record);
+    // Reads records up to the first that is incomplete. Returns what is left of the bytes; nothing where a
+    // record does not follow from those before it.
+    std::optional<std::string_view> replay(std::string_view records);
+    // Writes the whole file anew, as short as possible.
+    bool rewrite(Counting counting);
+    std::string compacted(uint64_t records) const;
+    uint64_t compacted_records() const;
+    bool fail(const std::error_code& cause);
 
     FileSystem& files_;
     StoreOwner owner_;
-    PersistentState kept_;
-    std::string waiting_;  // records that are not in the file yet
-    size_t bytes_ = 0;
-    uint64_t written_ = 0;
-    std::string error_;
+    PersistentState state_;
+    std::string unsynced_;  // records that are not in the file yet
+    size_t file_bytes_ = 0;
+    uint64_t synced_writes_ = 0;
+    std::optional<StoreError> error_;
 };
 
 }  // namespace firtide::fleet
--- a/src/fleet/consensus/voter.h
+++ b/src/fleet/consensus/voter.h
@@ -1,10 +1,12 @@
-// One voter: consensus of libraft, whose network, clock, chance and disk are this object's. Calls in, effects
-// out; nothing is sent before what it promises is on the disk.
+// One voter of the consensus: libraft, whose network, clock, random numbers and disk are this object's. Calls
+// in, effects out; nothing is sent before what it promises is on the disk.
+//
+// Used by one thread, which may block on the disk.
 #pragma once
 
 #include <functional>
 #include <memory>
-#include <random>
+#include <optional>
 #include <string>
 #include <variant>
 #include <vector>
@@ -17,81 +19,104 @@
 
 enum class RaftRole : uint8_t { none, follower, candidate, leader };
 
+// One server of the consensus configuration.
 struct VoterConfig {
     DiskId disk = 0;
-    std::string member;
+    std::string member;  // id
     bool votes = false;
 
     bool operator==(const VoterConfig&) const = default;
 };
 
-// How it stands among the voters, told whenever it changes.
+// Why a voter does not take part. The text is for the log and for operators.
+struct VoterFault {
+    std::string text;
+
+    bool operator==(const VoterFault&) const = default;
+};
+
+// How a voter stands among the others.
 struct VoterState {
     RaftRole role = RaftRole::none;
     Term term = 0;
     DiskId leader = 0;  // zero: unknown
-    std::vector<VoterConfig> seats;
-    std::string trouble;  // empty: it votes, or may
+    std::vector<VoterConfig> voters;
+    std::optional<VoterFault> fault;
 
     bool operator==(const VoterState&) const = default;
 };
 
+// ---- effects ----
+
 struct SendRaft {
     DiskId to = 0;
     std::string bytes;
-    uint64_t writes = 0;  // that were on the disk when it was said
+    uint64_t writes = 0;  // of the sender's disk when this was said
 };
-struct EntryCommitted {  // by a majority, in the order of the log; never taken back
+// Committed by a majority, in the order of the log; never taken back.
+struct EntryCommitted {
     std::string bytes;
 };
-struct SnapshotRestored {  // all that was committed up to here, in place of what was known
+// All that was committed up to now, in place of what was known.
+struct StateRestored {
     std::string bytes;
 };
-struct ProposalResult {  // what became of a proposal; not well: it may yet be committed
-    uint64_t name = 0;
-    bool well = false;
-    std::string why;
+// What became of a proposal. Not committed: it may yet be.
+struct ProposalResult {
+    uint64_t id = 0;
+    bool committed = false;
+    std::string error;
 };
-using VoterEffect = std::variant<SendRaft, EntryCommitted, SnapshotRestored, ProposalResult, VoterState>;
+// VoterState is returned whenever it has changed.
+using VoterEffect = std::variant<SendRaft, EntryCommitted, StateRestored, ProposalResult, VoterState>;
 
-// What the log's commands make, in the voter's own copy.
+// What the log's entries make, in the voter's own copy.
 class StateMachine
 {
   public:
     virtual ~StateMachine() = default;
-    virtual void apply(std::string_view command) = 0;
-    virtual std::string snapshot() const = 0;
+    virtual void apply(std::string_view entry) = 0;
+    [[nodiscard]] virtual std::string snapshot() const = 0;
     virtual void restore(std::string_view snapshot) = 0;
 };
 
 struct VoterTimes {
-    Span election = seconds(0.4);  // from one to two times it
+    Span election = seconds(0.4);  // timeout: from one to two times it
     Span heartbeat = seconds(0.1);
 };
 
 class Voter
 {
   public:
+    // `store` and `machine` must outlive the voter.
     Voter(Store& store, VoterTimes times, uint64_t seed, StateMachine& machine);
     ~Voter();
+    Voter(const Voter&) = delete;
+    Voter& operator=(const Voter&) = delete;
 
-    // Writes the first entry of a new log: who votes. Only where nothing was kept before.
-    bool found(const std::vector<VoterConfig>& seats);
-    std::vector<VoterEffect> start(Point now);
-    std::vector<VoterEffect> tick(Point now);  // every 20 ms or so
-    // Messages that a member without a log may take: those of a leader that brings it one.
-    static bool brings_log(std::string_view bytes);
-    std::vector<VoterEffect> receive(Point now, DiskId from, std::string_view bytes);
-    std::vector<VoterEffect> propose(Point now, uint64_t name, const std::string& bytes);
-    // One change of who votes at a time.
-    std::vector<VoterEffect> add_voter(Point now, uint64_t name, const VoterConfig& seat);
-    std::vector<VoterEffect> remove_voter(Point now, uint64_t name, DiskId disk);
-    std::vector<VoterEffect> hand_over(Point now, DiskId to);  // leadership; zero: to anyone
+    // Writes the first entry of a new log: who votes. Before start(), and only where nothing is stored.
+    // Returns false where that fails.
+    [[nodiscard]] bool bootstrap(const std::vector<VoterConfig>& voters);
+
+    [[nodiscard]] std::vector<VoterEffect> start(Point now);
+    [[nodiscard]] std::vector<VoterEffect> tick(Point now);  // every 20 ms or so
+    // Bytes that are no message change nothing.
+    [[nodiscard]] std::vector<VoterEffect> receive(Point now, DiskId from, std::string_view bytes);
+    [[nodiscard]] std::vector<VoterEffect> propose(Point now, uint64_t id, const std::string& bytes);
+
+    // Changes of the configuration, one at a time; each ends with a ProposalResult. A server that is not in
+    // the configuration is added without a vote at first; one that is gets its vote.
+    [[nodiscard]] std::vector<VoterEffect> add_voter(Point now, uint64_t id, const VoterConfig& voter);
+    [[nodiscard]] std::vector<VoterEffect> remove_voter(Point now, uint64_t id, DiskId disk);
+
+    // Hands leadership to any other voter. Does nothing where this one does not lead.
+    [[nodiscard]] std::vector<VoterEffect> step_down(Point now);
 
   private:
-    struct State;
-    std::vector<VoterEffect> after(Point now, const std::function<void()>& call);
-    std::unique_ptr<State> state_;
+    struct Core;
+    std::vector<VoterEffect> run(Point now, const std::function<void()>& call);
+
+    std::unique_ptr<Core> core_;
 };
 
 }  // namespace firtide::fleet
--- a/src/fleet/consensus/voter_agent.cpp
+++ b/src/fleet/consensus/voter_agent.cpp
@@ -2,55 +2,95 @@
 
 #include <algorithm>
 
+#include "raft_codec.h"
+#include "src/fleet/transport/pack.h"
+
 namespace firtide::fleet
 {
 namespace
 {
 
-constexpr Span say_every = seconds(0.25), heard_for = seconds(2), open_again = seconds(2);
+constexpr Span report_interval = seconds(0.25);
+constexpr Span report_validity = seconds(2);
+constexpr Span reopen_interval = seconds(2);  // after a failure of the disk
+
+bool is_known_stage(uint8_t stage) { return stage <= static_cast<uint8_t>(VoterStage::refused); }
 
 }  // namespace
 
-struct VoterAgent::Copy : StateMachine {
-    LeaseTable table;
-    void apply(std::string_view command) override
+// The log's entries are lease commands.
+class VoterAgent::LeaseStateMachine : public StateMachine
+{
+  public:
+    void apply(std::string_view entry) override
     {
-        if (const auto commands = unpack<std::vector<LeaseCommand>>(command)) table.apply(*commands);
+        if (const auto commands = unpack<std::vector<LeaseCommand>>(entry)) table_.apply(*commands);
     }
-    std::string snapshot() const override { return table.encode(); }
-    void restore(std::string_view snapshot) override { (void)table.decode(snapshot); }
+    std::string snapshot() const override { return table_.encode(); }
+    void restore(std::string_view snapshot) override { (void)table_.decode(snapshot); }
+
+    const LeaseTable& table() const { return table_; }
+
+  private:
+    LeaseTable table_;
 };
 
-VoterAgent::VoterAgent(const FleetConfig& file, FileSystem& files, VoterTimes times, uint64_t seed)
-    : file_(file), files_(files), times_(times), chance_(static_cast<uint32_t>(seed ^ seed >> 32))
+VoterAgent::VoterAgent(const FleetConfig& config, FileSystem& files, VoterTimes times, uint64_t seed)
+    : config_(config), files_(files), times_(times), random_(static_cast<uint32_t>(seed ^ seed >> 32))
 {
 }
 
 VoterAgent::~VoterAgent() = default;
 
-DiskId VoterAgent::draw_disk()
+std::vector<VoterAgentEffect> VoterAgent::start(Point now)
+{
+    open_store(now);
+    return finish(now);
+}
+
+std::vector<VoterAgentEffect> VoterAgent::tick(Point now)
+{
+    if (voter_ && !store_->failed()) take(voter_->tick(now));
+    if (now - last_report_ >= report_interval) send_reports(now);
+    return finish(now);
+}
+
+std::vector<VoterAgentEffect> VoterAgent::handle(Point now, const VoterAgentCall& call)
+{
+    const bool accepted = std::visit([&](const auto& each) { return on(now, each); }, call);
+    if (!accepted) return {};
+    return finish(now);
+}
+
+// ---- stages ----
+
+DiskId VoterAgent::draw_disk_id()
 {
     DiskId disk = 0;
-    while (!disk) disk = uint64_t{chance_()} << 40 ^ uint64_t { chance_() } << 20 ^ chance_();
+    while (!disk) {
+        disk = uint64_t{random_()} << 40;
+        disk ^= uint64_t{random_()} << 20;
+        disk ^= random_();
+    }
     return disk;
 }
 
-void VoterAgent::open(Point now)
+void VoterAgent::open_store(Point now)
 {
     voter_.reset();
-    copy_ = std::make_unique<Copy>();
+    leases_ = std::make_unique<LeaseStateMachine>();
     store_ = std::make_unique<Store>(files_);
-    standing_ = {};
-    told_version_ = UINT64_MAX;
-    trouble_.clear();
+    raft_state_ = {};
+    reported_table_.reset();
+    fault_.reset();
     promotions_.clear();
-    opened_ = now;
-    switch (const auto opened = store_->open(file_.name, file_.id, draw_disk())) {
+    opened_at_ = now;
+    switch (const auto result = store_->open(config_.name, config_.id, draw_disk_id())) {
         case OpenResult::fresh:
-        case OpenResult::whole:
-        case OpenResult::cut:
-            stage_ = store_->kept().last() == 0 ? VoterStage::empty : VoterStage::checking;
-            if (stage_ == VoterStage::empty) begin(now, {});
+        case OpenResult::intact:
+        case OpenResult::truncated:
+            stage_ = store_->state().last_index() == 0 ? VoterStage::empty : VoterStage::checking;
+            if (stage_ == VoterStage::empty) start_voter(now, {});
             return;
         case OpenResult::failed:
             stage_ = VoterStage::failed;
@@ -58,248 +98,278 @@
             return;
         default:
             stage_ = VoterStage::refused;
-            trouble_ = "the voter's file is " + std::string(text_of(opened));
+            fault_ = VoterFault{std::string("the voter's file is ") + text_of(result)};
             return;
     }
 }
 
-void VoterAgent::begin(Point now, const std::vector<VoterConfig>& founders)
+void VoterAgent::start_voter(Point now, const std::vector<VoterConfig>& bootstrap)
 {
     voter_.reset();
-    voter_ = std::make_unique<Voter>(*store_, times_, chance_(), *copy_);
-    if (!founders.empty() && !voter_->found(founders)) trouble_ = "the log could not be founded";
+    voter_ = std::make_unique<Voter>(*store_, times_, random_(), *leases_);
+    if (!bootstrap.empty() && !voter_->bootstrap(bootstrap))
+        fault_ = VoterFault{"the log could not be founded"};
     take(voter_->start(now));
 }
 
-// The voter whose key is the lowest says who votes in a new log: never two say so.
-bool VoterAgent::speaks_first() const
+// The voter with the lowest key bootstraps a new log: never two of them.
+bool VoterAgent::bootstraps() const
 {
-    for (const MemberConfig& m : file_.members)
-        if (m.voter && m.key < file_.members[file_.self].key) return false;
-    return true;
+    const MemberKey own = config_.members[config_.self].key;
+    return std::none_of(config_.members.begin(), config_.members.end(),
+                        [&](const MemberConfig& member) { return member.voter && member.key < own; });
 }
 
-bool VoterAgent::all_empty(Point now) const
+bool VoterAgent::all_disks_empty(Point now) const
 {
-    for (MemberIndex m = 0; m < file_.members.size(); ++m) {
-        if (!file_.members[m].voter || m == file_.self) continue;
-        const auto at = heard_.find(m);
-        if (at == heard_.end() || now - at->second.at > heard_for) return false;
-        if (at->second.report.stage != static_cast<uint8_t>(VoterStage::empty)) return false;
+    for (MemberIndex member = 0; member < config_.members.size(); ++member) {
+        if (!config_.members[member].voter || member == config_.self) continue;
+        const auto heard = peer_reports_.find(member);
+        if (heard == peer_reports_.end() || now - heard->second.received > report_validity) return false;
+        if (heard->second.report.stage != static_cast<uint8_t>(VoterStage::empty)) return false;
     }
     return true;
 }
 
-void VoterAgent::look(Point now)
+void VoterAgent::update_stage(Point now)
 {
     if (store_->failed() && stage_ != VoterStage::failed) {
         stage_ = VoterStage::failed;
         failed_at_ = now;
     }
-    const DiskId own = store_->owner().disk;
     if (stage_ == VoterStage::failed) {
-        trouble_ = "its disk fails: " + store_->error();
-        if (now - failed_at_ > open_again) open(now);
-    } else if (stage_ == VoterStage::empty && store_->kept().last() > 0) {
-        stage_ = VoterStage::voting;  // a leader has let it in
-        trouble_.clear();
-    } else if (stage_ == VoterStage::empty && speaks_first() && all_empty(now)) {
-        std::vector<VoterConfig> seats{{own, file_.id, true}};
-        for (const auto& [m, heard] : heard_) seats.push_back({heard.report.disk, file_.members[m].id, true});
-        begin(now, seats);
-        stage_ = VoterStage::voting;
+        fault_ = VoterFault{"its disk fails: " + (store_->error() ? store_->error()->text() : "")};
+        if (now - failed_at_ > reopen_interval) open_store(now);
+    } else if (stage_ == VoterStage::empty && store_->state().last_index() > 0) {
+        stage_ = VoterStage::voting;  // a leader has sent its log
+        fault_.reset();
+    } else if (stage_ == VoterStage::empty && bootstraps() && all_disks_empty(now)) {
+        bootstrap_log(now);
     } else if (stage_ == VoterStage::checking) {
-        // Guards against a disk that was put back, or whose last writes were lost: others know more of it
-        // than it does, and it might vote twice.
-        size_t answers = 0;
-        uint64_t writes = 0;
-        for (const auto& [m, heard] : heard_) {
-            if (heard.at < opened_) continue;
-            ++answers;
-            for (const SeenDisk& seen : heard.report.seen)
-                if (seen.disk == own) writes = std::max(writes, seen.writes);
-        }
-        if (writes > store_->written()) {
-            if (!store_->renew(draw_disk())) return;
-            stage_ = VoterStage::empty;
-            trouble_ = "its disk is older than other voters have seen it: it has no vote until it is let in";
-            begin(now, {});
-        } else if (answers >= file_.voters() / 2) {
-            stage_ = VoterStage::voting;
-            begin(now, {});
-        }
+        check_disk(now);
     }
 }
 
-void VoterAgent::take(std::vector<VoterEffect> effects)
+void VoterAgent::bootstrap_log(Point now)
 {
-    for (VoterEffect& e : effects) {
-        if (auto* send = std::get_if<SendRaft>(&e)) {
-            effects_.push_back(std::move(*send));
-        } else if (auto* standing = std::get_if<VoterState>(&e)) {
-            standing_ = std::move(*standing);
-        } else if (auto* proposed = std::get_if<ProposalResult>(&e)) {
-            effects_.push_back(std::move(*proposed));
-        } else if (copy_->table.version() != told_version_) {
-            // Whoever hears of what became of a proposal has the table that it made.
-            told_version_ = copy_->table.version();
-            effects_.push_back(TableUpdated{copy_->table});
-        }
+    std::vector<VoterConfig> voters{{store_->owner().disk, config_.id, true}};
+    for (const auto& [member, heard] : peer_reports_)
+        voters.push_back({heard.report.disk, config_.members[member].id, true});
+    start_voter(now, voters);
+    stage_ = VoterStage::voting;
+}
+
+// A disk that was restored from a copy, or whose last writes were lost, could vote twice in a term. Other
+// voters have seen more writes of it than it has itself.
+void VoterAgent::check_disk(Point now)
+{
+    size_t answers = 0;
+    uint64_t seen_by_others = 0;
+    for (const auto& [member, heard] : peer_reports_) {
+        if (heard.received < opened_at_) continue;
+        ++answers;
+        for (const SeenDisk& seen : heard.report.seen_disks)
+            if (seen.disk == store_->owner().disk) seen_by_others = std::max(seen_by_others, seen.writes);
+    }
+    if (seen_by_others > store_->synced_writes()) {
+        if (!store_->reset(draw_disk_id())) return;
+        stage_ = VoterStage::empty;
+        fault_ =
+            VoterFault{"its disk is older than other voters have seen it: it has no vote until it is let in"};
+        start_voter(now, {});
+    } else if (answers >= config_.voters() / 2) {
+        stage_ = VoterStage::voting;
+        start_voter(now, {});
     }
 }
 
-void VoterAgent::say(Point now)
+// ---- calls ----
+
+bool VoterAgent::on(Point now, const DiskReportReceived& received)
 {
-    said_ = now;
-    DiskReport w{store_->owner().disk, static_cast<uint8_t>(stage_), store_->written(), {}};
-    for (const auto& [disk, writes] : seen_) w.seen.push_back({disk, writes});
-    effects_.push_back(BroadcastDiskReport{std::move(w)});
-    // Until the log has grown beyond its founding, there may be voters that have not heard of it.
-    if (stage_ != VoterStage::voting || !speaks_first() || store_->kept().last() != 1 ||
-        store_->kept().snapshot.index)
-        return;
-    BootstrapConfig f;
-    for (const VoterConfig& seat : standing_.seats) f.voters.emplace_back(seat.member, seat.disk);
-    if (!f.voters.empty()) effects_.push_back(BroadcastBootstrapConfig{std::move(f)});
+    const DiskReport& report = received.report;
+    if (!config_.members[received.from].voter || !is_known_stage(report.stage)) return false;
+    peer_reports_[received.from] = {report, now};
+    uint64_t& writes = seen_writes_[report.disk];
+    writes = std::max(writes, report.writes);
+    // What a third voter has seen counts as well: the one that saw it may be gone.
+    for (const SeenDisk& seen : report.seen_disks)
+        seen_writes_[seen.disk] = std::max(seen_writes_[seen.disk], seen.writes);
+    return true;
 }
 
-std::vector<VoterAgentEffect> VoterAgent::out(Point now)
+bool VoterAgent::on(Point now, const BootstrapReceived& received)
 {
-    look(now);
-    // Of changes that were accepted, the next step.
-    std::vector<std::pair<uint64_t, Promotion>> next;
-    for (const VoterAgentEffect& e : effects_)
-        if (const auto* p = std::get_if<ProposalResult>(&e)) {
-            const auto at = promotions_.find(p->name);
-            if (at == promotions_.end()) continue;
-            Promotion promotion = at->second;
-            promotions_.erase(at);
-            if (p->well && ++promotion.step < 3) next.emplace_back(p->name, promotion);
-        }
-    for (const auto& [name, promotion] : next) {
-        DiskId before = 0;
-        for (const VoterConfig& s : standing_.seats)
-            if (s.member == promotion.seat.member && s.disk != promotion.seat.disk) before = s.disk;
-        if (promotion.step == 2 && !before) continue;
-        // It is told of as done only with its last step.
-        std::erase_if(effects_, [n = name](const VoterAgentEffect& e) {
-            const auto* p = std::get_if<ProposalResult>(&e);
-            return p && p->name == n;
-        });
-        promotions_[name] = promotion;
-        take(promotion.step == 1 ? voter_->add_voter(now, name, promotion.seat)
-                                 : voter_->remove_voter(now, name, before));
+    const PersistentState& state = store_->state();
+    const bool is_new = stage_ == VoterStage::empty && state.term == 0 && state.last_index() == 0;
+    if (!config_.members[received.from].voter || !is_new) return false;
+    std::vector<VoterConfig> voters;
+    bool includes_this = false;
+    for (const BootstrapVoter& voter : received.config.voters) {
+        voters.push_back({voter.disk, voter.member, true});
+        includes_this = includes_this || (voter.member == config_.id && voter.disk == store_->owner().disk);
     }
-    VoterStatus standing{standing_, stage_, store_->owner().disk, trouble_};
-    if (stage_ != VoterStage::voting) standing.standing.role = RaftRole::none;
-    if (standing.trouble.empty()) standing.trouble = standing_.trouble;
-    if (!told_ || !(*told_ == standing)) {
-        const bool stage_changed = !told_ || told_->stage != stage_;
-        told_ = standing;
-        effects_.push_back(std::move(standing));
-        if (stage_changed) say(now);
-    }
-    return std::exchange(effects_, {});
+    if (!includes_this) return false;
+    stage_ = VoterStage::voting;
+    start_voter(now, voters);
+    return true;
 }
 
-std::vector<VoterAgentEffect> VoterAgent::start(Point now)
+bool VoterAgent::on(Point now, const RaftMessage& message)
 {
-    open(now);
-    return out(now);
+    uint64_t& writes = seen_writes_[message.from];
+    writes = std::max(writes, message.writes);
+    const bool accepted =
+        stage_ == VoterStage::voting || (stage_ == VoterStage::empty && brings_log(message.bytes));
+    if (!accepted || !voter_ || store_->failed() || message.to != store_->owner().disk) return false;
+    take(voter_->receive(now, message.from, message.bytes));
+    return true;
 }
 
-std::vector<VoterAgentEffect> VoterAgent::tick(Point now)
+bool VoterAgent::on(Point now, const Proposal& proposal)
 {
-    if (voter_ && !store_->failed()) take(voter_->tick(now));
-    if (now - said_ >= say_every) say(now);
-    return out(now);
+    if (stage_ == VoterStage::voting && !store_->failed())
+        take(voter_->propose(now, proposal.id, pack(proposal.commands)));
+    else
+        effects_.push_back(ProposalResult{proposal.id, false, "it does not vote"});
+    return true;
 }
 
-std::vector<VoterAgentEffect> VoterAgent::on_disk_report(Point now, MemberIndex from,
-                                                         const DiskReport& report)
+bool VoterAgent::on(Point now, const VoterConfigChange& change)
 {
-    if (!file_.members[from].voter || report.stage > static_cast<uint8_t>(VoterStage::refused)) return {};
-    heard_[from] = {report, now};
-    auto& seen = seen_[report.disk];
-    seen = std::max(seen, report.writes);
-    // What a third voter has seen is worth as much: the one that saw it may be gone.
-    for (const SeenDisk& s : report.seen) seen_[s.disk] = std::max(seen_[s.disk], s.writes);
-    return out(now);
+    if (change.kind == VoterConfigChange::Kind::add)
+        add_voter(now, change.id, change.member);
+    else
+        remove_voter(now, change.id, change.member);
+    return true;
 }
 
-std::vector<VoterAgentEffect> VoterAgent::founded(Point now, MemberIndex from, const BootstrapConfig& founded)
+void VoterAgent::add_voter(Point now, uint64_t id, const std::string& member)
 {
-    const auto& kept = store_->kept();
-    if (!file_.members[from].voter || stage_ != VoterStage::empty || kept.term != 0 || kept.last() != 0)
-        return {};
-    std::vector<VoterConfig> seats;
-    bool own = false;
-    for (const auto& [member, disk] : founded.voters) {
-        seats.push_back({disk, member, true});
-        own |= member == file_.id && disk == store_->owner().disk;
+    const auto index = config_.member_of(std::string_view(member));
+    const auto heard = index ? peer_reports_.find(*index) : peer_reports_.end();
+    const bool is_recent = heard != peer_reports_.end() && now - heard->second.received <= report_validity;
+    if (stage_ != VoterStage::voting || !is_recent) {
+        effects_.push_back(ProposalResult{id, false, "nothing has been heard of its disk lately"});
+        return;
     }
-    if (!own) return {};
-    stage_ = VoterStage::voting;
-    begin(now, seats);
-    return out(now);
+    const VoterConfig voter{heard->second.report.disk, member, true};
+    const auto& voters = raft_state_.voters;
+    const auto known = std::find_if(voters.begin(), voters.end(),
+                                    [&](const VoterConfig& each) { return each.disk == voter.disk; });
+    if (known != voters.end() && known->votes) {
+        effects_.push_back(ProposalResult{id, true, "it votes already"});
+        return;
+    }
+    const auto step = known != voters.end() ? Promotion::Step::promote : Promotion::Step::add;
+    promotions_[id] = {voter, step};
+    take(voter_->add_voter(now, id, voter));
+}
+
+void VoterAgent::remove_voter(Point now, uint64_t id, const std::string& member)
+{
+    const auto& voters = raft_state_.voters;
+    const auto known = std::find_if(voters.begin(), voters.end(),
+                                    [&](const VoterConfig& each) { return each.member == member; });
+    if (stage_ == VoterStage::voting && known != voters.end())
+        return take(voter_->remove_voter(now, id, known->disk));
+    effects_.push_back(ProposalResult{id, false, "it has no vote"});
 }
 
-std::vector<VoterAgentEffect> VoterAgent::raft(Point now, const RaftMessage& sent)
+// ---- effects ----
+
+void VoterAgent::take(std::vector<VoterEffect> effects)
 {
-    auto& seen = seen_[sent.from];
-    seen = std::max(seen, sent.writes);
-    const bool may =
-        stage_ == VoterStage::voting || (stage_ == VoterStage::empty && Voter::brings_log(sent.bytes));
-    if (!may || !voter_ || store_->failed() || sent.to != store_->owner().disk) return {};
-    take(voter_->receive(now, sent.from, sent.bytes));
-    return out(now);
+    for (VoterEffect& effect : effects) {
+        if (auto* send = std::get_if<SendRaft>(&effect)) {
+            effects_.push_back(std::move(*send));
+        } else if (auto* state = std::get_if<VoterState>(&effect)) {
+            raft_state_ = std::move(*state);
+        } else if (auto* result = std::get_if<ProposalResult>(&effect)) {
+            effects_.push_back(std::move(*result));
+        } else if (leases_->table().version() != reported_table_) {
+            // Reported before the result of the proposal that has changed it.
+            reported_table_ = leases_->table().version();
+            effects_.push_back(TableUpdated{leases_->table()});
+        }
+    }
 }
 
-std::vector<VoterAgentEffect> VoterAgent::propose(Point now, const Proposal& propose)
+void VoterAgent::send_reports(Point now)
 {
-    if (stage_ == VoterStage::voting && !store_->failed())
-        take(voter_->propose(now, propose.id, pack(propose.commands)));
-    else
-        effects_.push_back(ProposalResult{propose.id, false, "it does not vote"});
-    return out(now);
+    last_report_ = now;
+    DiskReport report;
+    report.disk = store_->owner().disk;
+    report.stage = static_cast<uint8_t>(stage_);
+    report.writes = store_->synced_writes();
+    for (const auto& [disk, writes] : seen_writes_) report.seen_disks.push_back({disk, writes});
+    effects_.push_back(BroadcastDiskReport{std::move(report)});
+    // Until the log has grown beyond its first entry, there may be voters that have not received that.
+    const PersistentState& state = store_->state();
+    const bool only_bootstrapped = state.last_index() == 1 && !state.snapshot.index;
+    if (stage_ != VoterStage::voting || !bootstraps() || !only_bootstrapped) return;
+    BootstrapConfig config;
+    for (const VoterConfig& voter : raft_state_.voters) config.voters.push_back({voter.member, voter.disk});
+    if (!config.voters.empty()) effects_.push_back(BroadcastBootstrapConfig{std::move(config)});
 }
 
-std::vector<VoterAgentEffect> VoterAgent::add_voter(Point now, uint64_t name, const std::string& id)
+// Goes on with the next step of each promotion whose last one has succeeded.
+void VoterAgent::continue_promotions(Point now)
 {
-    const auto member = file_.member_of(std::string_view(id));
-    const auto at = member ? heard_.find(*member) : heard_.end();
-    if (stage_ != VoterStage::voting || at == heard_.end() || now - at->second.at > heard_for) {
-        effects_.push_back(ProposalResult{name, false, "nothing has been heard of its disk lately"});
-        return out(now);
+    std::vector<std::pair<uint64_t, Promotion>> succeeded;
+    for (const VoterAgentEffect& effect : effects_) {
+        const auto* result = std::get_if<ProposalResult>(&effect);
+        if (!result) continue;
+        auto node = promotions_.extract(result->id);
+        if (node.empty() || !result->committed) continue;
+        if (node.mapped().step != Promotion::Step::remove_old_disk)
+            succeeded.emplace_back(node.key(), std::move(node.mapped()));
     }
-    const VoterConfig seat{at->second.report.disk, id, true};
-    for (const VoterConfig& s : standing_.seats)
-        if (s.disk == seat.disk && s.votes) {
-            effects_.push_back(ProposalResult{name, true, "it votes already"});
-            return out(now);
-        }
-    const bool added = std::any_of(standing_.seats.begin(), standing_.seats.end(),
-                                   [&](const VoterConfig& s) { return s.disk == seat.disk; });
-    promotions_[name] = {seat, added ? 1 : 0};
-    take(voter_->add_voter(now, name, seat));
-    return out(now);
+    for (const auto& [id, promotion] : succeeded) continue_promotion(now, id, promotion);
 }
 
-std::vector<VoterAgentEffect> VoterAgent::remove_voter(Point now, uint64_t name, const std::string& member)
+void VoterAgent::continue_promotion(Point now, uint64_t id, const Promotion& promotion)
 {
-    for (const VoterConfig& s : standing_.seats)
-        if (stage_ == VoterStage::voting && s.member == member) {
-            take(voter_->remove_voter(now, name, s.disk));
-            return out(now);
-        }
-    effects_.push_back(ProposalResult{name, false, "it has no vote"});
-    return out(now);
+    const DiskId old_disk = old_disk_of(promotion.voter);
+    const bool promotes = promotion.step == Promotion::Step::add;
+    if (!promotes && !old_disk) return;
+    // The operator hears of the last step alone.
+    std::erase_if(effects_, [id](const VoterAgentEffect& effect) {
+        const auto* result = std::get_if<ProposalResult>(&effect);
+        return result && result->id == id;
+    });
+    promotions_[id] = {promotion.voter,
+                       promotes ? Promotion::Step::promote : Promotion::Step::remove_old_disk};
+    take(promotes ? voter_->add_voter(now, id, promotion.voter) : voter_->remove_voter(now, id, old_disk));
+}
+
+// The disk that a member voted with before; zero: none.
+DiskId VoterAgent::old_disk_of(const VoterConfig& voter) const
+{
+    DiskId old_disk = 0;
+    for (const VoterConfig& each : raft_state_.voters)
+        if (each.member == voter.member && each.disk != voter.disk) old_disk = each.disk;
+    return old_disk;
 }
 
-std::vector<VoterAgentEffect> VoterAgent::step_down(Point now)
+void VoterAgent::report_status(Point now)
 {
-    if (stage_ == VoterStage::voting) take(voter_->hand_over(now, 0));
-    return out(now);
+    VoterStatus status{raft_state_, stage_, store_->owner().disk, fault_};
+    if (stage_ != VoterStage::voting) status.raft.role = RaftRole::none;
+    if (!status.fault) status.fault = raft_state_.fault;
+    if (reported_status_ == status) return;
+    const bool stage_changed = !reported_status_ || reported_status_->stage != stage_;
+    reported_status_ = status;
+    effects_.push_back(std::move(status));
+    if (stage_changed) send_reports(now);
+}
+
+std::vector<VoterAgentEffect> VoterAgent::finish(Point now)
+{
+    update_stage(now);
+    continue_promotions(now);
+    report_status(now);
+    return std::exchange(effects_, {});
 }
 
 }  // namespace firtide::fleet
--- a/src/fleet/consensus/voter_agent.h
+++ b/src/fleet/consensus/voter_agent.h
@@ -1,10 +1,14 @@
-// Whether and as whom this member votes: its disk, what other voters know of it, the founding of the log, and
-// the voter itself. It runs where it may wait for the disk. Calls in, effects out.
+// Decides whether and as whom this member votes: it opens the disk, checks with the other voters that the
+// disk is not older than they have seen it, bootstraps a new log, and runs the voter.
+//
+// Calls in, effects out. Used by one thread, which may block on the disk.
 #pragma once
 
 #include <map>
 #include <memory>
 #include <optional>
+#include <random>
+#include <variant>
 
 #include "src/fleet/config.h"
 #include "src/fleet/lease/lease_table.h"
@@ -13,82 +17,122 @@
 namespace firtide::fleet
 {
 
-struct BroadcastDiskReport {  // to all other voters
+// ---- calls ----
+
+struct DiskReportReceived {
+    MemberIndex from = 0;
+    DiskReport report;
+};
+struct BootstrapReceived {
+    MemberIndex from = 0;
+    BootstrapConfig config;
+};
+// A change of who votes, from an operator.
+struct VoterConfigChange {
+    enum class Kind : uint8_t { add, remove };
+
+    uint64_t id = 0;  // returned with the ProposalResult
+    Kind kind = Kind::add;
+    std::string member;
+};
+using VoterAgentCall =
+    std::variant<DiskReportReceived, BootstrapReceived, RaftMessage, Proposal, VoterConfigChange>;
+
+// ---- effects ----
+
+// To all other voters.
+struct BroadcastDiskReport {
     DiskReport report;
 };
 struct BroadcastBootstrapConfig {
-    BootstrapConfig founded;
+    BootstrapConfig config;
 };
-struct TableUpdated {  // as committed
+// The lease table as committed.
+struct TableUpdated {
     LeaseTable table;
 };
 struct VoterStatus {
-    VoterState standing;
+    VoterState raft;
     VoterStage stage = VoterStage::empty;
     DiskId disk = 0;
-    std::string trouble;
+    std::optional<VoterFault> fault;
 
     bool operator==(const VoterStatus&) const = default;
 };
+// VoterStatus is returned whenever it has changed.
 using VoterAgentEffect = std::variant<SendRaft, BroadcastDiskReport, BroadcastBootstrapConfig, TableUpdated,
                                       ProposalResult, VoterStatus>;
 
 class VoterAgent
 {
   public:
-    // Stages: an empty disk waits to be founded or let in; one that has been written checks with other voters
-    // that they know no more of it than it does; then it votes.
-    VoterAgent(const FleetConfig& file, FileSystem& files, VoterTimes times, uint64_t seed);
+    // `config` and `files` must outlive the agent.
+    VoterAgent(const FleetConfig& config, FileSystem& files, VoterTimes times, uint64_t seed);
     ~VoterAgent();
+    VoterAgent(const VoterAgent&) = delete;
+    VoterAgent& operator=(const VoterAgent&) = delete;
 
-    std::vector<VoterAgentEffect> start(Point now);
-    std::vector<VoterAgentEffect> tick(Point now);  // every 20 ms or so
-    std::vector<VoterAgentEffect> on_disk_report(Point now, MemberIndex from, const DiskReport& report);
-    std::vector<VoterAgentEffect> founded(Point now, MemberIndex from, const BootstrapConfig& founded);
-    std::vector<VoterAgentEffect> raft(Point now, const RaftMessage& sent);
-    std::vector<VoterAgentEffect> propose(Point now, const Proposal& propose);
-    std::vector<VoterAgentEffect> add_voter(Point now, uint64_t name, const std::string& member);
-    std::vector<VoterAgentEffect> remove_voter(Point now, uint64_t name, const std::string& member);
-    std::vector<VoterAgentEffect> step_down(Point now);
+    [[nodiscard]] std::vector<VoterAgentEffect> start(Point now);
+    [[nodiscard]] std::vector<VoterAgentEffect> tick(Point now);  // every 20 ms or so
+    [[nodiscard]] std::vector<VoterAgentEffect> handle(Point now, const VoterAgentCall& call);
 
   private:
-    struct Copy;
-    struct MessageReceived {
+    class LeaseStateMachine;
+    struct PeerReport {
         DiskReport report;
-        Point at;
+        Point received;
     };
-    // Promotion one in takes up to three changes: it is added, given its vote, and the disk that it had
-    // before goes.
+    // Adding a voter takes up to three changes of the configuration.
     struct Promotion {
-        VoterConfig seat;
-        int step = 0;
+        enum class Step : uint8_t { add, promote, remove_old_disk };
+
+        VoterConfig voter;
+        Step step = Step::add;
     };
 
-    void open(Point now);
-    void begin(Point now, const std::vector<VoterConfig>& founders);
-    void look(Point now);
-    void say(Point now);
+    // Each returns false where the call is ignored.
+    bool on(Point now, const DiskReportReceived& received);
+    bool on(Point now, const BootstrapReceived& received);
+    bool on(Point now, const RaftMessage& message);
+    bool on(Point now, const Proposal& proposal);
+    bool on(Point now, const VoterConfigChange& change);
+    void add_voter(Point now, uint64_t id, const std::string& member);
+    void remove_voter(Point now, uint64_t id, const std::string& member);
+
+    // ---- stages ----
+    void open_store(Point now);
+    void start_voter(Point now, const std::vector<VoterConfig>& bootstrap);
+    void update_stage(Point now);
+    void bootstrap_log(Point now);
+    void check_disk(Point now);
+    bool all_disks_empty(Point now) const;
+    bool bootstraps() const;
+    DiskId draw_disk_id();
+
+    // ---- effects ----
     void take(std::vector<VoterEffect> effects);
-    std::vector<VoterAgentEffect> out(Point now);
-    bool all_empty(Point now) const;
-    bool speaks_first() const;
-    DiskId draw_disk();
+    void send_reports(Point now);
+    void continue_promotions(Point now);
+    void continue_promotion(Point now, uint64_t id, const Promotion& promotion);
+    DiskId old_disk_of(const VoterConfig& voter) const;
+    void report_status(Point now);
+    std::vector<VoterAgentEffect> finish(Point now);
 
-    const FleetConfig& file_;
+    const FleetConfig& config_;
     FileSystem& files_;
     const VoterTimes times_;
-    std::ranlux24_base chance_;
+    std::ranlux24_base random_;
     std::unique_ptr<Store> store_;
-    std::unique_ptr<Copy> copy_;
+    std::unique_ptr<LeaseStateMachine> leases_;
     std::unique_ptr<Voter> voter_;
     VoterStage stage_ = VoterStage::empty;
-    std::string trouble_;
-    std::map<MemberIndex, MessageReceived> heard_;
-    std::map<DiskId, uint64_t> seen_;
-    Point said_, opened_, failed_at_;
-    uint64_t told_version_ = UINT64_MAX;
-    VoterState standing_;
-    std::optional<VoterStatus> told_;
+    std::optional<VoterFault> fault_;
+    std::map<MemberIndex, PeerReport> peer_reports_;
+    std::map<DiskId, uint64_t> seen_writes_;  // of each disk, by whoever told of it
+    Point last_report_, opened_at_, failed_at_;
+    std::optional<uint64_t> reported_table_;  // version
+    VoterState raft_state_;
+    std::optional<VoterStatus> reported_status_;
     std::map<uint64_t, Promotion> promotions_;
     std::vector<VoterAgentEffect> effects_;
 };
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -62,9 +62,9 @@
 
 MemberKey Fleet::leader_key() const
 {
-    if (!standing_ || standing_->stage != VoterStage::voting || !standing_->standing.leader) return 0;
-    for (const VoterConfig& s : standing_->standing.seats)
-        if (s.disk == standing_->standing.leader) return key_of(s.member);
+    if (!standing_ || standing_->stage != VoterStage::voting || !standing_->raft.leader) return 0;
+    for (const VoterConfig& s : standing_->raft.voters)
+        if (s.disk == standing_->raft.leader) return key_of(s.member);
     return 0;
 }
 
@@ -130,14 +130,14 @@
                    },
                    [&](DiskReport& w) {
                        disks_[w.disk] = from;
-                       effects_.push_back(CallVoterAgent{std::pair{from, std::move(w)}});
+                       effects_.push_back(CallVoterAgent{DiskReportReceived{from, std::move(w)}});
                    },
                    [&](BootstrapConfig& f) {
-                       effects_.push_back(CallVoterAgent{std::pair{from, std::move(f)}});
+                       effects_.push_back(CallVoterAgent{BootstrapReceived{from, std::move(f)}});
                    },
                    [&](const LeaseRenewRequest& r) {
                        if (lease_manager_.is_leader()) return lease_manager_.on_renew_request(now_, from, r);
-                       const LeaderRedirect refer{leader_key(), standing_ ? standing_->standing.term : 0};
+                       const LeaderRedirect refer{leader_key(), standing_ ? standing_->raft.term : 0};
                        if (from != self_) return effects_.push_back(Send{from, refer});
                        if (refer.leader != file_.members[self_].key)
                            lease_client_.on_redirect(now_, self_, refer);
@@ -183,30 +183,31 @@
             },
             [&](BroadcastBootstrapConfig& s) {
                 for (MemberIndex m = 0; m < file_.members.size(); ++m)
-                    if (m != self_ && file_.members[m].voter) effects_.push_back(Send{m, s.founded});
+                    if (m != self_ && file_.members[m].voter) effects_.push_back(Send{m, s.config});
             },
             [&](TableUpdated& t) { table_ = std::move(t.table); },
             [&](const ProposalResult& p) {
-                if (const auto at = voter_orders_.find(p.name); at != voter_orders_.end()) {
+                if (const auto at = voter_orders_.find(p.id); at != voter_orders_.end()) {
                     const auto [member, number] = at->second;
                     voter_orders_.erase(at);
-                    const AdminCommandResult obeyed{number, p.well, p.well ? "done" : p.why};
+                    const AdminCommandResult obeyed{number, p.committed, p.committed ? "done" : p.error};
                     if (member == self_)
                         hear(self_, obeyed);
                     else
                         effects_.push_back(Send{member, obeyed});
                     return;
                 }
-                lease_manager_.on_proposal_result(table_, p.name, p.well);
+                lease_manager_.on_proposal_result(table_, p.id, p.committed);
             },
             [&](VoterStatus& s) {
                 const bool led = lease_manager_.is_leader();
-                const Term before = standing_ ? standing_->standing.term : 0;
-                const std::string trouble = standing_ ? standing_->trouble : "";
-                if (s.trouble != trouble)
-                    effects_.push_back(LogEvent{"voter", text_of(s.stage), s.trouble, 0, "", {}});
+                const Term before = standing_ ? standing_->raft.term : 0;
+                const auto fault = standing_ ? standing_->fault : std::nullopt;
+                if (s.fault != fault)
+                    effects_.push_back(
+                        LogEvent{"voter", text_of(s.stage), s.fault ? s.fault->text : "", 0, "", {}});
                 standing_ = std::move(s);
-                const auto& st = standing_->standing;
+                const auto& st = standing_->raft;
                 if (st.role != RaftRole::leader) {
                     lease_manager_.on_stepped_down();
                 } else if (!led || st.term != before) {
@@ -229,7 +230,7 @@
 void Fleet::on(const Tick&)
 {
     members_.carried.leader = leader_key();
-    members_.carried.term = standing_ ? standing_->standing.term : 0;
+    members_.carried.term = standing_ ? standing_->raft.term : 0;
     if (const auto own = newest_.find("list"); own != newest_.end()) {
         members_.carried.list = own->second.base;
         members_.carried.list_epoch = own->second.epoch;
@@ -444,7 +445,8 @@
     }
     const auto name = next_voter_order_++;
     voter_orders_[name] = {from, o.number};
-    effects_.push_back(CallVoterAgent{VoterConfigChange{name, in, o.first}});
+    effects_.push_back(CallVoterAgent{VoterConfigChange{
+        name, in ? VoterConfigChange::Kind::add : VoterConfigChange::Kind::remove, o.first}});
 }
 
 void Fleet::hear(MemberIndex, const AdminCommandResult& o)
@@ -660,7 +662,7 @@
 
 std::string Fleet::show(const std::optional<TrafficCounts>& traffic) const
 {
-    const Term term = std::max(lease_client_.term(), standing_ ? standing_->standing.term : 0);
+    const Term term = std::max(lease_client_.term(), standing_ ? standing_->raft.term : 0);
     MemberKey leader = leader_key();
     if (!leader && lease_client_.is_confirmed(now_) && lease_client_.leader())
         leader = file_.members[*lease_client_.leader()].key;
@@ -671,7 +673,7 @@
                       (lease_client_.is_confirmed(now_) ? "yes" : "no");
     if (standing_) {
         out += std::string(" voter ") + text_of(standing_->stage);
-        if (!standing_->trouble.empty()) out += " trouble: " + standing_->trouble;
+        if (standing_->fault) out += " trouble: " + standing_->fault->text;
     }
     out += "\n";
     if (traffic) out += text_of(*traffic);
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -77,15 +77,8 @@
                                 ShutdownRequested, LocalObservations, SnapshotLoaded, SeedMembership>;
 
 // Effects. Send is one of them.
-struct VoterConfigChange {  // of a member among the voters
-    uint64_t name = 0;
-    bool in = false;  // or out
-    std::string member;
-};
 struct CallVoterAgent {
-    std::variant<std::pair<MemberIndex, DiskReport>, std::pair<MemberIndex, BootstrapConfig>, RaftMessage,
-                 Proposal, VoterConfigChange>
-        call;
+    VoterAgentCall call;
 };
 struct Publish {
     std::vector<Send> sends;
--- a/src/fleet/host.cpp
+++ b/src/fleet/host.cpp
@@ -14,8 +14,6 @@
 namespace
 {
 
-using net::to_timeval;
-
 constexpr const char* incarnation_file = "member";
 constexpr Span tick_every = seconds(0.05), voter_tick_every = seconds(0.02);
 
@@ -119,17 +117,7 @@
         lock.unlock();
         for (CallVoterAgent& c : calls) {
             const Point now = fleet_now();
-            if (auto* w = std::get_if<std::pair<MemberIndex, DiskReport>>(&c.call))
-                out(voter_agent.on_disk_report(now, w->first, w->second));
-            else if (auto* f = std::get_if<std::pair<MemberIndex, BootstrapConfig>>(&c.call))
-                out(voter_agent.founded(now, f->first, f->second));
-            else if (auto* r = std::get_if<RaftMessage>(&c.call))
-                out(voter_agent.raft(now, *r));
-            else if (auto* p = std::get_if<Proposal>(&c.call))
-                out(voter_agent.propose(now, *p));
-            else if (auto* o = std::get_if<VoterConfigChange>(&c.call))
-                out(o->in ? voter_agent.add_voter(now, o->name, o->member)
-                          : voter_agent.remove_voter(now, o->name, o->member));
+            out(voter_agent.handle(now, c.call));
         }
         if (const Point now = fleet_now(); now - tick >= voter_tick_every) {
             tick = now;
@@ -384,7 +372,7 @@
         if (n.epoch) line["number"] = n.epoch;
     }
     if (!n.why.empty()) line["why"] = n.why;
-    net::log_line(line.dump());
+    log_line(line.dump());
 }
 
 }  // namespace firtide::fleet
--- a/src/fleet/host.h
+++ b/src/fleet/host.h
@@ -38,8 +38,8 @@
     const FleetConfig& file_;
     FileSystem& files_;
     std::function<void(VoterAgentEffect)> said_;
-    net::Descriptor wakes_loop_;
-    net::Timer waking_;
+    Descriptor wakes_loop_;
+    Timer waking_;
     std::mutex mutex_;
     std::condition_variable more_;
     std::deque<CallVoterAgent> calls_;
@@ -126,7 +126,7 @@
     std::unique_ptr<VoterAgentThread> voter_agent_;
     std::unique_ptr<SnapshotWriter> keeper_;
     std::string kept_trouble_;
-    net::Timer ticking_;
+    Timer ticking_;
     std::deque<FleetEvent> events_;
     bool reducing_ = false;
     uint64_t stopped_at_gate_ = 0;
--- a/src/fleet/storage/file_system.h
+++ b/src/fleet/storage/file_system.h
@@ -1,11 +1,13 @@
-// The folder that a member keeps its files in. Errors are values: empty where all went well.
+// Storage of a member: a few named files in one directory. An interface, so that tests and the simulation can
+// make any call fail. Errors are values; a default-constructed std::error_code means success.
 #pragma once
 
 #include <optional>
 #include <string>
 #include <string_view>
 #include <system_error>
-#include <utility>
+
+#include "src/base/descriptor.h"
 
 namespace firtide::fleet
 {
@@ -14,28 +16,25 @@
 {
   public:
     virtual ~FileSystem() = default;
-    // The whole file; nothing where there is none.
-    virtual std::error_code read(const std::string& name, std::optional<std::string>& into) = 0;
-    // Behind what is there. After an error a part of the bytes may stand there.
-    virtual std::error_code append(const std::string& name, std::string_view bytes) = 0;
-    // What was appended is on the disk.
-    virtual std::error_code sync(const std::string& name) = 0;
-    // All or nothing, and on the disk: a new file is written, synced and takes the name.
-    virtual std::error_code replace(const std::string& name, std::string_view bytes) = 0;
+
+    // Reads a whole file; nothing where there is none.
+    [[nodiscard]] virtual std::error_code read(const std::string& name, std::optional<std::string>& into) = 0;
+    // Adds bytes to the end of a file. After an error a part of them may stand there.
+    [[nodiscard]] virtual std::error_code append(const std::string& name, std::string_view bytes) = 0;
+    // Returns once what was appended is on the disk.
+    [[nodiscard]] virtual std::error_code sync(const std::string& name) = 0;
+    // Replaces a file, all or nothing; on the disk when it returns.
+    [[nodiscard]] virtual std::error_code replace(const std::string& name, std::string_view bytes) = 0;
 };
 
-// A folder of the file system, locked for this process as long as it lives.
+// A directory of the operating system, locked for this process as long as the object lives. Its calls block
+// on the disk. Not thread-safe for one and the same file.
 class Directory : public FileSystem
 {
   public:
-    // Makes the folder where there is none. Fails where it can't be written, or another process has it.
-    static std::error_code open(const std::string& path, std::optional<Directory>& into);
-    Directory(Directory&& other) noexcept
-        : path_(std::move(other.path_)), lock_(std::exchange(other.lock_, -1))
-    {
-    }
-    Directory& operator=(Directory&&) = delete;
-    ~Directory() override;
+    // Creates the directory where there is none. Fails with operation_would_block where another process holds
+    // the lock.
+    [[nodiscard]] static std::error_code open(const std::string& path, std::optional<Directory>& into);
 
     std::error_code read(const std::string& name, std::optional<std::string>& into) override;
     std::error_code append(const std::string& name, std::string_view bytes) override;
@@ -43,11 +42,11 @@
     std::error_code replace(const std::string& name, std::string_view bytes) override;
 
   private:
-    Directory(std::string path, int lock) : path_(std::move(path)), lock_(lock) {}
-    std::string at(const std::string& name) const { return path_ + "/" + name; }
+    Directory(std::string path, Descriptor lock) : path_(std::move(path)), lock_(std::move(lock)) {}
+    std::string path_of(const std::string& name) const { return path_ + "/" + name; }
 
     std::string path_;
-    int lock_ = -1;
+    Descriptor lock_;
 };
 
 }  // namespace firtide::fleet
--- a/src/fleet/transport/duty_notifier.cpp
+++ b/src/fleet/transport/duty_notifier.cpp
@@ -12,8 +12,6 @@
 namespace
 {
 
-using net::to_timeval;
-
 constexpr Span answers_within = seconds(1);
 
 }  // namespace
@@ -22,10 +20,10 @@
 struct DutyNotifier::One {
     DutyNotifier* owner = nullptr;
     std::string address;
-    net::Stream stream;
+    Stream stream;
     bool connected = false;
     std::optional<What> out;  // told and not answered yet
-    std::optional<net::ResponseReader> reader;
+    std::optional<ResponseReader> reader;
 
     void end() { stream.reset(), connected = false, out.reset(); }
     void connect();
@@ -60,8 +58,8 @@
     if (!out || size == 0) return end();
     const auto state = reader->take({reinterpret_cast<const char*>(evbuffer_pullup(input, -1)), size});
     evbuffer_drain(input, size);
-    if (state == net::ResponseReader::State::more) return;
-    const bool well = state == net::ResponseReader::State::whole;
+    if (state == ResponseReader::State::more) return;
+    const bool well = state == ResponseReader::State::whole;
     const What told = *std::exchange(out, std::nullopt);
     const int status = well ? reader->response().status : 0;
     bufferevent_set_timeouts(stream.get(), nullptr, nullptr);
--- a/src/fleet/transport/messages.cpp
+++ b/src/fleet/transport/messages.cpp
@@ -114,7 +114,7 @@
     }
     std::memcpy(&head, text_.data() + at_, sizeof head);
     if (head.version != wire_version) return broken("another version of frames");
-    if (head.length > most_message) return broken("a frame that is too long");
+    if (head.length > max_frame_bytes) return broken("a frame that is too long");
     if (text_.size() - at_ - sizeof head < head.length) return State::more;
     const auto payload = std::string_view(text_).substr(at_ + sizeof head, head.length);
     if (checksum(head, payload) != head.checksum) return broken("a frame that was changed on its way");
--- a/src/fleet/transport/messages.h
+++ b/src/fleet/transport/messages.h
@@ -72,23 +72,32 @@
     std::string bytes;
     MSGPACK_DEFINE(from, to, writes, bytes)
 };
-// What a voter last heard of another's disk: a disk that knows less of itself is not the one that it was.
+// How many writes of a voter's disk another voter has seen: a disk that knows of fewer itself is not the one
+// that it was.
 struct SeenDisk {
     DiskId disk = 0;
     uint64_t writes = 0;
     MSGPACK_DEFINE(disk, writes)
 };
-struct DiskReport {  // of a voter, to the other voters
+// Of a voter, to the other voters.
+struct DiskReport {
     DiskId disk = 0;
-    uint8_t stage = 0;
+    uint8_t stage = 0;  // VoterStage
     uint64_t writes = 0;
-    std::vector<SeenDisk> seen;
-    MSGPACK_DEFINE(disk, stage, writes, seen)
+    std::vector<SeenDisk> seen_disks;
+    MSGPACK_DEFINE(disk, stage, writes, seen_disks)
 };
-struct BootstrapConfig {  // who votes, from the one voter that may say so
-    std::vector<std::pair<std::string, DiskId>> voters;
+struct BootstrapVoter {
+    std::string member;  // id
+    DiskId disk = 0;
+    MSGPACK_DEFINE(member, disk)
+};
+// Who votes in a new log, from the one voter that may bootstrap it.
+struct BootstrapConfig {
+    std::vector<BootstrapVoter> voters;
     MSGPACK_DEFINE(voters)
 };
+
 // ---- leases ----
 
 // An epoch of a duty that a member knows of.
@@ -282,7 +291,7 @@
                              EndpointDelta, EndpointDeltaRequest, EndpointSnapshotChunk>;
 
 inline constexpr uint32_t wire_version = 1;
-inline constexpr size_t most_message = 4 << 20;  // bytes
+inline constexpr size_t max_frame_bytes = 4 << 20;  // bytes
 
 // Lower ones go first, and last where a queue overflows.
 enum class Urgency : uint8_t { leases, members, news };
--- a/src/fleet/transport/peers.cpp
+++ b/src/fleet/transport/peers.cpp
@@ -17,9 +17,6 @@
 namespace
 {
 
-using net::monotonic_now;
-using net::to_timeval;
-
 constexpr size_t most_waiting =
     1 << 20;  // bytes for one member; one larger message fits where nothing else waits
 constexpr size_t most_handed_over =
@@ -46,7 +43,7 @@
 struct Peers::In {
     Peers* owner = nullptr;
     Place self;
-    net::Stream stream;
+    Stream stream;
     FrameReader reader;
     std::optional<MemberIndex> from;  // once it has greeted
 };
@@ -56,14 +53,14 @@
     Peers* owner = nullptr;
     MemberIndex to = 0;
     sockaddr_in address{};
-    net::Stream stream;
+    Stream stream;
     bool connected = false;
     uint32_t frames = 0;
     std::array<std::deque<Waiting>, 3> waiting;  // by urgency
     size_t bytes = 0;
     Span pause = first_pause;
     Point used;
-    net::Timer timer;
+    Timer timer;
     bool pausing = false;
 };
 
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -7,7 +7,7 @@
 #include <cstdio>
 #include <utility>
 
-namespace firtide::net
+namespace firtide
 {
 namespace
 {
@@ -236,7 +236,8 @@
     rest_.erase(0, at_);
     at_ = 0;
     used_ = bytes.size();
-    if (!ok || come_ > most_message || head_bytes_ > most_head || rest_.size() > most_head + most_body)
+    if (!ok || come_ > max_message_bytes || head_bytes_ > max_head_bytes ||
+        rest_.size() > max_head_bytes + max_buffered_body_bytes)
         return State::malformed;
     if (part_ != Part::done) return State::more;
     used_ -= rest_.size();
@@ -246,14 +247,15 @@
 
 bool MessageReader::large() const
 {
-    return head_read() && (come_ > most_body || (part_ != Part::done && length_.value_or(0) > most_body));
+    return head_read() && (come_ > max_buffered_body_bytes ||
+                           (part_ != Part::done && length_.value_or(0) > max_buffered_body_bytes));
 }
 
 std::optional<std::string_view> MessageReader::line()
 {
     const auto end = rest_.find('\n', at_);
     if (end == std::string::npos) {
-        if (rest_.size() - at_ > most_head) head_bytes_ = most_head + 1;
+        if (rest_.size() - at_ > max_head_bytes) head_bytes_ = max_head_bytes + 1;
         return {};
     }
     auto text = std::string_view(rest_).substr(at_, end - at_);
@@ -266,7 +268,7 @@
 // One part further; false where there is not enough yet or something is wrong.
 bool MessageReader::step(bool& ok)
 {
-    if (head_bytes_ > most_head || come_ > most_message) return ok = false;
+    if (head_bytes_ > max_head_bytes || come_ > max_message_bytes) return ok = false;
     if (part_ == Part::to_the_end) {
         come_ += rest_.size() - at_;
         body().append(rest_, at_);
@@ -297,7 +299,7 @@
         }
         case Part::chunk_size: {
             const auto size = number<size_t>(trimmed(text->substr(0, text->find(';'))), 16);
-            if (!size || *size > most_message) return ok = false;
+            if (!size || *size > max_message_bytes) return ok = false;
             wanted_ = *size;
             part_ = wanted_ > 0 ? Part::chunk : Part::trailers;
             return true;
@@ -329,7 +331,7 @@
 {
     wanted_ = length_.value_or(0);
     come_ = 0;
-    body().reserve(std::min(wanted_, most_body));
+    body().reserve(std::min(wanted_, max_buffered_body_bytes));
     part_ = chunked_ ? Part::chunk_size : wanted_ > 0 ? Part::body : Part::done;
 }
 
@@ -369,7 +371,7 @@
         part_ = Part::done;
         return true;
     }
-    if (length_.value_or(0) > most_message) return false;
+    if (length_.value_or(0) > max_message_bytes) return false;
     if (!length_ && !chunked_) {
         part_ = Part::to_the_end;
         return !keeps_;
@@ -383,8 +385,8 @@
 size_t RequestReader::still_to_come() const
 {
     if (part_ == Part::first_line || part_ == Part::headers) return 0;
-    return std::min(most_body, chunked_ ? most_body : length_.value_or(0)) -
-           std::min(most_body, request_.body.size());
+    return std::min(max_buffered_body_bytes, chunked_ ? max_buffered_body_bytes : length_.value_or(0)) -
+           std::min(max_buffered_body_bytes, request_.body.size());
 }
 
 bool RequestReader::refuse(int status, const char* why)
@@ -418,7 +420,7 @@
 
 bool RequestReader::head_done()
 {
-    if (length_.value_or(0) > most_message) return refuse(413, "too much");
+    if (length_.value_or(0) > max_message_bytes) return refuse(413, "too much");
     if (!asks_whether_ready())
         if (const auto bad = decode_request(*setup_, std::move(headers_), request_))
             return refuse(bad->status, bad->why);
@@ -426,4 +428,4 @@
     return true;
 }
 
-}  // namespace firtide::net
+}  // namespace firtide
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -10,13 +10,14 @@
 
 #include "src/balance/decode_settings.h"
 
-namespace firtide::net
+namespace firtide
 {
 
-inline constexpr size_t most_body = 64 * 1024;            // taken in whole; beyond, passed on in pieces
-inline constexpr size_t most_untold = 8 * 1024;           // the same of an answer whose length is not told
-inline constexpr size_t most_message = size_t{40} << 20;  // in all
-inline constexpr size_t most_head = 16 * 1024;
+inline constexpr size_t max_buffered_body_bytes = 64 * 1024;  // taken in whole; beyond, passed on in pieces
+inline constexpr size_t max_buffered_unsized_bytes =
+    8 * 1024;  // the same of an answer whose length is not told
+inline constexpr size_t max_message_bytes = size_t{40} << 20;  // in all
+inline constexpr size_t max_head_bytes = 16 * 1024;
 
 using Headers = std::vector<std::pair<std::string, std::string>>;
 
@@ -90,8 +91,8 @@
     bool large() const;
     std::string take_piece() { return std::exchange(body(), {}); }
     std::optional<size_t> length() const { return length_; }
-    size_t come() const { return come_; }                                                     // of the body
-    size_t still_due() const { return done() ? 0 : length_.value_or(most_message) - come_; }  // at most
+    size_t come() const { return come_; }  // of the body
+    size_t still_due() const { return done() ? 0 : length_.value_or(max_message_bytes) - come_; }  // at most
     bool done() const { return part_ == Part::done; }
     // The connection has ended without a fault: whether that is the message's end.
     bool ends_here() const { return part_ == Part::to_the_end; }
@@ -169,4 +170,4 @@
     bool expects_ = false, old_ = false;
 };
 
-}  // namespace firtide::net
+}  // namespace firtide
--- a/src/io/event.h
+++ b/src/io/event.h
@@ -3,15 +3,15 @@
 
 #include <event2/bufferevent.h>
 #include <event2/event.h>
-#include <unistd.h>
 
 #include <chrono>
 #include <memory>
 #include <utility>
 
+#include "src/base/descriptor.h"
 #include "src/base/time.h"
 
-namespace firtide::net
+namespace firtide
 {
 
 template <auto free>
@@ -27,27 +27,6 @@
 using Timer = std::unique_ptr<event, Freed<event_free>>;
 using Stream = std::unique_ptr<bufferevent, Freed<bufferevent_free>>;
 
-// A descriptor of its own.
-class Descriptor
-{
-  public:
-    explicit Descriptor(int fd = -1) : fd_(fd) {}
-    Descriptor(Descriptor&& other) noexcept : fd_(std::exchange(other.fd_, -1)) {}
-    Descriptor& operator=(Descriptor&& other) noexcept
-    {
-        std::swap(fd_, other.fd_);
-        return *this;
-    }
-    ~Descriptor()
-    {
-        if (fd_ >= 0) ::close(fd_);
-    }
-    int fd() const { return fd_; }
-
-  private:
-    int fd_;
-};
-
 inline timeval to_timeval(Span span)
 {
     const auto us = span.us < 0 ? 0 : span.us;
@@ -61,4 +40,4 @@
     return {duration_cast<microseconds>(steady_clock::now().time_since_epoch()).count()};
 }
 
-}  // namespace firtide::net
+}  // namespace firtide
--- a/src/io/log.cpp
+++ b/src/io/log.cpp
@@ -3,7 +3,7 @@
 #include <event2/event.h>
 #include <spdlog/sinks/stdout_sinks.h>
 
-namespace firtide::net
+namespace firtide
 {
 
 bool start_log(const std::string& name, const std::string& level)
@@ -32,4 +32,4 @@
     if (spdlog::should_log(spdlog::level::info)) log->info(line);
 }
 
-}  // namespace firtide::net
+}  // namespace firtide
--- a/src/io/log.h
+++ b/src/io/log.h
@@ -6,7 +6,7 @@
 
 #include <string>
 
-namespace firtide::net
+namespace firtide
 {
 
 // Levels: debug, info, warn, error. False where there is no such level.
@@ -15,4 +15,4 @@
 // A line as it stands, for what other programs read; where the level takes in info.
 void log_line(const std::string& line);
 
-}  // namespace firtide::net
+}  // namespace firtide
--- a/src/net/config.cpp
+++ b/src/net/config.cpp
@@ -153,7 +153,7 @@
     }
     // Half of what the program itself and one answer on each upstream's connection leave: a body stands here
     // twice for a moment, as it came and as it goes on.
-    const size_t own = (own_mb << 20) + out.descriptors * 4 / 10 * most_body;
+    const size_t own = (own_mb << 20) + out.descriptors * 4 / 10 * max_buffered_body_bytes;
     out.bodies = std::max(least_bodies, ((memory_mb << 20) - std::min(memory_mb << 20, own)) / 2);
     const auto settings = in.find("settings");
     if (settings == in.end() || !settings->is_object())
--- a/src/net/downstream_server.cpp
+++ b/src/net/downstream_server.cpp
@@ -241,7 +241,7 @@
     if (state == RequestReader::State::whole) return request_received(at, false);
     if (at->reader.large()) {
         bufferevent_setwatermark(at->stream.get(), EV_READ, 0, read_at_once);
-        if (request.body.size() >= most_body) return request_received(at, true);
+        if (request.body.size() >= max_buffered_body_bytes) return request_received(at, true);
     }
     if (at->reader.expects_word() && request.body.empty())
         bufferevent_write(at->stream.get(), "HTTP/1.1 100 Continue\r\n\r\n", 25), at->reader.word_given();
--- a/src/net/upstream_pool.cpp
+++ b/src/net/upstream_pool.cpp
@@ -354,7 +354,7 @@
         if (auto piece = at->reader.take_piece(); !piece.empty())
             tell_(ResponseChunkReceived{at->attempt, std::move(piece), false});
     } else if (at->reader.length() ? at->reader.large() && at->reader.come() > 0
-                                   : at->reader.come() > most_untold) {
+                                   : at->reader.come() > max_buffered_unsized_bytes) {
         // Guards against gathering an answer of no stated length, piece by piece, until its time is up.
         at->passed_on = true;
         wait_for(at, moves_within);
--- a/tests/compatibility.cpp
+++ b/tests/compatibility.cpp
@@ -46,27 +46,27 @@
 {
     place("voter.log");
     Store store(disk_);
-    ASSERT_EQ(store.open("edge", "m-1", 9), OpenResult::whole);
+    ASSERT_EQ(store.open("edge", "m-1", 9), OpenResult::intact);
     EXPECT_EQ(store.owner(), (StoreOwner{"edge", "m-1", 12941553096165680594u}));
-    EXPECT_EQ(store.kept().term, 1u);
-    EXPECT_EQ(store.kept().vote, 0u);
-    EXPECT_EQ(store.kept().writes, 604u);
-    EXPECT_EQ(store.written(), 604u);
-    EXPECT_EQ(store.bytes(), 8235u);
-    const Snapshot& snapshot = store.kept().snapshot;
+    EXPECT_EQ(store.state().term, 1u);
+    EXPECT_EQ(store.state().vote, 0u);
+    EXPECT_EQ(store.state().writes, 604u);
+    EXPECT_EQ(store.synced_writes(), 604u);
+    EXPECT_EQ(store.file_bytes(), 8235u);
+    const LogSnapshot& snapshot = store.state().snapshot;
     EXPECT_EQ(snapshot.index, 512u);
     EXPECT_EQ(snapshot.term, 1u);
-    EXPECT_EQ(snapshot.voters_index, 1u);
-    EXPECT_EQ(snapshot.voters.size(), 37u);
+    EXPECT_EQ(snapshot.configuration_index, 1u);
+    EXPECT_EQ(snapshot.configuration.size(), 37u);
 }
 
 TEST_F(StoredVoter, HasTheLeasesOfItsSnapshot)
 {
     place("voter.log");
     Store store(disk_);
-    ASSERT_EQ(store.open("edge", "m-1", 9), OpenResult::whole);
+    ASSERT_EQ(store.open("edge", "m-1", 9), OpenResult::intact);
     LeaseTable table;
-    ASSERT_TRUE(table.decode(store.kept().snapshot.bytes));
+    ASSERT_TRUE(table.decode(store.state().snapshot.data));
     EXPECT_EQ(table.version(), 511u);
     ASSERT_EQ(table.entries().size(), 1u);
     EXPECT_EQ(table.entry("reports"), (LeaseTable::Entry{key_of("m-2"), 355, 256, "handed over", true}));
@@ -77,10 +77,10 @@
 {
     place("voter.log");
     Store store(disk_);
-    ASSERT_EQ(store.open("edge", "m-1", 9), OpenResult::whole);
-    const PersistentState& kept = store.kept();
-    EXPECT_EQ(kept.first, 449u);
-    EXPECT_EQ(kept.last(), 601u);
+    ASSERT_EQ(store.open("edge", "m-1", 9), OpenResult::intact);
+    const PersistentState& kept = store.state();
+    EXPECT_EQ(kept.first_index, 449u);
+    EXPECT_EQ(kept.last_index(), 601u);
     ASSERT_EQ(kept.entries.size(), 153u);
     for (const LogEntry& entry : kept.entries) {
         EXPECT_EQ(entry.term, 1u);
@@ -119,9 +119,9 @@
     }
     ASSERT_TRUE(status);
     EXPECT_EQ(status->stage, VoterStage::voting);
-    EXPECT_EQ(status->standing.role, RaftRole::leader);
+    EXPECT_EQ(status->raft.role, RaftRole::leader);
     EXPECT_EQ(status->disk, 12941553096165680594u);
-    EXPECT_EQ(status->standing.seats, (std::vector<VoterConfig>{{12941553096165680594u, "m-1", true}}));
+    EXPECT_EQ(status->raft.voters, (std::vector<VoterConfig>{{12941553096165680594u, "m-1", true}}));
     ASSERT_TRUE(table);
     EXPECT_EQ(table->version(), 600u);
     EXPECT_EQ(table->entry("reports"), (LeaseTable::Entry{key_of("m-2"), 399, 300, "nobody held it", false}));
@@ -132,14 +132,14 @@
 {
     place("voter-records.log");
     Store store(disk_);
-    ASSERT_EQ(store.open("edge", "m-1", 8), OpenResult::whole);
-    const PersistentState& kept = store.kept();
+    ASSERT_EQ(store.open("edge", "m-1", 8), OpenResult::intact);
+    const PersistentState& kept = store.state();
     EXPECT_EQ(store.owner().disk, 7u);
     EXPECT_EQ(kept.term, 3u);
     EXPECT_EQ(kept.vote, 9u);
     EXPECT_EQ(kept.writes, 10u);
-    EXPECT_EQ(kept.snapshot, (Snapshot{2, 1, "voters", 1, "table"}));
-    EXPECT_EQ(kept.first, 2u);
+    EXPECT_EQ(kept.snapshot, (LogSnapshot{2, 1, "voters", 1, "table"}));
+    EXPECT_EQ(kept.first_index, 2u);
     const std::deque<LogEntry> entries{{1, 1, std::string(60, 'x')}, {3, 1, "two"}, {3, 2, ""}};
     EXPECT_EQ(kept.entries, entries);
 }
--- a/tests/fleet_store.cpp
+++ b/tests/fleet_store.cpp
@@ -26,12 +26,12 @@
     std::printf("at first: %s\n", text_of(store.open("edge", "a", 7)));
     const auto sync = [&] {
         if (!store.sync()) std::printf("SYNC FAILED\n");
-        said.push_back({store.bytes(), store.kept()});
+        said.push_back({store.file_bytes(), store.state()});
     };
     sync();
-    store.term_is(1, 0), sync();
+    store.set_term(1, 0), sync();
     store.append({{1, 1, "one"}, {1, 1, std::string(60, 'x')}}), sync();
-    store.term_is(3, 9), sync();
+    store.set_term(3, 9), sync();
     store.truncate(2);
     store.append({{3, 1, "two"}, {3, 2, ""}}), sync();
     return said;
@@ -50,7 +50,7 @@
     (void)disk.replace(file, bytes);
     Store store(disk);
     const auto opened = store.open("edge", member, 8);
-    kept = store.kept();
+    kept = store.state();
     return opened;
 }
 
@@ -59,19 +59,19 @@
     for (const char* what : {"full", "broken"}) {
         simulation::Disk disk;
         Store store(disk);
-        store.open("edge", "a", 7);
-        store.term_is(1, 0);
+        (void)store.open("edge", "a", 7);
+        store.set_term(1, 0);
         (void)store.sync();
         (what[0] == 'f' ? disk.full : disk.broken) = true;
-        store.term_is(2, 5);
+        store.set_term(2, 5);
         const bool well = store.sync();
         disk.full = disk.broken = false;
         std::printf("%s: %s, and then %s: %s\n", what, well ? "well" : "failed",
-                    store.sync() ? "well" : "still failed", store.error().c_str());
+                    store.sync() ? "well" : "still failed", store.error()->text().c_str());
         Store again(disk);
         const auto opened = again.open("edge", "a", 8);
         std::printf("  opened again: %s, term %llu, disk %llu\n", text_of(opened),
-                    static_cast<unsigned long long>(again.kept().term),
+                    static_cast<unsigned long long>(again.state().term),
                     static_cast<unsigned long long>(again.owner().disk));
     }
 }
@@ -89,7 +89,7 @@
         PersistentState kept;
         const auto opened = open(whole.substr(0, cut), kept);
         ++seen[text_of(opened)];
-        if (opened != OpenResult::whole && opened != OpenResult::cut) continue;
+        if (opened != OpenResult::intact && opened != OpenResult::truncated) continue;
         // No more than was written, no less than was acknowledged with so many bytes.
         const Said* last = nullptr;
         for (const Said& s : said)
@@ -108,8 +108,8 @@
         const auto opened = open(bytes, kept);
         ++seen[text_of(opened)];
         // What can't be told from half a record at the end knows of fewer records: other voters tell.
-        if (opened == OpenResult::whole || opened == OpenResult::fresh) ++wrong;
-        if (opened == OpenResult::cut && kept.writes >= said.back().kept.writes) ++wrong;
+        if (opened == OpenResult::intact || opened == OpenResult::fresh) ++wrong;
+        if (opened == OpenResult::truncated && kept.writes >= said.back().kept.writes) ++wrong;
     }
     std::printf("each bit turned: %zu wrong\n", wrong);
     for (const auto& [what, n] : seen) std::printf("  %s%s\n", what.c_str(), n ? "" : " never");
@@ -119,15 +119,15 @@
         simulation::Disk small;
         (void)small.replace(file, whole);
         Store store(small);
-        store.open("edge", "a", 8);
-        const auto before = store.kept().writes;
-        const bool well = store.snapshot_is({3, 3, "v", 1, "table"}, 1);
+        (void)store.open("edge", "a", 8);
+        const auto before = store.state().writes;
+        const bool well = store.install_snapshot({3, 3, "v", 1, "table"}, 1);
         std::printf("a snapshot: %s, entries from %llu to %llu, the count goes on: %s\n",
-                    well ? "well" : "failed", static_cast<unsigned long long>(store.kept().first),
-                    static_cast<unsigned long long>(store.kept().last()),
-                    store.kept().writes > before ? "yes" : "no");
-        const auto held = store.kept();
-        std::printf("  read again: %s\n", open(bytes_of(small), kept) == OpenResult::whole && kept == held
+                    well ? "well" : "failed", static_cast<unsigned long long>(store.state().first_index),
+                    static_cast<unsigned long long>(store.state().last_index()),
+                    store.state().writes > before ? "yes" : "no");
+        const auto held = store.state();
+        std::printf("  read again: %s\n", open(bytes_of(small), kept) == OpenResult::intact && kept == held
                                               ? "the same"
                                               : "OTHERWISE");
     }
--- a/tests/latency.cpp
+++ b/tests/latency.cpp
@@ -226,7 +226,7 @@
     uint16_t port() const { return ntohs(address_.sin_port); }
 
   private:
-    net::Descriptor socket_;
+    Descriptor socket_;
     sockaddr_in address_{};
 };
 
