--- a/scale/cluster.cpp
+++ b/scale/cluster.cpp
@@ -9,7 +9,7 @@
 #include <fstream>
 
 #include "fault_injection/client_call.h"
-#include "src/fleet/host.h"
+#include "src/fleet/host/host.h"
 
 namespace firtide::scale
 {
--- a/scale/hollow_process.cpp
+++ b/scale/hollow_process.cpp
@@ -10,8 +10,8 @@
 #include <sstream>
 
 #include "line_stream.h"
-#include "src/fleet/commands.h"
-#include "src/fleet/host.h"
+#include "src/fleet/host/commands.h"
+#include "src/fleet/host/host.h"
 #include "src/io/log.h"
 #include "src/net/discovery.h"
 #include "traffic_meter.h"
@@ -46,10 +46,10 @@
     {
         if (host_) end();
         fleet::Host::Hooks hooks;
-        hooks.use_list = [this](const fleet::ApplyEndpointList& list) {
+        hooks.apply_endpoint_list = [this](const fleet::ApplyEndpointList& list) {
             report_(ListInForce{file_.self, list.version, fleet::fleet_now()});
         };
-        hooks.ask_discovery = [this](bool on) { ask_discovery(on); };
+        hooks.set_discovery_polling = [this](bool on) { ask_discovery(on); };
         host_.emplace(base_, file_, path_, std::move(hooks));
         host_->start();
     }
@@ -57,7 +57,7 @@
     void leave()
     {
         if (!host_) return;
-        host_->tell(fleet::ShutdownRequested{});
+        host_->notify(fleet::ShutdownRequested{});
         const auto wait = to_timeval(leaves_within);
         event_add(leaving_.get(), &wait);
     }
@@ -68,7 +68,7 @@
     {
         if (!host_) return;
         const auto& seen = host_->fleet();
-        const auto alive = static_cast<uint32_t>(seen.members().alive());
+        const auto alive = static_cast<uint32_t>(seen.membership().alive());
         uint32_t held = 0;
         for (const auto& duty : file_.duties) held += seen.lease_client().table().entry(duty.name).holder != 0;
         view.least_alive = view.members == 0 ? alive : std::min(view.least_alive, alive);
@@ -103,11 +103,11 @@
         const auto source = net::text_of(config_.discovery);
         if (file_.deltas)
             return discovery_->tell_lines([this, source](uint64_t version, auto lines, auto uids) {
-                host_->tell(
+                host_->notify(
                     fleet::EndpointListFetched{source, version, "", std::move(lines), std::move(uids)});
             });
         discovery_->tell_whole([this, source](uint64_t version, std::string text) {
-            host_->tell(fleet::EndpointListFetched{source, version, std::move(text), nullptr, {}});
+            host_->notify(fleet::EndpointListFetched{source, version, std::move(text), nullptr, {}});
         });
     }
 
--- a/scale/run.cpp
+++ b/scale/run.cpp
@@ -16,7 +16,7 @@
 #include "estimate.h"
 #include "layout.h"
 #include "socket_segments.h"
-#include "src/fleet/host.h"
+#include "src/fleet/host/host.h"
 
 namespace firtide::scale
 {
--- a/simulation/randomized_run.cpp
+++ b/simulation/randomized_run.cpp
@@ -23,7 +23,7 @@
     for (size_t i = 0; i < w.size(); ++i) {
         const EndpointReplica& replica = *w.fleet(i).replica();
         if (replica.revision() != published.revision() || replica.digest() != published.digest() ||
-            w.shown_list(i) != published.lines())
+            w.shown_list(i) != published.texts())
             return "m" + std::to_string(i + 1) + " has not the holder's list long after all has healed";
     }
     return "";
--- a/simulation/scale.cpp
+++ b/simulation/scale.cpp
@@ -129,7 +129,7 @@
 {
     changed_at_.assign(first_version + 1, cluster_.now());
     cluster_.discovery_is(first_version,
-                          whole_list_text(first_version, cluster_.discovery_lines(first_version)));
+                          full_list_text(first_version, cluster_.discovery_lines(first_version)));
     cluster_.on_effect = [this](size_t node, FleetEffect& effect) {
         if (const auto* use = std::get_if<ApplyEndpointList>(&effect)) list_in_use(node, use->version);
     };
@@ -149,7 +149,7 @@
     const uint64_t version = changed_at_.size();
     changed_at_.push_back(cluster_.now());
     cluster_.discovery_is(
-        version, plan_.deltas ? std::string() : whole_list_text(version, cluster_.discovery_lines(version)));
+        version, plan_.deltas ? std::string() : full_list_text(version, cluster_.discovery_lines(version)));
 }
 
 // Of a Poisson process: changes keep no step with the times at which discovery is asked.
@@ -299,9 +299,9 @@
     for (size_t i = 0; i < plan_.members; ++i) {
         if (!cluster_.up(i)) continue;
         if (!first) first = i;
-        const Membership& members = cluster_.fleet(i).members();
+        const Membership& members = cluster_.fleet(i).membership();
         if (members.alive() != up || members_[i].list < version) return false;
-        if (members.digest() != cluster_.fleet(*first).members().digest()) return false;
+        if (members.digest() != cluster_.fleet(*first).membership().digest()) return false;
     }
     return true;
 }
--- a/simulation/service_simulation.cpp
+++ b/simulation/service_simulation.cpp
@@ -39,7 +39,7 @@
     std::set<size_t> broken_roads, liar_about;
     std::vector<size_t> without;
     size_t shown = 0;
-    uint32_t wider = 0;
+    uint32_t widening = 0;
     uint64_t served = 0, second_tries = 0;
 };
 
@@ -67,18 +67,18 @@
     since_ = cluster_.now();
     cluster_.on_effect = [this](size_t node, FleetEffect& e) {
         if (auto* uses = std::get_if<ApplySubsetPeers>(&e)) {
-            tell(node, net::SubsetPeersUpdated{std::move(uses->sharers)});
+            tell(node, net::SubsetPeersUpdated{std::move(uses->peers)});
         } else if (auto* signals = std::get_if<ApplyOutlierReports>(&e)) {
-            tell(node, net::OutlierReportsUpdated{std::move(signals->results)});
+            tell(node, net::OutlierReportsUpdated{std::move(signals->verdicts)});
         } else if (auto* memory = std::get_if<ApplySnapshot>(&e)) {
-            tell(node, net::SnapshotRestored{std::move(memory->memory)});
+            tell(node, net::SnapshotRestored{std::move(memory->snapshot)});
         } else if (auto* state = std::get_if<ApplyFleetState>(&e)) {
             tell(node, net::FleetStateUpdated{state->state});
         } else if (auto* parts = std::get_if<ApplyQuotas>(&e)) {
             const Span apart = cluster_.now() - cluster_.clock_of(node);
-            for (QuotaLease& p : parts->parts)
-                p.full_until = p.full_until + apart, p.none_from = p.none_from + apart;
-            tell(node, net::QuotasUpdated{std::move(parts->parts)});
+            for (QuotaLease& p : parts->leases)
+                p.full_until = p.full_until + apart, p.expires = p.expires + apart;
+            tell(node, net::QuotasUpdated{std::move(parts->leases)});
         } else if (auto* sends = std::get_if<Send>(&e);
                    sends && std::get_if<OutlierDigest>(&sends->message)) {
             ++count.digests;
@@ -242,8 +242,8 @@
             cluster_.schedule(wake->at - cluster_.now(), b,
                               [this, b, name = wake->name] { tell(b, net::TimerFired{name}); });
         } else if (auto* observed = std::get_if<net::LocalObservations>(&e)) {
-            count.widened += observed->wider > n.wider, count.narrowed += observed->wider < n.wider;
-            n.shown = observed->shown, n.wider = observed->wider;
+            count.widened += observed->widening > n.widening, count.narrowed += observed->widening < n.widening;
+            n.shown = observed->shown, n.widening = observed->widening;
             for (const size_t u : n.liar_about) {
                 const uint64_t id = net::id_of("u" + std::to_string(u + 1));
                 std::erase_if(observed->evidence, [&](const OutlierEvidence& v) { return v.upstream == id; });
--- a/simulation/simulated_cluster.cpp
+++ b/simulation/simulated_cluster.cpp
@@ -242,7 +242,7 @@
 
 void SimulatedCluster::start_all_with_known_members()
 {
-    auto members = std::make_shared<std::vector<Membership::MemberState>>();
+    auto members = std::make_shared<std::vector<MemberState>>();
     for (size_t i = 0; i < size(); ++i) {
         start(i);
         members->push_back({nodes_[i]->incarnation, nodes_[i]->instance, Health::alive, 0});
@@ -363,7 +363,7 @@
 {
     std::vector<size_t> out;
     for (size_t i = 0; i < size(); ++i)
-        if (nodes_[i]->up && nodes_[i]->fleet->mine(clock_of(i), duty)) out.push_back(i);
+        if (nodes_[i]->up && nodes_[i]->fleet->holds(clock_of(i), duty)) out.push_back(i);
     return out;
 }
 
@@ -428,16 +428,16 @@
 void SimulatedCluster::act(size_t node, const LeasedEffect& a, Span travels)
 {
     Node& n = *nodes_[node];
-    if (options_.gate && !n.fleet->lease_allows(clock_of(node), a)) {
+    if (options_.gate && !n.fleet->lease_allows(clock_of(node), a.duty, a.epoch, a.duration)) {
         ++count.stopped_at_gate;
         return;
     }
     ++count.effects;
-    if (!n.fleet->mine(clock_of(node), a.duty))
+    if (!n.fleet->holds(clock_of(node), a.duty))
         breaks(n.file.id + " let an effect of " + a.duty + " leave without its lease");
-    if (const auto* publish = std::get_if<Publish>(&a.what)) {
+    if (const auto* publish = std::get_if<Publish>(&a.action)) {
         for (const Send& s : publish->sends) send(node, s);
-    } else if (const auto* told = std::get_if<NotifySubscriber>(&a.what)) {
+    } else if (const auto* told = std::get_if<NotifySubscriber>(&a.action)) {
         // To a receiver outside the fleet, that knows nothing but the epochs that it has met.
         later(travels + seconds(0.0002 + 0.002 * roll()), node,
               [this, node, duty = a.duty, epoch = a.epoch, number = told->number] {
@@ -455,7 +455,7 @@
                              " twice at one epoch");
                   taken = std::max(taken, {epoch, number});
               });
-    } else if (std::get_if<StartProbes>(&a.what)) {
+    } else if (std::get_if<StartProbes>(&a.action)) {
         ++count.probes;
     }
 }
@@ -551,7 +551,7 @@
             n.seen.reset();
             if (q->on && !was) later(seconds(0.005), node, [this, node] { ask_discovery(node); });
         } else if (auto* keep = std::get_if<WriteSnapshot>(&e)) {
-            n.memory = std::move(keep->memory);
+            n.memory = std::move(keep->snapshot);
         } else if (auto* u = std::get_if<ApplyEndpointList>(&e)) {
             use_list(node, *u);
         } else if (auto* r = std::get_if<Reply>(&e)) {
@@ -559,8 +559,8 @@
             note(n.file.id + " answers " + r->text.substr(0, r->text.find('\n')));
         } else if (auto* m = std::get_if<LogEvent>(&e)) {
             holders_changed(node, *m);
-            note(n.file.id + " " + m->event + " " + m->subject + " " + m->health +
-                 (m->epoch ? " " + std::to_string(m->epoch) : "") + (m->why.empty() ? "" : ": " + m->why));
+            note(n.file.id + " " + std::string(text_of(m->kind)) + " " + m->subject + " " + m->health +
+                 (m->number ? " " + std::to_string(m->number) : "") + (m->reason.empty() ? "" : ": " + m->reason));
         }
     }
 }
@@ -581,14 +581,14 @@
 
 void SimulatedCluster::holders_changed(size_t node, const LogEvent& noted)
 {
-    if (noted.event != "gained" && noted.event != "lost") return;
+    if (noted.kind != LogEvent::Kind::lease_gained && noted.kind != LogEvent::Kind::lease_lost) return;
     check_due_ = true;
     const auto at = watched_.find(noted.subject);
     if (at == watched_.end()) return;
     auto& candidates = at->second.candidates;
     size_t& candidate_of = nodes_[node]->candidate_of;
     candidate_of -= std::erase(candidates, node);
-    if (noted.event == "lost") return;
+    if (noted.kind == LogEvent::Kind::lease_lost) return;
     candidates.insert(std::upper_bound(candidates.begin(), candidates.end(), node), node);
     ++candidate_of;
 }
@@ -611,7 +611,7 @@
     for (auto& [duty, watched] : watched_) {
         std::vector<size_t> by;
         for (const size_t i : watched.candidates) {
-            if (!nodes_[i]->fleet->mine(clock_of(i), duty)) continue;
+            if (!nodes_[i]->fleet->holds(clock_of(i), duty)) continue;
             by.push_back(i);
             check_at_ = std::min(check_at_, lease_ends(i));
         }
--- a/src/fleet/config.cpp
+++ b/src/fleet/config.cpp
@@ -63,7 +63,7 @@
         const TomlTable table(one, where, {"name", "tell", "every"});
         Duty d{word(table, "name"), DutyKind::other, "",
                table.span("every", seconds(1), seconds(0.02), seconds(60)), table.place().line};
-        if (table.has("tell")) d.tell = table.endpoint("tell");
+        if (table.has("tell")) d.subscriber = table.endpoint("tell");
         if (!names.insert(d.name).second)
             wrong(table.name("name"), table.line("name"), "'" + d.name + "' is another duty's name too");
         for (const char* own : {"list", "probe", "drain", "parts"})
@@ -115,7 +115,7 @@
 void check_floor(const TomlTable& turns, const QuotaConfig& rule, size_t members, const std::string& budget,
                  double whole)
 {
-    if (rule.floor && *rule.floor * static_cast<double>(members) > whole * kept_for_floors)
+    if (rule.floor && *rule.floor * static_cast<double>(members) > whole * guaranteed_share)
         wrong("turns.floor", turns.line("floor"),
               "for each of " + std::to_string(members) + " members is more than the fifth of turns." +
                   budget + " that is kept for floors");
--- a/src/fleet/config.h
+++ b/src/fleet/config.h
@@ -36,7 +36,7 @@
 struct Duty {
     std::string name;
     DutyKind kind = DutyKind::other;
-    std::string tell;  // address of the program beside each balancer that is told of it; empty: none
+    std::string subscriber;  // address of the program beside each balancer that is notified; empty: none
     Span every = seconds(1);
     uint32_t line = 0;
 };
--- /dev/null
+++ b/src/fleet/duty_runner.cpp
@@ -0,0 +1,136 @@
+#include "duty_runner.h"
+
+#include <algorithm>
+
+namespace firtide::fleet
+{
+namespace
+{
+
+constexpr const char* drain_family = "drain";
+constexpr const char* drain_prefix = "drain.";
+
+// The number behind the dot: "probe.3".
+uint32_t part_of(const std::string& duty)
+{
+    return static_cast<uint32_t>(std::stoul(duty.substr(duty.find('.') + 1)));
+}
+
+}  // namespace
+
+void DutyRunner::tick()
+{
+    for (auto& [name, task] : tasks_) {
+        const auto duty = context_.config.duty_of(name);
+        if (duty && context_.now >= task.next) run(name, context_.config.duties[*duty], task);
+    }
+}
+
+void DutyRunner::run(const std::string& name, const Duty& duty, Task& task)
+{
+    if (duty.kind == DutyKind::probe)
+        start_probes(name, task);
+    else if (duty.kind == DutyKind::other && !duty.subscriber.empty())
+        notify_subscriber(name, duty, task);
+}
+
+void DutyRunner::start_probes(const std::string& name, Task& task)
+{
+    // Slices keep in step, though ticks come between their times.
+    const Span slice = context_.config.probe->every * (1.0 / probe_slices);
+    task.next = std::max(task.next, context_.now - slice) + slice;
+    context_.emit(LeasedEffect{name, task.epoch, probe_duration, StartProbes{part_of(name), task.slice}});
+    task.slice = (task.slice + 1) % probe_slices;
+}
+
+void DutyRunner::notify_subscriber(const std::string& name, const Duty& duty, Task& task)
+{
+    task.next = context_.now + duty.every;
+    const int64_t left_ms = context_.lease_client.time_left(context_.now).us / 1000;
+    context_.emit(
+        LeasedEffect{name, task.epoch, {}, NotifySubscriber{duty.subscriber, ++task.last_number, left_ms}});
+}
+
+void DutyRunner::on_lease_changed(const LeaseChange& change)
+{
+    const auto duty = context_.config.duty_of(change.duty);
+    if (!duty) return;
+    const DutyKind kind = context_.config.duties[*duty].kind;
+    const bool gained = change.kind == LeaseChange::Kind::gained;
+    if (gained) {
+        // The last holder's probes may still be out.
+        const Point first = kind == DutyKind::probe ? context_.now + probe_duration : context_.now;
+        tasks_[change.duty] = {change.epoch, 0, first, 0};
+    } else {
+        tasks_.erase(change.duty);
+    }
+    if (kind != DutyKind::drain) return;
+    if (gained)
+        on_permit_gained(change);
+    else
+        on_permit_lost();
+}
+
+void DutyRunner::on_probes_completed(ProbesCompleted& probes)
+{
+    if (context_.held_epoch(probes.duty) != probes.epoch) return;
+    broadcasts_.publish(broadcasts_.next(probes.duty, probes.epoch, std::move(probes.reports), 0));
+}
+
+void DutyRunner::on_effect_refused(const EffectRefused& refused)
+{
+    if (context_.held_epoch(refused.duty) == refused.epoch)
+        context_.lease_client.release(context_.now, refused.duty, "a receiver has met a higher epoch");
+}
+
+// ---- the permit to drain ----
+
+void DutyRunner::request_drain_permit(uint64_t caller)
+{
+    if (!context_.config.drain) return context_.reply(caller, "FAILURE the fleet file has no [drain]\n");
+    if (permit_caller_ || wants_permit_)
+        return context_.reply(caller, "FAILURE a turn is asked for, or taken, already\n");
+    permit_caller_ = caller;
+    wants_permit_ = true;
+    context_.lease_client.request(drain_family);
+}
+
+void DutyRunner::return_drain_permit()
+{
+    wants_permit_ = false;
+    context_.lease_client.cancel_request(drain_family);
+    if (permit_caller_) context_.reply(*std::exchange(permit_caller_, std::nullopt), "FAILURE called off\n");
+    for (const auto& [duty, epoch] : context_.lease_client.held_duties(context_.now))
+        if (duty.starts_with(drain_prefix))
+            context_.lease_client.release(context_.now, duty, "its turn is over");
+}
+
+// Whoever waited for a permit and is gone needs none.
+void DutyRunner::on_admin_disconnected(uint64_t caller)
+{
+    if (permit_caller_ != caller) return;
+    permit_caller_.reset();
+    wants_permit_ = false;
+    context_.lease_client.cancel_request(drain_family);
+}
+
+void DutyRunner::on_permit_gained(const LeaseChange& change)
+{
+    if (!wants_permit_)
+        return context_.lease_client.release(context_.now, change.duty, "nobody waits for it any more");
+    context_.emit(LeasedEffect{change.duty, change.epoch, {}, StartDrain{}});
+    if (permit_caller_)
+        context_.reply(*std::exchange(permit_caller_, std::nullopt),
+                       "SUCCESS draining at epoch " + std::to_string(change.epoch) + "\n");
+}
+
+// Another member may have the permit before long: no more may drain at a time than is allowed.
+void DutyRunner::on_permit_lost()
+{
+    if (!wants_permit_) return;
+    wants_permit_ = false;
+    context_.lease_client.cancel_request(drain_family);
+    context_.emit(EndDrain{});
+}
+
+}  // namespace firtide::fleet
--- a/src/fleet/endpoints/endpoint_distribution.cpp
+++ b/src/fleet/endpoints/endpoint_distribution.cpp
@@ -7,157 +7,157 @@
 namespace
 {
 
-constexpr size_t most_snapshot_bytes = 32 << 20;
-constexpr uint32_t most_attempts = 3;    // at one chunk, before another member is asked for all of them
-constexpr Span keep_offer = seconds(5);  // after it was last asked for
-constexpr double wait_to_publish = 3;    // times `repair`
-constexpr double wait_while_empty = 1;   // the same, where nobody is known to have a list
+constexpr size_t max_snapshot_bytes = 32 << 20;
+constexpr uint32_t max_attempts = 3;         // at one chunk, before another member is asked for all of them
+constexpr Span offer_lifetime = seconds(5);  // after it was last asked for
+constexpr double wait_to_publish = 3;        // times `repair`
+constexpr double wait_while_empty = 1;       // the same, where nobody is known to have a list
 
 }  // namespace
 
 // ---- from discovery ----
 
 std::vector<EndpointDelta> EndpointDistribution::publish(Epoch epoch, const EndpointListVersion& version,
-                                                         const EndpointTexts& lines,
+                                                         const EndpointTexts& texts,
                                                          const std::optional<std::vector<std::string>>& uids)
 {
-    const bool follows = uids && followed_ == replica_.revision() && !wants_whole_;
-    EndpointChanges changes = follows ? replica_.difference(lines, *uids) : replica_.difference(lines);
-    drop_own();
+    const bool follows = uids && followed_ == replica_.revision() && !needs_snapshot_;
+    EndpointChanges changes = follows ? replica_.difference(texts, *uids) : replica_.difference(texts);
+    drop_local();
     const bool first = replica_.revision().epoch != epoch;
     const bool unchanged = changes.empty() && version == replica_.version() && !replica_.partial();
     std::vector<EndpointDelta> deltas;
     if (first || !unchanged) {
-        touch(changes);
+        mark_changed(changes);
         deltas = replica_.publish(epoch, version, std::move(changes));
-        untold_ = true;
+        unreported_ = true;
     }
     passed_on_ = replica_.revision();
     followed_ = replica_.revision();
-    wants_whole_ = false;
+    needs_snapshot_ = false;
     forget_reached();
     return deltas;
 }
 
-void EndpointDistribution::use_own(const EndpointListVersion& version, const EndpointTexts& lines)
+void EndpointDistribution::use_local(const EndpointListVersion& version, const EndpointTexts& texts)
 {
-    drop_own();
+    drop_local();
     followed_.reset();
-    untold_ = true;
-    if (version == replica_.version() && !replica_.partial() && replica_.lines() == lines) return;
-    OwnList own{version, {}};
-    const EndpointChanges changes = replica_.difference(lines);
-    touch(changes);
+    unreported_ = true;
+    if (version == replica_.version() && !replica_.partial() && replica_.texts() == texts) return;
+    LocalList own{version, {}};
+    const EndpointChanges changes = replica_.difference(texts);
+    mark_changed(changes);
     for (const EndpointEntry& entry : changes.changed) own.differences[entry.uid] = entry.text;
     for (const std::string& uid : changes.removed) own.differences[uid] = std::nullopt;
-    own_ = std::move(own);
+    local_ = std::move(own);
 }
 
-void EndpointDistribution::drop_own()
+void EndpointDistribution::drop_local()
 {
-    if (!own_) return;
-    for (const auto& [uid, text] : own_->differences) touched_.insert(uid);
-    own_.reset();
-    untold_ = true;
+    if (!local_) return;
+    for (const auto& [uid, text] : local_->differences) changed_uids_.insert(uid);
+    local_.reset();
+    unreported_ = true;
 }
 
 bool EndpointDistribution::must_wait_to_publish(Point now, Epoch epoch, Point gained) const
 {
     if (replica_.revision().epoch == epoch) return false;
-    const bool progresses = assembly_ && asked_ && now - asked_->at < rule_.repair;
+    const bool progresses = assembly_ && pending_request_ && now - pending_request_->at < config_.repair;
     if (progresses) return true;
-    if (behind()) return now - gained < rule_.repair * wait_to_publish;
-    return replica_.revision() == EndpointRevision{} && now - gained < rule_.repair * wait_while_empty;
+    if (behind()) return now - gained < config_.repair * wait_to_publish;
+    return replica_.revision() == EndpointRevision{} && now - gained < config_.repair * wait_while_empty;
 }
 
 // ---- deltas ----
 
-EndpointDistribution::MessageReceived EndpointDistribution::hear(Point now, MemberIndex from,
-                                                                 const EndpointDelta& delta)
+EndpointDistribution::Reaction EndpointDistribution::handle(Point now, MemberIndex from,
+                                                            const EndpointDelta& delta)
 {
     if (delta.answer) {
-        if (!asked_ || asked_->member != from) return {};
-        asked_->answered = true;
+        if (!pending_request_ || pending_request_->member != from) return {};
+        pending_request_->answered = true;
     }
     // Once for each revision, also where it came too early: others may lack nothing but this one.
     const bool pass_on = !delta.answer && delta.to > passed_on_;
     if (pass_on) passed_on_ = delta.to;
     const EndpointChanges changes{delta.changed, delta.removed};
-    keep_own_of(changes);
+    keep_local_of(changes);
     switch (replica_.apply(delta)) {
         case EndpointReplica::Result::applied:
         case EndpointReplica::Result::adopted: break;
-        case EndpointReplica::Result::diverged: wants_whole_ = true; [[fallthrough]];
+        case EndpointReplica::Result::diverged: needs_snapshot_ = true; [[fallthrough]];
         case EndpointReplica::Result::behind:
             newer_[from] = delta.to;
-            ask_if_due(now, from);
+            request_if_due(now, from);
             return {pass_on, false};
         case EndpointReplica::Result::stale:
         case EndpointReplica::Result::older: return {pass_on, false};
     }
-    touch(changes);
+    mark_changed(changes);
     forget_reached();
-    drop_own_if_reached(!delta.answer);
-    if (delta.more) ask(now, from);
-    return {pass_on, !own_ && !delta.partial && !delta.more};
+    drop_local_if_reached(!delta.answer);
+    if (delta.more) request(now, from);
+    return {pass_on, !local_ && !delta.partial && !delta.more};
 }
 
 // The balancer goes on with its own, newer list while the fleet's changes below it.
-void EndpointDistribution::keep_own_of(const EndpointChanges& changes)
+void EndpointDistribution::keep_local_of(const EndpointChanges& changes)
 {
-    if (!own_) return;
+    if (!local_) return;
     const auto keep = [&](const std::string& uid) {
-        const auto* line = line_of(uid);
-        own_->differences.emplace(uid, line ? std::optional(*line) : std::nullopt);
+        const auto* line = text_of_uid(uid);
+        local_->differences.emplace(uid, line ? std::optional(*line) : std::nullopt);
     };
     for (const EndpointEntry& entry : changes.changed) keep(entry.uid);
     for (const std::string& uid : changes.removed) keep(uid);
 }
 
 // A repair may come from a member that is itself behind: there numbers decide, whatever their source.
-void EndpointDistribution::drop_own_if_reached(bool by_holder)
+void EndpointDistribution::drop_local_if_reached(bool by_holder)
 {
-    if (!own_ || replica_.partial()) return;
-    const bool older = by_holder ? replica_.version().older_than(own_->version)
-                                 : replica_.version().number < own_->version.number;
-    if (!older) drop_own();
+    if (!local_ || replica_.partial()) return;
+    const bool older = by_holder ? replica_.version().older_than(local_->version)
+                                 : replica_.version().number < local_->version.number;
+    if (!older) drop_local();
 }
 
-void EndpointDistribution::touch(const EndpointChanges& changes)
+void EndpointDistribution::mark_changed(const EndpointChanges& changes)
 {
-    for (const EndpointEntry& entry : changes.changed) touched_.insert(entry.uid);
-    for (const std::string& uid : changes.removed) touched_.insert(uid);
-    untold_ = true;
+    for (const EndpointEntry& entry : changes.changed) changed_uids_.insert(entry.uid);
+    for (const std::string& uid : changes.removed) changed_uids_.insert(uid);
+    unreported_ = true;
 }
 
-bool EndpointDistribution::hear_unchanged(Point now, MemberIndex from, const EndpointRevision& revision)
+bool EndpointDistribution::on_unchanged(Point now, MemberIndex from, const EndpointRevision& revision)
 {
     if (revision > replica_.revision()) {
         newer_[from] = revision;
-        ask_if_due(now, from);
+        request_if_due(now, from);
     }
-    if (revision != replica_.revision() || wants_whole_) return false;
-    drop_own_if_reached(true);
+    if (revision != replica_.revision() || needs_snapshot_) return false;
+    drop_local_if_reached(true);
     // Guards against a holder whose discovery is behind this member's own.
-    return !own_;
+    return !local_;
 }
 
-void EndpointDistribution::hear_revision(Point now, MemberIndex from, const EndpointRevision& revision,
-                                         uint64_t digest)
+void EndpointDistribution::on_peer_revision(Point now, MemberIndex from, const EndpointRevision& revision,
+                                            uint64_t digest)
 {
     if (revision < replica_.revision()) return (void)newer_.erase(from);
     if (revision > replica_.revision()) {
         newer_[from] = revision;
-        return ask_if_due(now, from);
+        return request_if_due(now, from);
     }
     // Of two that differ at one revision, the one that has not what its publisher stated is wrong.
-    if (digest != replica_.digest() && (!verified_ || now - *verified_ >= rule_.repair)) {
+    if (digest != replica_.digest() && (!verified_ || now - *verified_ >= config_.repair)) {
         verified_ = now;
-        wants_whole_ = wants_whole_ || !replica_.intact();
+        needs_snapshot_ = needs_snapshot_ || !replica_.intact();
     }
-    if (!wants_whole_ || digest == replica_.digest()) return;
+    if (!needs_snapshot_ || digest == replica_.digest()) return;
     newer_[from] = revision;
-    ask_if_due(now, from);
+    request_if_due(now, from);
 }
 
 // ---- repair of this replica ----
@@ -167,14 +167,14 @@
     std::erase_if(newer_, [&](const auto& known) { return known.second <= replica_.revision(); });
 }
 
-void EndpointDistribution::ask(Point now, MemberIndex member)
+void EndpointDistribution::request(Point now, MemberIndex member)
 {
-    asked_ = Asked{member, now, false};
+    pending_request_ = PendingRequest{member, now, false};
     EndpointDeltaRequest want;
     want.from = replica_.revision();
     want.version = replica_.version();
     want.digest = replica_.digest();
-    want.whole = wants_whole_;
+    want.whole = needs_snapshot_;
     if (assembly_ && assembly_->from == member) {
         want.snapshot = assembly_->snapshot.revision;
         want.chunk = assembly_->next;
@@ -182,39 +182,39 @@
     sends_.push_back({member, std::move(want)});
 }
 
-void EndpointDistribution::ask_if_due(Point now, MemberIndex member)
+void EndpointDistribution::request_if_due(Point now, MemberIndex member)
 {
-    if (!asked_ || now - asked_->at >= rule_.repair) ask(now, member);
+    if (!pending_request_ || now - pending_request_->at >= config_.repair) request(now, member);
 }
 
 // Another one than the last time, where there is another.
 std::optional<MemberIndex> EndpointDistribution::next_source() const
 {
     if (newer_.empty()) return {};
-    if (!asked_) return newer_.begin()->first;
-    const auto next = newer_.upper_bound(asked_->member);
+    if (!pending_request_) return newer_.begin()->first;
+    const auto next = newer_.upper_bound(pending_request_->member);
     return next == newer_.end() ? newer_.begin()->first : next->first;
 }
 
 void EndpointDistribution::tick(Point now)
 {
-    if (offer_ && now - offer_->asked > keep_offer) offer_.reset();
-    if (!behind() || (asked_ && now - asked_->at < rule_.repair)) return;
-    if (asked_ && !asked_->answered && assembly_ && assembly_->from == asked_->member &&
-        ++assembly_->attempts < most_attempts)
-        return ask(now, asked_->member);
+    if (offer_ && now - offer_->asked > offer_lifetime) offer_.reset();
+    if (!behind() || (pending_request_ && now - pending_request_->at < config_.repair)) return;
+    if (pending_request_ && !pending_request_->answered && assembly_ &&
+        assembly_->from == pending_request_->member && ++assembly_->attempts < max_attempts)
+        return request(now, pending_request_->member);
     assembly_.reset();
     const auto source = next_source();
     // Whoever has not answered tells of itself again with its next ping.
-    if (asked_ && !asked_->answered) newer_.erase(asked_->member);
-    if (source) ask(now, *source);
+    if (pending_request_ && !pending_request_->answered) newer_.erase(pending_request_->member);
+    if (source) request(now, *source);
 }
 
-EndpointDistribution::MessageReceived EndpointDistribution::hear(Point now, MemberIndex from,
-                                                                 const EndpointSnapshotChunk& chunk)
+EndpointDistribution::Reaction EndpointDistribution::handle(Point now, MemberIndex from,
+                                                            const EndpointSnapshotChunk& chunk)
 {
-    if (!asked_ || asked_->member != from) return {};
-    asked_->answered = true;
+    if (!pending_request_ || pending_request_->member != from) return {};
+    pending_request_->answered = true;
     if (chunk.version.older_than(replica_.version())) return {};
     const bool known = assembly_ && assembly_->from == from && assembly_->snapshot.revision == chunk.revision;
     if (chunk.index == 0 && !known) {
@@ -228,44 +228,44 @@
     Assembly& assembly = *assembly_;
     for (const EndpointEntry& entry : chunk.entries) {
         assembly.bytes += entry.uid.size() + entry.text.size();
-        assembly.snapshot.lines[entry.uid] = entry.text;
+        assembly.snapshot.texts[entry.uid] = entry.text;
     }
     assembly.attempts = 0;
-    if (assembly.bytes > most_snapshot_bytes) {
+    if (assembly.bytes > max_snapshot_bytes) {
         assembly_.reset();
         newer_.erase(from);
         return {};
     }
     if (++assembly.next < assembly.count) {
-        ask(now, from);
+        request(now, from);
         return {};
     }
-    return {false, finish(now) && !own_};
+    return {false, finish(now) && !local_};
 }
 
 bool EndpointDistribution::finish(Point now)
 {
     const Assembly assembly = std::move(*std::exchange(assembly_, std::nullopt));
-    if (own_) keep_own_of(replica_.difference(assembly.snapshot.lines));
+    if (local_) keep_local_of(replica_.difference(assembly.snapshot.texts));
     const auto changes = replica_.replace(assembly.snapshot);
     if (!changes) {
         newer_.erase(assembly.from);
         return false;
     }
-    wants_whole_ = false;
-    touch(*changes);
+    needs_snapshot_ = false;
+    mark_changed(*changes);
     forget_reached();
-    drop_own_if_reached(false);
-    if (newer_.count(assembly.from)) ask(now, assembly.from);  // for what has come since
+    drop_local_if_reached(false);
+    if (newer_.count(assembly.from)) request(now, assembly.from);  // for what has come since
     return !replica_.partial();
 }
 
 // ---- repair of others ----
 
-void EndpointDistribution::hear(Point now, MemberIndex from, const EndpointDeltaRequest& want, Span age)
+void EndpointDistribution::handle(Point now, MemberIndex from, const EndpointDeltaRequest& want, Span age)
 {
     // What is wrong, or older than what its receiver has, repairs nobody.
-    if (wants_whole_ || replica_.version().older_than(want.version)) return;
+    if (needs_snapshot_ || replica_.version().older_than(want.version)) return;
     if (want.chunk > 0) return answer_with_snapshot(now, from, want, age);
     if (want.whole ? want.from > replica_.revision() : want.from >= replica_.revision()) return;
     if (want.whole) return answer_with_snapshot(now, from, want, age);
@@ -307,43 +307,43 @@
 
 // ---- what the balancer uses ----
 
-const std::string* EndpointDistribution::line_of(const std::string& uid) const
+const std::string* EndpointDistribution::text_of_uid(const std::string& uid) const
 {
-    if (own_)
-        if (const auto at = own_->differences.find(uid); at != own_->differences.end())
+    if (local_)
+        if (const auto at = local_->differences.find(uid); at != local_->differences.end())
             return at->second ? &*at->second : nullptr;
-    const auto at = replica_.lines().find(uid);
-    return at == replica_.lines().end() ? nullptr : &at->second;
+    const auto at = replica_.texts().find(uid);
+    return at == replica_.texts().end() ? nullptr : &at->second;
 }
 
-EndpointTexts EndpointDistribution::own_lines() const
+EndpointTexts EndpointDistribution::local_texts() const
 {
-    EndpointTexts lines = replica_.lines();
-    for (const auto& [uid, text] : own_->differences)
+    EndpointTexts texts = replica_.texts();
+    for (const auto& [uid, text] : local_->differences)
         if (text)
-            lines[uid] = *text;
+            texts[uid] = *text;
         else
-            lines.erase(uid);
-    return lines;
+            texts.erase(uid);
+    return texts;
 }
 
-std::string EndpointDistribution::whole_text() const
+std::string EndpointDistribution::full_text() const
 {
-    if (own_) return whole_list_text(own_->version.number, own_lines());
-    return whole_list_text(replica_.version().number, replica_.lines());
+    if (local_) return full_list_text(local_->version.number, local_texts());
+    return full_list_text(replica_.version().number, replica_.texts());
 }
 
 std::optional<ApplyEndpointList> EndpointDistribution::take_use()
 {
     // A version that has come in part is not a list yet.
-    if (!untold_ || (replica_.partial() && !own_)) return {};
-    untold_ = false;
+    if (!unreported_ || (replica_.partial() && !local_)) return {};
+    unreported_ = false;
     const uint64_t number = version().number;
-    const auto uids = std::exchange(touched_, {});
-    if (!std::exchange(told_, true)) return ApplyEndpointList{number, whole_text(), true};
+    const auto uids = std::exchange(changed_uids_, {});
+    if (!std::exchange(reported_, true)) return ApplyEndpointList{number, full_text(), true};
     EndpointTexts changed;
     for (const std::string& uid : uids)
-        if (const auto* line = line_of(uid)) changed[uid] = *line;
+        if (const auto* line = text_of_uid(uid)) changed[uid] = *line;
     return ApplyEndpointList{number, list_changes_text(number, uids, changed), false};
 }
 
--- a/src/fleet/endpoints/endpoint_distribution.h
+++ b/src/fleet/endpoints/endpoint_distribution.h
@@ -25,10 +25,10 @@
 class EndpointDistribution
 {
   public:
-    explicit EndpointDistribution(const EndpointDeltaConfig& rule) : rule_(rule), replica_(rule) {}
+    explicit EndpointDistribution(const EndpointDeltaConfig& config) : config_(config), replica_(config) {}
 
     // What to do about a message that was heard.
-    struct MessageReceived {
+    struct Reaction {
         bool pass_on = false;    // to the successors
         bool confirmed = false;  // the list in use is as new as the sender's
     };
@@ -36,45 +36,45 @@
     // Discovery's answer at the holder: the deltas to push to the successors. `uids`: all that can differ
     // from the last answer that was published; nothing: any.
     std::vector<EndpointDelta> publish(Epoch epoch, const EndpointListVersion& version,
-                                       const EndpointTexts& lines,
+                                       const EndpointTexts& texts,
                                        const std::optional<std::vector<std::string>>& uids);
     // Discovery's answer at a member that asks on its own: used here alone, until the fleet's list is as new.
-    void use_own(const EndpointListVersion& version, const EndpointTexts& lines);
+    void use_local(const EndpointListVersion& version, const EndpointTexts& texts);
 
     // An answer of discovery was refused: what the next one names as changed counts from that one.
     void skip() { followed_.reset(); }
 
-    MessageReceived hear(Point now, MemberIndex from, const EndpointDelta& delta);
-    void hear(Point now, MemberIndex from, const EndpointDeltaRequest& want, Span age);
-    MessageReceived hear(Point now, MemberIndex from, const EndpointSnapshotChunk& chunk);
+    Reaction handle(Point now, MemberIndex from, const EndpointDelta& delta);
+    void handle(Point now, MemberIndex from, const EndpointDeltaRequest& want, Span age);
+    Reaction handle(Point now, MemberIndex from, const EndpointSnapshotChunk& chunk);
     // What another member's ping tells of its replica.
-    void hear_revision(Point now, MemberIndex from, const EndpointRevision& revision, uint64_t digest);
+    void on_peer_revision(Point now, MemberIndex from, const EndpointRevision& revision, uint64_t digest);
     // The holder's word that its list is unchanged. True: this member uses that list.
-    bool hear_unchanged(Point now, MemberIndex from, const EndpointRevision& revision);
+    bool on_unchanged(Point now, MemberIndex from, const EndpointRevision& revision);
     void tick(Point now);
 
     // Whether a new holder should be repaired before it publishes: what it lacks would be published as
     // removed.
     bool must_wait_to_publish(Point now, Epoch epoch, Point gained) const;
-    bool behind() const { return wants_whole_ || !newer_.empty(); }
+    bool behind() const { return needs_snapshot_ || !newer_.empty(); }
 
     const EndpointReplica& replica() const { return replica_; }
     EndpointReplica& replica() { return replica_; }
-    bool uses_own() const { return own_.has_value(); }
-    const EndpointListVersion& version() const { return own_ ? own_->version : replica_.version(); }
+    bool uses_local() const { return local_.has_value(); }
+    const EndpointListVersion& version() const { return local_ ? local_->version : replica_.version(); }
     // The whole list that the balancer uses, in discovery's form.
-    std::string whole_text() const;
+    std::string full_text() const;
 
     std::vector<Send> take_sends() { return std::exchange(sends_, {}); }
     std::optional<ApplyEndpointList> take_use();
 
   private:
     // The differences of a list that this member has asked for itself from the fleet's.
-    struct OwnList {
+    struct LocalList {
         EndpointListVersion version;
         std::map<std::string, std::optional<std::string>> differences;  // by uid; nothing: it is not there
     };
-    struct Asked {
+    struct PendingRequest {
         MemberIndex member = 0;
         Point at;
         bool answered = false;
@@ -93,35 +93,35 @@
         Point asked;
     };
 
-    void ask(Point now, MemberIndex member);
-    void ask_if_due(Point now, MemberIndex member);
+    void request(Point now, MemberIndex member);
+    void request_if_due(Point now, MemberIndex member);
     std::optional<MemberIndex> next_source() const;
     void forget_reached();
-    void touch(const EndpointChanges& changes);
-    void drop_own();
-    void drop_own_if_reached(bool by_holder);
-    void keep_own_of(const EndpointChanges& changes);
+    void mark_changed(const EndpointChanges& changes);
+    void drop_local();
+    void drop_local_if_reached(bool by_holder);
+    void keep_local_of(const EndpointChanges& changes);
     void answer_with_snapshot(Point now, MemberIndex to, const EndpointDeltaRequest& want, Span age);
     bool finish(Point now);  // true: the snapshot is in its place
-    EndpointTexts own_lines() const;
-    const std::string* line_of(const std::string& uid) const;
+    EndpointTexts local_texts() const;
+    const std::string* text_of_uid(const std::string& uid) const;
 
-    const EndpointDeltaConfig rule_;
+    const EndpointDeltaConfig config_;
     EndpointReplica replica_;
-    std::optional<OwnList> own_;
+    std::optional<LocalList> local_;
     std::optional<EndpointRevision> followed_;       // as of the last answer of discovery that was published
     EndpointRevision passed_on_;                     // the newest
     std::map<MemberIndex, EndpointRevision> newer_;  // who is known to have a newer revision
-    bool wants_whole_ = false;                       // the replica is not what its revision should be
+    bool needs_snapshot_ = false;                    // the replica is not what its revision should be
     std::optional<Point> verified_;
-    std::optional<Asked> asked_;
+    std::optional<PendingRequest> pending_request_;
     std::optional<Assembly> assembly_;
     std::optional<Offer> offer_;
     std::vector<Send> sends_;
 
     // Of what the balancer was told.
-    bool told_ = false, untold_ = false;
-    std::set<std::string> touched_;
+    bool reported_ = false, unreported_ = false;
+    std::set<std::string> changed_uids_;
 };
 
 }  // namespace firtide::fleet
--- /dev/null
+++ b/src/fleet/endpoints/endpoint_list_service.cpp
@@ -0,0 +1,328 @@
+#include "endpoint_list_service.h"
+
+#include <algorithm>
+
+#include "src/fleet/transport/pack.h"
+
+namespace firtide::fleet
+{
+namespace
+{
+
+constexpr const char* duty = "list";
+constexpr Span broadcast_request_interval = seconds(0.2);
+constexpr Span first_poll_after = seconds(1.5);  // after the start, where no list has come from the fleet
+constexpr double max_poll_spread = 0.5;          // of the stated age
+constexpr double change_freshness =
+    0.5;  // of the stated age: how old the list counts at most, as the holder changes
+constexpr double hint_lifetime = 4;      // times a stage of the startup
+constexpr size_t max_pushed_deltas = 4;  // the others are asked for, so that no queue overflows
+
+}  // namespace
+
+EndpointListService::EndpointListService(FleetContext& context, DutyBroadcasts& broadcasts)
+    : context_(context), broadcasts_(broadcasts)
+{
+    if (context.config.deltas) distribution_.emplace(*context.config.deltas);
+}
+
+void EndpointListService::start(double random)
+{
+    confirmed_at_ = context_.now;
+    if (!context_.config.list) return;
+    const Span stale = context_.config.list->stale;
+    poll_delay_ = stale * (max_poll_spread * random);
+    confirmed_at_ = context_.now - stale + first_poll_after;
+}
+
+void EndpointListService::set_polling(bool on)
+{
+    polling_ = on;
+    context_.emit(SetDiscoveryPolling{on});
+}
+
+void EndpointListService::on_lease_changed(LeaseChange::Kind kind)
+{
+    const bool gained = kind == LeaseChange::Kind::gained;
+    last_published_.clear();
+    broadcasts_.restart(duty);
+    lease_gained_ = context_.now;
+    if (polling_ != gained) set_polling(gained);
+    confirmed_at_ = std::max(confirmed_at_, context_.now - context_.config.list->stale * change_freshness);
+}
+
+void EndpointListService::tick()
+{
+    if (distribution_) {
+        distribution_->tick(context_.now);
+        flush_replica();
+        publish_postponed();
+    }
+    if (!context_.config.list || polling_ || context_.shutting_down || context_.held_epoch(duty)) return;
+    if (context_.now - confirmed_at_ <= context_.config.list->stale + poll_delay_) return;
+    set_polling(true);
+    context_.log(LogEvent::Kind::endpoint_list, "",
+                 "it is older than stated: discovery is asked by this member itself");
+}
+
+// ---- from the fleet, as broadcasts ----
+
+void EndpointListService::on_ping(MemberIndex from, const Ping& ping)
+{
+    if (!context_.config.list) return;
+    if (distribution_) {
+        // No digest: a member without [deltas], or an empty list.
+        if (ping.list_digest)
+            distribution_->on_peer_revision(context_.now, from, {ping.list_epoch, ping.list_number},
+                                            ping.list_digest);
+        return flush_replica();
+    }
+    // A broadcast may have been lost on its way.
+    const std::pair<Epoch, uint64_t> own{newest_ ? newest_->epoch : 0, newest_ ? newest_->content_number : 0};
+    if (std::pair{ping.list_epoch, ping.list_number} > own) request_broadcast(from);
+}
+
+void EndpointListService::request_broadcast(MemberIndex from)
+{
+    if (context_.now - last_broadcast_request_ <= broadcast_request_interval) return;
+    last_broadcast_request_ = context_.now;
+    context_.send(from, BroadcastRequest{duty});
+}
+
+void EndpointListService::on_broadcast_request(MemberIndex from, const BroadcastRequest& request)
+{
+    if (newest_ && request.duty == duty) context_.send(from, *newest_);
+}
+
+bool EndpointListService::has_content(const Broadcast& broadcast) const
+{
+    if (!broadcast.content.empty()) return true;
+    return newest_ && newest_->epoch == broadcast.epoch &&
+           newest_->content_number == broadcast.content_number;
+}
+
+void EndpointListService::on_broadcast(MemberIndex from, Broadcast& broadcast)
+{
+    const Span age{std::max<int64_t>(0, broadcast.age_us)};
+    if (distribution_) {
+        if (!broadcast.content.empty()) return;  // of a holder without [deltas]
+        const EndpointRevision revision{broadcast.epoch, broadcast.content_number};
+        if (distribution_->on_unchanged(context_.now, from, revision)) confirm(age);
+        return flush_replica();
+    }
+    if (!has_content(broadcast)) return request_broadcast(from);
+    if (!broadcast.content.empty() && !take_full_list(broadcast)) return;
+    confirm(age);
+}
+
+// Returns false where the content is no list, or an older one: that would bring back upstreams that have
+// drained.
+bool EndpointListService::take_full_list(const Broadcast& broadcast)
+{
+    auto list = unpack<FullList>(broadcast.content);
+    if (!list || list->version < version_) return false;
+    newest_ = broadcast;
+    if (context_.config.recovery) persisted_list_ = list->full_text;
+    if (list->version > version_) context_.emit(ApplyEndpointList{list->version, std::move(list->full_text)});
+    version_ = list->version;
+    return true;
+}
+
+void EndpointListService::confirm(Span age)
+{
+    confirmed_at_ = std::max(confirmed_at_, context_.now - age);
+    if (polling_ && !context_.held_epoch(duty)) set_polling(false);
+}
+
+// ---- from the fleet, as deltas ----
+
+void EndpointListService::on_delta(MemberIndex from, const EndpointDelta& delta)
+{
+    if (!distribution_) return;
+    // Answers may hold deltas of earlier epochs, which lead up to the present one.
+    if (!delta.answer && delta.to.epoch < context_.fencing.epoch(duty)) {
+        ++context_.fenced_effects;
+        return;
+    }
+    context_.fencing.observe(duty, delta.to.epoch);
+    const auto reaction = distribution_->handle(context_.now, from, delta);
+    if (reaction.pass_on) context_.gossip(delta, from);
+    if (reaction.confirmed) confirm({std::max<int64_t>(0, delta.age_us)});
+    flush_replica();
+}
+
+void EndpointListService::on_delta_request(MemberIndex from, const EndpointDeltaRequest& request)
+{
+    if (!distribution_) return;
+    distribution_->handle(context_.now, from, request, context_.now - confirmed_at_);
+    flush_replica();
+}
+
+void EndpointListService::on_snapshot_chunk(MemberIndex from, const EndpointSnapshotChunk& chunk)
+{
+    if (!distribution_) return;
+    const auto reaction = distribution_->handle(context_.now, from, chunk);
+    if (reaction.confirmed) confirm({std::max<int64_t>(0, chunk.age_us)});
+    flush_replica();
+}
+
+void EndpointListService::flush_replica()
+{
+    for (Send& send : distribution_->take_sends()) context_.emit(std::move(send));
+    auto use = distribution_->take_use();
+    if (!use) return;
+    version_ = use->version;
+    changed_since_persisted_ = true;
+    context_.emit(std::move(*use));
+}
+
+// ---- from this member's own discovery ----
+
+// A discovery that has lost its own past must not replace the persisted list for a while.
+bool EndpointListService::hint_protects(uint64_t version) const
+{
+    if (version >= hint_version_ || !context_.config.recovery) return false;
+    return context_.now - context_.started < context_.config.recovery->wait * hint_lifetime;
+}
+
+void EndpointListService::on_fetched(EndpointListFetched& fetched)
+{
+    if (!context_.config.list) return;
+    if (distribution_) return replicate(fetched);
+    if (!use_fetched(fetched)) return;
+    confirmed_at_ = context_.now;
+    const auto epoch = context_.held_epoch(duty);
+    if (!epoch) return;
+    auto content = pack(FullList{fetched.source, fetched.version, std::move(fetched.full_text)});
+    if (content == last_published_) return publish(*epoch, {});
+    last_published_ = content;
+    publish(*epoch, std::move(content));
+}
+
+// Returns false where discovery has fallen behind: an older list would bring back upstreams that drain or
+// have gone.
+bool EndpointListService::use_fetched(const EndpointListFetched& fetched)
+{
+    const bool same_source = fetched.source == source_;
+    if (same_source && fetched.version < version_) return false;
+    if (hint_protects(fetched.version)) return false;
+    hint_version_ = 0;
+    if (context_.config.recovery) persisted_list_ = fetched.full_text;
+    if (!same_source || fetched.version > version_)
+        context_.emit(ApplyEndpointList{fetched.version, fetched.full_text});
+    source_ = fetched.source;
+    version_ = fetched.version;
+    return true;
+}
+
+void EndpointListService::publish(Epoch epoch, std::string content)
+{
+    const bool has_content = !content.empty();
+    const Broadcast broadcast = broadcasts_.next(duty, epoch, std::move(content), published_number_);
+    if (has_content) {
+        published_number_ = broadcast.number;
+        newest_ = broadcast;
+    }
+    broadcasts_.publish(broadcast);
+}
+
+// Another agent with a lower number is behind, or numbers anew: the latter is believed once the list in use
+// is stale, or where this member's own agent was moved.
+bool EndpointListService::accepts(const EndpointListVersion& version) const
+{
+    const EndpointListVersion& used = distribution_->version();
+    if (version.older_than(used)) return false;
+    const bool moved = !source_.empty() && source_ != version.source;
+    const bool is_fresh = context_.now - confirmed_at_ <= context_.config.list->stale;
+    if (version.number < used.number && !moved && is_fresh) return false;
+    return !hint_protects(version.number);
+}
+
+void EndpointListService::replicate(const EndpointListFetched& fetched)
+{
+    const EndpointListVersion version{fetched.source, fetched.version};
+    if (!fetched.texts || !accepts(version)) return distribution_->skip();
+    hint_version_ = 0;
+    source_ = fetched.source;
+    confirmed_at_ = context_.now;
+    const auto epoch = context_.held_epoch(duty);
+    const bool postpones = epoch && distribution_->must_wait_to_publish(context_.now, *epoch, lease_gained_);
+    postponed_ = postpones ? std::optional(fetched) : std::nullopt;
+    if (!epoch || postpones) {
+        distribution_->use_local(version, *fetched.texts);
+        return flush_replica();
+    }
+    const auto deltas = distribution_->publish(*epoch, version, *fetched.texts, fetched.changed);
+    flush_replica();
+    push(*epoch, deltas);
+}
+
+// The first deltas of a large change are pushed; the others are asked for by whoever has those.
+void EndpointListService::push(Epoch epoch, const std::vector<EndpointDelta>& deltas)
+{
+    published_number_ = distribution_->replica().revision().number;
+    context_.fencing.observe(duty, epoch);
+    Publish pushed;
+    for (size_t i = 0; i < deltas.size() && i < max_pushed_deltas; ++i)
+        for (const MemberIndex target : context_.membership.gossip_targets())
+            pushed.sends.push_back({target, deltas[i]});
+    if (!pushed.sends.empty()) context_.emit(LeasedEffect{duty, epoch, {}, std::move(pushed)});
+    if (deltas.empty() || deltas.size() > max_pushed_deltas) publish(epoch, {});
+}
+
+void EndpointListService::publish_postponed()
+{
+    if (!postponed_) return;
+    const auto epoch = context_.held_epoch(duty);
+    if (!epoch) return postponed_.reset();
+    if (distribution_->must_wait_to_publish(context_.now, *epoch, lease_gained_)) return;
+    replicate(*std::exchange(postponed_, std::nullopt));
+}
+
+// ---- persisted, and shown ----
+
+void EndpointListService::set_hint(uint64_t version, const std::string& full_text)
+{
+    hint_version_ = version;
+    persisted_list_ = full_text;
+}
+
+const std::string& EndpointListService::list_to_persist()
+{
+    if (distribution_ && std::exchange(changed_since_persisted_, false))
+        persisted_list_ = distribution_->full_text();
+    return persisted_list_;
+}
+
+void EndpointListService::fill(PingPayload& payload) const
+{
+    if (newest_) {
+        payload.list_number = newest_->content_number;
+        payload.list_epoch = newest_->epoch;
+    }
+    if (!distribution_) return;
+    payload.list_number = distribution_->replica().revision().number;
+    payload.list_epoch = distribution_->replica().revision().epoch;
+    payload.list_digest = distribution_->replica().digest();
+}
+
+std::string EndpointListService::status() const
+{
+    if (!distribution_) return "";
+    const EndpointReplica& replica = distribution_->replica();
+    return "list revision " + std::to_string(replica.revision().epoch) + "." +
+           std::to_string(replica.revision().number) + " entries " + std::to_string(replica.texts().size()) +
+           " behind " + (distribution_->behind() ? "yes" : "no") + "\n";
+}
+
+const EndpointReplica* EndpointListService::replica() const
+{
+    return distribution_ ? &distribution_->replica() : nullptr;
+}
+
+EndpointReplica* EndpointListService::replica_to_corrupt()
+{
+    return distribution_ ? &distribution_->replica() : nullptr;
+}
+
+}  // namespace firtide::fleet
--- /dev/null
+++ b/src/fleet/endpoints/endpoint_list_service.h
@@ -0,0 +1,98 @@
+// The duty "list": its holder polls discovery and distributes the endpoint list; the others use that list
+// while it is fresh, and poll discovery themselves otherwise. The list goes round as a whole, in broadcasts,
+// or with [deltas] as replicated deltas (EndpointDistribution).
+#pragma once
+
+#include <optional>
+#include <random>
+#include <string>
+
+#include "endpoint_distribution.h"
+#include "src/fleet/duty_broadcasts.h"
+#include "src/fleet/fleet_context.h"
+
+namespace firtide::fleet
+{
+
+class EndpointListService
+{
+  public:
+    // Both must outlive the service.
+    EndpointListService(FleetContext& context, DutyBroadcasts& broadcasts);
+
+    // `random`: 0 to 1, spreads the members' own polling.
+    void start(double random);
+    void tick();
+    void on_lease_changed(LeaseChange::Kind kind);
+
+    void on_ping(MemberIndex from, const Ping& ping);
+    void on_broadcast(MemberIndex from, Broadcast& broadcast);
+    void on_broadcast_request(MemberIndex from, const BroadcastRequest& request);
+    void on_delta(MemberIndex from, const EndpointDelta& delta);
+    void on_delta_request(MemberIndex from, const EndpointDeltaRequest& request);
+    void on_snapshot_chunk(MemberIndex from, const EndpointSnapshotChunk& chunk);
+    void on_fetched(EndpointListFetched& fetched);
+
+    // A list from before this start: a hint, which a lower version does not replace for a while.
+    void set_hint(uint64_t version, const std::string& full_text);
+    // The newest list and its version, for the next start.
+    [[nodiscard]] const std::string& list_to_persist();
+    [[nodiscard]] uint64_t version_to_persist() const { return std::max(version_, hint_version_); }
+
+    // Adds this member's revision of the list.
+    void fill(PingPayload& payload) const;
+    // For show-fleet.
+    [[nodiscard]] std::string status() const;
+    // Nothing without [deltas].
+    [[nodiscard]] const EndpointReplica* replica() const;
+    [[nodiscard]] EndpointReplica* replica_to_corrupt();
+
+  private:
+    // The content of a broadcast.
+    struct FullList {
+        std::string source;
+        uint64_t version = 0;
+        std::string full_text;
+        MSGPACK_DEFINE(source, version, full_text)
+    };
+
+    void set_polling(bool on);
+    void confirm(Span age);
+    void request_broadcast(MemberIndex from);
+    bool has_content(const Broadcast& broadcast) const;
+    bool take_full_list(const Broadcast& broadcast);
+    void publish(Epoch epoch, std::string content);
+
+    // ---- own discovery ----
+    bool hint_protects(uint64_t version) const;
+    bool use_fetched(const EndpointListFetched& fetched);
+    bool accepts(const EndpointListVersion& version) const;
+    void replicate(const EndpointListFetched& fetched);
+    void push(Epoch epoch, const std::vector<EndpointDelta>& deltas);
+    void publish_postponed();
+    // Turns what the replica has to say into effects.
+    void flush_replica();
+
+    FleetContext& context_;
+    DutyBroadcasts& broadcasts_;
+    std::optional<EndpointDistribution> distribution_;  // with [deltas]
+
+    std::string source_;  // discovery's address, where this member's own list came from
+    uint64_t version_ = 0;
+    Point confirmed_at_;  // when the list in use was confirmed last
+    Span poll_delay_;     // beyond the stated age: differs from member to member
+    bool polling_ = false;
+    Point last_broadcast_request_;
+
+    std::optional<Broadcast> newest_;  // with content
+    std::string last_published_;
+    uint64_t published_number_ = 0;
+    Point lease_gained_;
+    std::optional<EndpointListFetched> postponed_;  // by a holder whose replica is being repaired first
+
+    uint64_t hint_version_ = 0;
+    std::string persisted_list_;
+    bool changed_since_persisted_ = false;
+};
+
+}  // namespace firtide::fleet
--- a/src/fleet/endpoints/endpoint_replica.cpp
+++ b/src/fleet/endpoints/endpoint_replica.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-constexpr size_t most_log_bytes = 8 << 20;
+constexpr size_t max_log_bytes = 8 << 20;
 constexpr size_t entry_overhead = 8;  // of one in a message, at most
 
 size_t size_of(const EndpointEntry& entry) { return entry.uid.size() + entry.text.size() + entry_overhead; }
@@ -29,18 +29,18 @@
     return XXH3_64bits_withSeed(text.data(), text.size(), XXH3_64bits(uid.data(), uid.size()));
 }
 
-uint64_t digest_of(const EndpointTexts& lines)
+uint64_t digest_of(const EndpointTexts& texts)
 {
     uint64_t sum = 0;
-    for (const auto& [uid, text] : lines) sum += digest_of(uid, text);
+    for (const auto& [uid, text] : texts) sum += digest_of(uid, text);
     return sum;
 }
 
 EndpointChanges EndpointReplica::difference(const EndpointTexts& whole) const
 {
     EndpointChanges changes;
-    auto held = state_.lines.begin();
-    const auto end = state_.lines.end();
+    auto held = state_.texts.begin();
+    const auto end = state_.texts.end();
     for (const auto& [uid, text] : whole) {
         for (; held != end && held->first < uid; ++held) changes.removed.push_back(held->first);
         const bool known = held != end && held->first == uid;
@@ -56,9 +56,9 @@
 {
     EndpointChanges changes;
     for (const std::string& uid : uids) {
-        const auto held = state_.lines.find(uid);
+        const auto held = state_.texts.find(uid);
         const auto seen = whole.find(uid);
-        const bool is_held = held != state_.lines.end();
+        const bool is_held = held != state_.texts.end();
         if (seen == whole.end()) {
             if (is_held) changes.removed.push_back(uid);
         } else if (!is_held || held->second != seen->second) {
@@ -73,11 +73,11 @@
                                                     EndpointChanges changes)
 {
     // What a new holder states has to be what it holds, whatever it was told before.
-    if (state_.revision.epoch != epoch) digest_ = digest_of(state_.lines);
+    if (state_.revision.epoch != epoch) digest_ = digest_of(state_.texts);
     std::vector<EndpointDelta> deltas(1);
     size_t bytes = 0;
     const auto make_room = [&](size_t size) {
-        if (bytes > 0 && bytes + size > rule_.chunk) {
+        if (bytes > 0 && bytes + size > config_.chunk) {
             deltas.emplace_back();
             bytes = 0;
         }
@@ -106,8 +106,8 @@
 {
     uint64_t digest = digest_;
     const auto take_out = [&](const std::string& uid) {
-        const auto held = state_.lines.find(uid);
-        if (held != state_.lines.end()) digest -= digest_of(uid, held->second);
+        const auto held = state_.texts.find(uid);
+        if (held != state_.texts.end()) digest -= digest_of(uid, held->second);
     };
     for (const EndpointEntry& entry : delta.changed) {
         take_out(entry.uid);
@@ -119,8 +119,8 @@
 
 void EndpointReplica::advance(const EndpointDelta& delta)
 {
-    for (const EndpointEntry& entry : delta.changed) state_.lines[entry.uid] = entry.text;
-    for (const std::string& uid : delta.removed) state_.lines.erase(uid);
+    for (const EndpointEntry& entry : delta.changed) state_.texts[entry.uid] = entry.text;
+    for (const std::string& uid : delta.removed) state_.texts.erase(uid);
     state_.revision = delta.to;
     state_.version = delta.version;
     state_.partial = delta.partial;
@@ -134,7 +134,7 @@
     delta.age_us = 0;
     log_bytes_ += size_of(delta);
     log_.push_back(std::move(delta));
-    while (log_.size() > rule_.history || (log_bytes_ > most_log_bytes && !log_.empty())) {
+    while (log_.size() > config_.history || (log_bytes_ > max_log_bytes && !log_.empty())) {
         log_bytes_ -= size_of(log_.front());
         log_.pop_front();
     }
@@ -177,7 +177,7 @@
     size_t bytes = 0;
     for (auto next = logged_after(from); next != log_.end(); ++next) {
         bytes += size_of(*next);
-        if (!deltas.empty() && bytes > rule_.chunk) break;
+        if (!deltas.empty() && bytes > config_.chunk) break;
         deltas.push_back(*next);
     }
     return deltas;
@@ -192,9 +192,9 @@
     head.partial = state_.partial;
     std::vector<EndpointSnapshotChunk> chunks{head};
     size_t bytes = 0;
-    for (const auto& [uid, text] : state_.lines) {
+    for (const auto& [uid, text] : state_.texts) {
         EndpointEntry entry{uid, text};
-        if (bytes > 0 && bytes + size_of(entry) > rule_.chunk) {
+        if (bytes > 0 && bytes + size_of(entry) > config_.chunk) {
             head.index = static_cast<uint32_t>(chunks.size());
             chunks.push_back(head);
             bytes = 0;
@@ -209,8 +209,8 @@
 std::optional<EndpointChanges> EndpointReplica::replace(EndpointSnapshot snapshot)
 {
     if (snapshot.revision < state_.revision || snapshot.version.older_than(state_.version)) return {};
-    if (digest_of(snapshot.lines) != snapshot.digest) return {};
-    EndpointChanges changes = difference(snapshot.lines);
+    if (digest_of(snapshot.texts) != snapshot.digest) return {};
+    EndpointChanges changes = difference(snapshot.texts);
     state_ = std::move(snapshot);
     digest_ = state_.digest;
     log_.clear();
@@ -220,8 +220,8 @@
 
 void EndpointReplica::corrupt(const std::string& uid, const std::string& text)
 {
-    state_.lines[uid] = text;
-    digest_ = digest_of(state_.lines);
+    state_.texts[uid] = text;
+    digest_ = digest_of(state_.texts);
 }
 
 }  // namespace firtide::fleet
--- a/src/fleet/endpoints/endpoint_replica.h
+++ b/src/fleet/endpoints/endpoint_replica.h
@@ -26,12 +26,12 @@
     EndpointListVersion version;
     uint64_t digest = 0;
     bool partial = false;
-    EndpointTexts lines;
+    EndpointTexts texts;
 };
 
 // Of one entry. The digest of a state is the sum over its entries, whatever their order.
 uint64_t digest_of(const std::string& uid, const std::string& text);
-uint64_t digest_of(const EndpointTexts& lines);
+uint64_t digest_of(const EndpointTexts& texts);
 
 class EndpointReplica
 {
@@ -45,13 +45,13 @@
         diverged,  // the state after it would not be what its publisher has
     };
 
-    explicit EndpointReplica(const EndpointDeltaConfig& rule) : rule_(rule) {}
+    explicit EndpointReplica(const EndpointDeltaConfig& config) : config_(config) {}
 
     const EndpointRevision& revision() const { return state_.revision; }
     const EndpointListVersion& version() const { return state_.version; }
     uint64_t digest() const { return digest_; }
     bool partial() const { return state_.partial; }
-    const EndpointTexts& lines() const { return state_.lines; }
+    const EndpointTexts& texts() const { return state_.texts; }
 
     // What has to change here to arrive at `whole`.
     EndpointChanges difference(const EndpointTexts& whole) const;
@@ -75,7 +75,7 @@
     std::optional<EndpointChanges> replace(EndpointSnapshot snapshot);
 
     // Whether the entries are still those that the publisher of this revision had. Goes through all of them.
-    bool intact() const { return digest_of(state_.lines) == state_.digest; }
+    bool intact() const { return digest_of(state_.texts) == state_.digest; }
 
     // For tests of divergence: changes an entry as no delta did.
     void corrupt(const std::string& uid, const std::string& text);
@@ -86,7 +86,7 @@
     void keep(EndpointDelta delta);
     std::deque<EndpointDelta>::const_iterator logged_after(const EndpointRevision& from) const;
 
-    const EndpointDeltaConfig rule_;
+    const EndpointDeltaConfig config_;
     EndpointSnapshot state_;  // its digest: as the publisher has it
     uint64_t digest_ = 0;
     std::deque<EndpointDelta> log_;  // contiguous, up to the present revision
--- a/src/fleet/endpoints/endpoint_text.cpp
+++ b/src/fleet/endpoints/endpoint_text.cpp
@@ -38,19 +38,19 @@
 
 }  // namespace
 
-std::string whole_list_text(uint64_t version, const EndpointTexts& lines)
+std::string full_list_text(uint64_t version, const EndpointTexts& texts)
 {
     std::string out = begin_list(version, true);
-    for (const auto& [uid, line] : lines) add_target(out, line);
+    for (const auto& [uid, line] : texts) add_target(out, line);
     return out + "]}";
 }
 
-std::string list_changes_text(uint64_t version, const std::set<std::string>& uids, const EndpointTexts& lines)
+std::string list_changes_text(uint64_t version, const std::set<std::string>& uids, const EndpointTexts& texts)
 {
     std::string out = begin_list(version, false);
     for (const std::string& uid : uids) {
-        const auto at = lines.find(uid);
-        add_target(out, at != lines.end() ? at->second : R"({"state":"gone","uid":)" + quoted(uid) + "}");
+        const auto at = texts.find(uid);
+        add_target(out, at != texts.end() ? at->second : R"({"state":"gone","uid":)" + quoted(uid) + "}");
     }
     return out + "]}";
 }
--- a/src/fleet/endpoints/endpoint_view.cpp
+++ b/src/fleet/endpoints/endpoint_view.cpp
@@ -22,12 +22,12 @@
 
 }  // namespace
 
-EndpointView::EndpointView(Rules rules)
-    : rules_(std::move(rules)), width_(rules_.subset ? rules_.subset->narrow : Span{})
+EndpointView::EndpointView(Config rules)
+    : config_(std::move(rules)), width_(config_.subset ? config_.subset->narrow : Span{})
 {
 }
 
-void EndpointView::list_is(const std::vector<EndpointState>& all)
+void EndpointView::set_endpoints(const std::vector<EndpointState>& all)
 {
     all_.resize(std::max(all_.size(), all.size()));
     choosable_.resize(all_.size());
@@ -36,23 +36,23 @@
         if (one.real.id != all[t].id) one = {};
         one.real = all[t];
         choosable_[t] = {all[t].id, all[t].phase == EndpointPhase::gone ? 0 : all[t].size, true};
-        choosable_[t].own_zone = all[t].zone == rules_.zone;
+        choosable_[t].own_zone = all[t].zone == config_.zone;
     }
     dirty_ = due_ = true;
 }
 
-void EndpointView::fleet_is(std::vector<SubsetPeer> sharers)
+void EndpointView::set_peers(std::vector<SubsetPeer> sharers)
 {
     sharers_ = std::move(sharers);
     dirty_ = due_ = true;
 }
 
-void EndpointView::told(Point now, const std::map<uint64_t, OutlierGossip::Verdict>& results)
+void EndpointView::apply_verdicts(Point now, const std::map<uint64_t, OutlierGossip::Verdict>& results)
 {
     for (One& one : all_) {
         const auto at = results.find(one.real.id);
         factor(now, one);
-        one.told = at == results.end() ? 0 : at->second.reduction;
+        one.verdict_reduction = at == results.end() ? 0 : at->second.reduction;
         if (at == results.end() || !at->second.started) continue;
         const Point start = now - *at->second.started;
         const Point before = std::max(one.told_start.value_or(Point{INT64_MIN / 2}),
@@ -62,21 +62,21 @@
 }
 
 // Tokens are saved up from the first part on, whether or not any is wanted.
-void EndpointView::parts_are(Point now, const std::vector<QuotaLease>& parts)
+void EndpointView::set_quotas(Point now, const std::vector<QuotaLease>& parts)
 {
     budgets_.clear();
-    for (const QuotaLease& p : parts) budgets_[p.name] = p, buckets_[p.name].has(now, p);
+    for (const QuotaLease& p : parts) budgets_[p.name] = p, (void)buckets_[p.name].has_token(now, p);
     std::erase_if(buckets_, [this](const auto& b) { return !budgets_.count(b.first); });
 }
 
-void EndpointView::recall(Point now, const std::vector<PersistedReduction>& reductions)
+void EndpointView::restore_reductions(Point now, const std::vector<PersistedReduction>& reductions)
 {
     for (const PersistedReduction& r : reductions)
         recalled_[r.upstream] = {r.reduction, now + Span{r.left_us}};
     due_ = true;
 }
 
-void EndpointView::answered(Point now, UpstreamId upstream_id, bool well)
+void EndpointView::record_answer(Point now, UpstreamId upstream_id, bool well)
 {
     if (upstream_id >= all_.size()) return;
     ++(well ? all_[upstream_id].well : all_[upstream_id].bad)[0];
@@ -85,14 +85,14 @@
 
 bool EndpointView::is_cold(Point now, const EndpointState& l) const
 {
-    return l.started && now - *l.started < rules_.cold;
+    return l.started && now - *l.started < config_.cold;
 }
 
 // Of a cold one: what it can do by now, over what it could at its start.
 double EndpointView::warmth(Point now, const EndpointState& l) const
 {
-    const double age = std::clamp((now - *l.started) / rules_.cold, 0.0, 1.0);
-    return (rules_.cold_share + (1 - rules_.cold_share) * age) / rules_.cold_share;
+    const double age = std::clamp((now - *l.started) / config_.cold, 0.0, 1.0);
+    return (config_.cold_share + (1 - config_.cold_share) * age) / config_.cold_share;
 }
 
 // The budget of a cold one grows as it warms, alike at every balancer.
@@ -101,13 +101,14 @@
     const auto at = budgets_.find(name);
     if (at == budgets_.end()) return nullptr;
     scaled_ = at->second;
-    scaled_.rate *= warmth(now, l), scaled_.floor *= warmth(now, l);
+    scaled_.rate *= warmth(now, l);
+    scaled_.guaranteed *= warmth(now, l);
     return &scaled_;
 }
 
 double EndpointView::factor(Point now, One& one) const
 {
-    double told = one.told;
+    double told = one.verdict_reduction;
     if (const auto at = recalled_.find(one.real.id); at != recalled_.end() && now < at->second.second)
         told = std::max(told, at->second.first);
     // The module draws by about the fifth power of the size where work is out. So what one balancer says
@@ -124,17 +125,17 @@
     One& one = all_[upstream_id];
     EndpointState l = one.real;
     if (one.told_start && (!l.started || *l.started < *one.told_start)) l.started = one.told_start;
-    const double part = rules_.subset && upstream_id < parts_.size() ? parts_[upstream_id]
-                        : rules_.subset                              ? 0
-                                                                     : 1;
+    const double part = config_.subset && upstream_id < parts_.size() ? parts_[upstream_id]
+                        : config_.subset                              ? 0
+                                                                      : 1;
     if (part <= 0) l.phase = EndpointPhase::gone;
-    if (rules_.signals || !recalled_.empty()) l.size *= factor(now, one);
+    if (config_.signals || !recalled_.empty()) l.size *= factor(now, one);
     l.size *= part > 0 ? part : 1;
-    if (rules_.turns && l.phase == EndpointPhase::ready && is_cold(now, l)) {
+    if (config_.turns && l.phase == EndpointPhase::ready && is_cold(now, l)) {
         const BudgetName name{Budget::cold, l.id};
-        if (rules_.turns->whole_of(name) > 0) {
+        if (config_.turns->total_of(name) > 0) {
             const QuotaLease* own = part_of(now, name, l);
-            if (!own || !buckets_[name].has(now, *own)) {
+            if (!own || !buckets_[name].has_token(now, *own)) {
                 if (mostly_warm_)
                     l.phase = EndpointPhase::gone;
                 else
@@ -157,8 +158,8 @@
         if (all_[t].real.phase != EndpointPhase::ready) continue;
         const double r = reduction(t);
         any = any || r <= 0;
-        const double able = is_cold(now, all_[t].real) ? warmth(now, all_[t].real) * rules_.cold_share : 1;
-        free += size * (1 - std::max(r, all_[t].told)) * able;
+        const double able = is_cold(now, all_[t].real) ? warmth(now, all_[t].real) * config_.cold_share : 1;
+        free += size * (1 - std::max(r, all_[t].verdict_reduction)) * able;
     }
     return any && all > 0 ? free / all : 0;
 }
@@ -166,9 +167,9 @@
 void EndpointView::widen(Point now, const Reduction& reduction)
 {
     if (std::exchange(dirty_, false)) {
-        parts_ = choose(*rules_.subset, sharers_, rules_.self, choosable_, width_.wider());
+        parts_ = choose(*config_.subset, sharers_, config_.self, choosable_, width_.widening());
         if (width_.steps() > 0)
-            narrower_ = choose(*rules_.subset, sharers_, rules_.self, choosable_, width_.wider() / 2);
+            narrower_ = choose(*config_.subset, sharers_, config_.self, choosable_, width_.widening() / 2);
     }
     for (;;) {
         const bool whole = std::all_of(choosable_.begin(), choosable_.end(), [&](const SubsetCandidate& c) {
@@ -176,18 +177,18 @@
         });
         const double free = free_of(now, parts_, reduction);
         const double narrower = width_.steps() > 0 ? free_of(now, narrower_, reduction) : 0;
-        const double before = width_.wider();
+        const double before = width_.widening();
         if (!width_.look(now, free, narrower, whole)) return;
-        parts_ = choose(*rules_.subset, sharers_, rules_.self, choosable_, width_.wider());
-        narrower_ = choose(*rules_.subset, sharers_, rules_.self, choosable_, width_.wider() / 2);
-        if (width_.wider() < before) return;
+        parts_ = choose(*config_.subset, sharers_, config_.self, choosable_, width_.widening());
+        narrower_ = choose(*config_.subset, sharers_, config_.self, choosable_, width_.widening() / 2);
+        if (width_.widening() < before) return;
     }
 }
 
 std::vector<EndpointState> EndpointView::update(Point now, const Reduction& reduction)
 {
     due_ = false;
-    if (rules_.subset) widen(now, reduction);
+    if (config_.subset) widen(now, reduction);
     double listed = 0, cold = 0;
     for (const One& one : all_) {
         if (one.real.phase != EndpointPhase::ready) continue;
@@ -215,13 +216,13 @@
 
 bool EndpointView::due(const Reduction& reduction) const
 {
-    if (due_ || !rules_.subset) return due_;
+    if (due_ || !config_.subset) return due_;
     for (UpstreamId t = 0; t < shown_.size(); ++t)
         if (shown_[t].phase == EndpointPhase::ready && reduction(t) <= 0) return false;
     return !shown_.empty();
 }
 
-double EndpointView::part_shown() const
+double EndpointView::shown_share() const
 {
     double shown = 0, listed = 0;
     for (UpstreamId t = 0; t < all_.size(); ++t) {
@@ -229,23 +230,23 @@
         listed += 1;
         shown += t < parts_.size() ? parts_[t] : 0;
     }
-    return rules_.subset && listed > 0 && shown > 0 ? shown / listed : 1;
+    return config_.subset && listed > 0 && shown > 0 ? shown / listed : 1;
 }
 
-bool EndpointView::take(Point now, BudgetName name)
+bool EndpointView::take_from_budget(Point now, BudgetName name)
 {
-    if (!rules_.turns || rules_.turns->whole_of(name) <= 0) return true;
+    if (!config_.turns || config_.turns->total_of(name) <= 0) return true;
     ++asked_.try_emplace(name).first->second;
     const auto at = budgets_.find(name);
     return at != budgets_.end() && buckets_[name].take(now, at->second);
 }
 
-bool EndpointView::take_cold(Point now, UpstreamId upstream_id)
+bool EndpointView::take_from_slow_start_budget(Point now, UpstreamId upstream_id)
 {
     if (upstream_id >= shown_.size() || !is_cold(now, shown_[upstream_id])) return true;
     due_ = true;  // until its next turn it is not shown
     const BudgetName name{Budget::cold, shown_[upstream_id].id};
-    if (!rules_.turns || rules_.turns->whole_of(name) <= 0) return true;
+    if (!config_.turns || config_.turns->total_of(name) <= 0) return true;
     const QuotaLease* own = part_of(now, name, shown_[upstream_id]);
     return own && buckets_[name].take(now, *own);
 }
@@ -263,12 +264,12 @@
     LocalObservations o;
     if (came_ >= least_counted) o.rate = rate_;
     o.asked = std::exchange(asked_, {});
-    o.wider = width_.steps();
+    o.widening = width_.steps();
     for (UpstreamId t = 0; t < all_.size(); ++t) {
         One& one = all_[t];
         if (one.real.phase == EndpointPhase::gone) continue;
         ++o.listed;
-        if (rules_.subset && !(t < parts_.size() && parts_[t] > 0)) continue;
+        if (config_.subset && !(t < parts_.size() && parts_[t] > 0)) continue;
         ++o.shown;
         OutlierEvidence e{one.real.id,
                           reduction(t),
@@ -280,7 +281,8 @@
         // Whoever holds work and gives none back is found out by that, not by an answer.
         if (e.reduction >= 0.5 && e.well + e.bad == 0 && out(t)) e.bad = 1, e.age = {};
         const BudgetName cold{Budget::cold, one.real.id};
-        if (t < shown_.size() && is_cold(now, shown_[t]) && rules_.turns && rules_.turns->whole_of(cold) > 0)
+        if (t < shown_.size() && is_cold(now, shown_[t]) && config_.turns &&
+            config_.turns->total_of(cold) > 0)
             ++o.asked[cold];
         if (is_cold(now, one.real)) e.started = now - *one.real.started;
         if (e.reduction > 0 || e.well > 0 || e.bad > 0 || e.started) o.evidence.push_back(e);
--- a/src/fleet/endpoints/endpoint_view.h
+++ b/src/fleet/endpoints/endpoint_view.h
@@ -12,7 +12,7 @@
 
 #include "src/balance/balancer.h"
 #include "src/fleet/outlier/outlier_gossip.h"
-#include "src/fleet/quota/quota.h"
+#include "src/fleet/quota/token_bucket.h"
 #include "src/fleet/startup/member_snapshot.h"
 #include "subset.h"
 
@@ -26,7 +26,7 @@
     std::map<BudgetName, uint32_t> asked;  // since the last one
     // For the management address.
     size_t shown = 0, listed = 0;
-    uint32_t wider = 0;
+    uint32_t widening = 0;
     std::map<uint64_t, std::string> names;  // of upstreams
     // For what it remembers over its own end, and of its return.
     double accepted = 0, size = 0;
@@ -38,7 +38,7 @@
 class EndpointView
 {
   public:
-    struct Rules {
+    struct Config {
         std::optional<SubsetConfig> subset;
         std::optional<OutlierGossipConfig> signals;
         std::optional<QuotaConfig> turns;
@@ -47,17 +47,17 @@
         Span cold;          // how long an upstream is, and what it can do at first, as a part
         double cold_share = 0.1;
     };
-    explicit EndpointView(Rules rules);
+    explicit EndpointView(Config rules);
 
     // The list as discovery has it, by place; gone ones too.
-    void list_is(const std::vector<EndpointState>& all);
-    void fleet_is(std::vector<SubsetPeer> sharers);
-    void told(Point now, const std::map<uint64_t, OutlierGossip::Verdict>& results);
-    void parts_are(Point now, const std::vector<QuotaLease>& parts);
+    void set_endpoints(const std::vector<EndpointState>& all);
+    void set_peers(std::vector<SubsetPeer> sharers);
+    void apply_verdicts(Point now, const std::map<uint64_t, OutlierGossip::Verdict>& results);
+    void set_quotas(Point now, const std::vector<QuotaLease>& parts);
     // Reductions from before the start, while they last.
-    void recall(Point now, const std::vector<PersistedReduction>& reductions);
-    void answered(Point now, UpstreamId upstream_id, bool well);
-    void arrived() { ++arrived_; }
+    void restore_reductions(Point now, const std::vector<PersistedReduction>& reductions);
+    void record_answer(Point now, UpstreamId upstream_id, bool well);
+    void count_request() { ++arrived_; }
 
     // Where the module's own entry for an upstream stands, and whether something is out to it.
     using Reduction = std::function<double(UpstreamId)>;
@@ -71,17 +71,17 @@
     {
         return upstream_id < shown_.size() && shown_[upstream_id].phase != EndpointPhase::gone;
     }
-    double part_shown() const;  // of the listed
+    double shown_share() const;  // of the listed
 
     // The gate of budgets. True where there is none of that name.
-    bool take(Point now, BudgetName name);
-    bool take_cold(Point now, UpstreamId upstream_id);
+    bool take_from_budget(Point now, BudgetName name);
+    bool take_from_slow_start_budget(Point now, UpstreamId upstream_id);
     std::optional<LocalObservations> observe(Point now, const Reduction& reduction, const Out& out);
 
   private:
     struct One {
         EndpointState real;
-        double told = 0, factor = 1;  // of its size: down at once, back by doublings
+        double verdict_reduction = 0, factor = 1;  // of its size: down at once, back by doublings
         Point factor_at;
         std::optional<Point> told_start;
         uint32_t well[2] = {0, 0}, bad[2] = {0, 0};  // this second's and the last one's
@@ -96,7 +96,7 @@
     void widen(Point now, const Reduction& reduction);
     double free_of(Point now, const SubsetWeights& parts, const Reduction& reduction) const;
 
-    const Rules rules_;
+    const Config config_;
     std::vector<One> all_;
     std::vector<SubsetCandidate> choosable_;
     std::vector<SubsetPeer> sharers_;
--- a/src/fleet/endpoints/subset.cpp
+++ b/src/fleet/endpoints/subset.cpp
@@ -20,9 +20,9 @@
 
 // An arc of a ring on which each upstream has its size. Arcs begin where the weights before them end, so
 // whatever the weights, each point is covered by the same weight.
-template <class InRing, class QuotaClient>
+template <class InRing, class Shares>
 void arc(SubsetWeights& into, const std::vector<SubsetPeer>& sharers, MemberKey self,
-         const std::vector<SubsetCandidate>& upstreams, double wanted, InRing in_ring, QuotaClient shares)
+         const std::vector<SubsetCandidate>& upstreams, double wanted, InRing in_ring, Shares shares)
 {
     std::vector<std::pair<uint64_t, size_t>> ring;
     double around = 0;
@@ -61,21 +61,21 @@
 
 }  // namespace
 
-SubsetWeights choose(const SubsetConfig& rule, const std::vector<SubsetPeer>& sharers, MemberKey self,
-                     const std::vector<SubsetCandidate>& upstreams, double wider)
+SubsetWeights choose(const SubsetConfig& config, const std::vector<SubsetPeer>& sharers, MemberKey self,
+                     const std::vector<SubsetCandidate>& upstreams, double widening)
 {
     SubsetWeights parts(upstreams.size(), 0);
-    if (!rule.zones) {
+    if (!config.zones) {
         arc(
-            parts, sharers, self, upstreams, rule.size * wider, [](const auto&) { return true; },
+            parts, sharers, self, upstreams, config.size * widening, [](const auto&) { return true; },
             [](const auto&) { return true; });
         return parts;
     }
     arc(
-        parts, sharers, self, upstreams, rule.size * wider, [](const auto& u) { return u.own_zone; },
+        parts, sharers, self, upstreams, config.size * widening, [](const auto& u) { return u.own_zone; },
         [](const auto& s) { return s.own_zone; });
     arc(
-        parts, sharers, self, upstreams, rule.beyond * wider, [](const auto& u) { return !u.own_zone; },
+        parts, sharers, self, upstreams, config.beyond * widening, [](const auto& u) { return !u.own_zone; },
         [](const auto&) { return true; });
     return parts;
 }
--- a/src/fleet/endpoints/subset.h
+++ b/src/fleet/endpoints/subset.h
@@ -30,8 +30,8 @@
 
 // wider: times the arc. The same sharers and upstreams at every balancer make all parts of one upstream add
 // up to the same, by sizes and weights.
-SubsetWeights choose(const SubsetConfig& rule, const std::vector<SubsetPeer>& sharers, MemberKey self,
-                     const std::vector<SubsetCandidate>& upstreams, double wider);
+SubsetWeights choose(const SubsetConfig& config, const std::vector<SubsetPeer>& sharers, MemberKey self,
+                     const std::vector<SubsetCandidate>& upstreams, double widening);
 
 // How wide the arc is. It widens at once where too little in it can be used, and narrows slowly.
 class SubsetSize
@@ -39,7 +39,7 @@
   public:
     explicit SubsetSize(Span narrow) : narrow_(narrow) {}
 
-    double wider() const { return static_cast<double>(1u << steps_); }
+    double widening() const { return static_cast<double>(1u << steps_); }
     uint32_t steps() const { return steps_; }
     // free: of the arc, the part that carries no reduction; narrower: the same of the next narrower one;
     // whole: the arc is all there is. True: it changed.
--- a/src/fleet/commands.cpp
+++ b/src/fleet/host/commands.cpp
@@ -39,13 +39,13 @@
     std::stringstream text;
     if (!file || !(text << file.rdbuf())) throw CannotStart(path + ": cannot be read");
     const auto decoded = decode_member_snapshot(text.str());
-    if (const auto* why = std::get_if<std::string>(&decoded)) throw CannotStart(path + ": " + *why);
+    if (const auto* error = std::get_if<SnapshotError>(&decoded)) throw CannotStart(path + ": " + error->text);
     const auto& m = std::get<MemberSnapshot>(decoded);
     std::printf("the snapshot is whole: member %s of fleet %s, incarnation %llu\n", m.member.c_str(),
                 m.fleet.c_str(), static_cast<unsigned long long>(m.incarnation));
     if (!dump) return 0;
     std::printf("list version %llu, %zu bytes\naccepted %.1f a second, among %u, upstreams of size %.1f\n",
-                static_cast<unsigned long long>(m.list_version), m.list.size(), m.rate, m.sharers, m.size);
+                static_cast<unsigned long long>(m.list_version), m.list.size(), m.rate, m.peers, m.size);
     for (const auto& e : m.epochs)
         std::printf("epoch %llu of %s\n", static_cast<unsigned long long>(e.epoch), e.duty.c_str());
     for (const auto& r : m.reductions)
--- /dev/null
+++ b/src/fleet/membership/member_view.h
@@ -0,0 +1,66 @@
+// What a member holds of each member of its fleet: one small record each, a digest over all of them, and the
+// sets of those that are suspect or gone. Changes cost no more in a larger fleet.
+#pragma once
+
+#include <map>
+#include <optional>
+#include <vector>
+
+#include "roster.h"
+#include "src/base/time.h"
+
+namespace firtide::fleet
+{
+
+// Incarnation zero: never heard of.
+struct MemberState {
+    Incarnation incarnation = 0;
+    InstanceId instance = 0;
+    Health health = Health::suspect;
+    uint8_t weight = 0;  // of its traffic, see MembershipUpdate
+};
+
+class MemberView
+{
+  public:
+    // `roster` must outlive the view.
+    explicit MemberView(const Roster& roster);
+
+    void start(Point now) { started_ = now; }
+    // Replaces all records but the member's own.
+    void seed(const std::vector<MemberState>& members, MemberIndex self);
+
+    [[nodiscard]] const MemberState& of(MemberIndex member) const { return members_[member]; }
+    [[nodiscard]] size_t size() const { return members_.size(); }
+    // The one place where a record changes.
+    void set(MemberIndex member, const MemberState& next);
+    // Keeps the sets of suspect and gone members in step with a record that has changed.
+    void update_sets(Point now, MemberIndex member, Health before);
+
+    [[nodiscard]] size_t alive() const { return alive_; }
+    // Equal at two members exactly if they hold the same health and incarnation of each member that was ever
+    // heard of, but for collisions of 64 bits.
+    [[nodiscard]] uint64_t digest() const { return digest_; }
+    // Grows with every change of a record.
+    [[nodiscard]] uint64_t version() const { return version_; }
+
+    // Those that have been suspect for longer than `timeout`, in the order of the fleet file. Members that
+    // were never heard of are suspect since the start, and are returned once.
+    [[nodiscard]] std::vector<MemberIndex> overdue_suspects(Point now, Span timeout);
+    // In the order of the fleet file.
+    [[nodiscard]] const std::vector<MemberIndex>& gone() const { return gone_; }
+
+  private:
+    uint64_t digest_of(MemberIndex member) const;
+
+    const Roster& roster_;
+    std::vector<MemberState> members_;
+    size_t alive_ = 0;
+    uint64_t digest_ = 0, version_ = 0;
+    Point started_;
+    std::map<MemberIndex, Point> suspect_since_;  // without those that were never heard of
+    bool unheard_are_suspect_ = true;
+    std::vector<MemberIndex> gone_;
+};
+
+}  // namespace firtide::fleet
--- a/src/fleet/membership/membership.cpp
+++ b/src/fleet/membership/membership.cpp
@@ -1,7 +1,5 @@
 #include "membership.h"
 
-#include <xxhash.h>
-
 #include <algorithm>
 
 namespace firtide::fleet
@@ -9,347 +7,365 @@
 namespace
 {
 
-constexpr size_t helpers = 3;
-constexpr size_t draws = 16;  // for one helper, before all members are gone through
-constexpr double silent_after = 3, suspect_after = 1.5, gone_after = 4;  // periods: each from the one before
-constexpr Span first_exchange = seconds(1), longest_exchange = seconds(60);
-constexpr MemberIndex nobody = UINT32_MAX;
+constexpr size_t indirect_probes = 3;  // members that are asked to probe a silent one
+constexpr size_t draws_per_helper = 16;
+
+// In periods, each from the one before.
+constexpr double silent_after = 3, suspect_after = 1.5, gone_after = 4;
+constexpr double stalled_after = 2;   // without a tick
+constexpr double recently_heard = 2;  // so that a probe for others is answered at once
+constexpr double relayed_probe_lasts = 3;
+
+constexpr Span first_exchange_backoff = seconds(1), max_exchange_backoff = seconds(60);
+
+void sort_unique(std::vector<MemberIndex>& members)
+{
+    std::sort(members.begin(), members.end());
+    members.erase(std::unique(members.begin(), members.end()), members.end());
+}
 
 }  // namespace
 
-Membership::Membership(const FleetConfig& file, InstanceId instance, Incarnation incarnation, Span period,
+Membership::Membership(const FleetConfig& config, InstanceId instance, Incarnation incarnation, Span period,
                        uint64_t seed)
-    : file_(file),
-      self_(file.self),
+    : config_(config),
+      self_(config.self),
       period_(period),
-      chance_(static_cast<uint32_t>(seed ^ seed >> 32)),
-      all_(file.members.size())
+      random_(static_cast<uint32_t>(seed ^ seed >> 32)),
+      view_(config.members)
 {
-    set(self_, {incarnation, instance, Health::alive, 0});
+    view_.set(self_, {incarnation, instance, Health::alive, 0});
 }
 
 void Membership::start(Point now)
 {
-    started_ = woken_ = heard_at_least_ = now;
-    watch_.clear();
-    find_neighbours();
+    started_ = last_tick_ = heard_at_least_ = now;
+    view_.start(now);
+    contacts_.clear();
+    find_monitored_peers();
 }
 
-void Membership::seed_members(const std::vector<MemberState>& all)
+void Membership::seed_members(const std::vector<MemberState>& members)
 {
-    const MemberState own = all_[self_];
-    all_ = all;
-    all_[self_] = own;
-    alive_ = 0;
-    digest_ = 0;
-    ++version_;
-    suspect_since_.clear();
-    gone_.clear();
-    for (MemberIndex m = 0; m < all_.size(); ++m) {
-        const MemberState& one = all_[m];
-        alive_ += one.health == Health::alive;
-        if (one.incarnation) digest_ += digest_of(m);
-        if (one.health == Health::gone) gone_.push_back(m);
-        if (one.health == Health::suspect && one.incarnation) suspect_since_[m] = started_;
-    }
-    find_neighbours();
+    view_.seed(members, self_);
+    find_monitored_peers();
 }
 
-// Of one member's part in the digest, which is the sum of these: so it can be kept as single ones change.
-uint64_t Membership::digest_of(MemberIndex m) const
-{
-    const MemberState& one = all_[m];
-    const uint64_t said[] = {file_.members[m].key, one.incarnation * 4 + static_cast<uint64_t>(one.health)};
-    return XXH3_64bits(said, sizeof said);
-}
+// ---- peers ----
 
-void Membership::set(MemberIndex m, const MemberState& next)
+// The next and the last member on each ring that are not gone.
+void Membership::find_monitored_peers()
 {
-    MemberState& one = all_[m];
-    if (one.incarnation) digest_ -= digest_of(m);
-    alive_ -= one.health == Health::alive;
-    one = next;
-    alive_ += one.health == Health::alive;
-    if (one.incarnation) digest_ += digest_of(m);
-    ++version_;
+    monitored_.clear();
+    gossip_targets_.clear();
+    for (const auto& [ring, place] : config_.members.rings()) {
+        const size_t own_place = place[self_];
+        const size_t forwards = 1, backwards = ring.size() - 1;
+        for (const size_t step : {forwards, backwards}) {
+            size_t at = (own_place + step) % ring.size();
+            while (ring[at] != self_ && view_.of(ring[at]).health == Health::gone)
+                at = (at + step) % ring.size();
+            if (ring[at] == self_) continue;
+            monitored_.push_back(ring[at]);
+            if (step == forwards) gossip_targets_.push_back(ring[at]);
+        }
+    }
+    sort_unique(monitored_);
+    sort_unique(gossip_targets_);
+    monitored_contacts_.clear();
+    for (const MemberIndex peer : monitored_) monitored_contacts_.push_back(&contact_of(peer));
 }
 
-// Keeps the sets of those that are suspect and gone in step with the records.
-void Membership::note_health(Point now, MemberIndex m, Health before)
+bool Membership::is_monitored(MemberIndex member) const
 {
-    const MemberState& one = all_[m];
-    const auto at = std::lower_bound(gone_.begin(), gone_.end(), m);
-    const bool listed = at != gone_.end() && *at == m;
-    if (one.health == Health::gone && !listed) gone_.insert(at, m);
-    if (one.health != Health::gone && listed) gone_.erase(at);
-    if (one.health != Health::suspect)
-        suspect_since_.erase(m);
-    else if (one.incarnation)
-        suspect_since_.try_emplace(m, before == Health::suspect ? started_ : now);
+    return std::binary_search(monitored_.begin(), monitored_.end(), member);
 }
 
-// The next and the last on each ring that are not gone.
-void Membership::find_neighbours()
+Membership::Contact& Membership::contact_of(MemberIndex member)
 {
-    neighbours_.clear();
-    successors_.clear();
-    for (const auto& [ring, place] : file_.members.rings()) {
-        const size_t own = place[self_];
-        for (const size_t step : {size_t{1}, ring.size() - 1}) {
-            size_t at = (own + step) % ring.size();
-            while (ring[at] != self_ && all_[ring[at]].health == Health::gone) at = (at + step) % ring.size();
-            if (ring[at] == self_) continue;
-            neighbours_.push_back(ring[at]);
-            if (step == 1) successors_.push_back(ring[at]);
-        }
-    }
-    for (auto* list : {&neighbours_, &successors_}) {
-        std::sort(list->begin(), list->end());
-        list->erase(std::unique(list->begin(), list->end()), list->end());
-    }
-    neighbour_watches_.clear();
-    for (const MemberIndex m : neighbours_) neighbour_watches_.push_back(&watch(m));
+    const auto known = contacts_.find(member);
+    if (known != contacts_.end()) return known->second;
+    Contact contact;
+    contact.last_heard = contact.probe_started = contact.last_exchange = contact.differs_since = started_;
+    contact.last_ping = started_ - period_;
+    contact.exchange_backoff = first_exchange_backoff;
+    return contacts_.emplace(member, contact).first->second;
 }
 
-bool Membership::is_neighbour(MemberIndex m) const
+// ---- what is sent ----
+
+MembershipUpdate Membership::update_of(MemberIndex member) const
 {
-    return std::binary_search(neighbours_.begin(), neighbours_.end(), m);
+    const MemberState& state = view_.of(member);
+    return {config_.members[member].key, static_cast<uint8_t>(state.health), state.incarnation,
+            state.instance, state.weight};
 }
 
-Membership::Watch& Membership::watch(MemberIndex m)
+MembershipUpdates Membership::full_state(bool reply_requested) const
 {
-    const auto at = watch_.find(m);
-    if (at != watch_.end()) return at->second;
-    const Watch first{started_, started_ - period_, started_, false, started_, first_exchange, started_};
-    return watch_.emplace(m, first).first->second;
+    MembershipUpdates state{{}, reply_requested};
+    for (MemberIndex member = 0; member < view_.size(); ++member)
+        if (view_.of(member).incarnation) state.updates.push_back(update_of(member));
+    return state;
 }
 
-MembershipUpdate Membership::update_of(MemberIndex m) const
+void Membership::ping(Point now, MemberIndex to, uint64_t acknowledges)
 {
-    const MemberState& o = all_[m];
-    return {file_.members[m].key, static_cast<uint8_t>(o.health), o.incarnation, o.instance, o.weight};
+    const MemberState& receiver = view_.of(to);
+    Ping ping;
+    ping.number = ++last_ping_number_;
+    ping.acknowledges = acknowledges;
+    ping.incarnation = incarnation();
+    ping.instance = own().instance;
+    ping.view_digest = digest();
+    ping.receiver_health = static_cast<uint8_t>(receiver.health);
+    ping.receiver_incarnation = receiver.incarnation;
+    ping.leader = payload_.leader;
+    ping.term = payload_.term;
+    ping.list_number = payload_.list_number;
+    ping.list_epoch = payload_.list_epoch;
+    ping.list_digest = payload_.list_digest;
+    ping.weight = own().weight;
+    if (!acknowledges) contact_of(to).last_ping = now;
+    send(to, ping);
 }
 
-MembershipUpdates Membership::all_known(bool answer) const
+void Membership::gossip(const std::vector<MembershipUpdate>& updates, MemberIndex except)
 {
-    MembershipUpdates known{{}, answer};
-    for (MemberIndex m = 0; m < all_.size(); ++m)
-        if (all_[m].incarnation) known.all.push_back(update_of(m));
-    return known;
+    if (updates.empty()) return;
+    for (const MemberIndex peer : monitored_)
+        if (peer != except) send(peer, MembershipUpdates{updates, false});
 }
 
-void Membership::ping(Point now, MemberIndex to, uint64_t answers)
+void Membership::set_weight(uint8_t weight)
 {
-    const MemberState& o = all_[to];
-    Ping p;
-    p.number = ++pings_, p.answers = answers;
-    p.incarnation = incarnation(), p.instance = all_[self_].instance;
-    p.view = digest_;
-    p.held = static_cast<uint8_t>(o.health), p.held_at = o.incarnation;
-    p.leader = carried.leader, p.term = carried.term;
-    p.list = carried.list, p.list_epoch = carried.list_epoch, p.list_digest = carried.list_digest;
-    p.weight = all_[self_].weight;
-    if (!answers) watch(to).pinged = now;
-    send(to, p);
+    MemberState state = own();
+    ++state.incarnation;
+    state.weight = weight;
+    view_.set(self_, state);
+    gossip({update_of(self_)}, no_member);
 }
 
-void Membership::spread(const std::vector<MembershipUpdate>& updates, MemberIndex not_to)
+void Membership::depart()
 {
-    if (updates.empty()) return;
-    for (const MemberIndex m : neighbours_)
-        if (m != not_to) send(m, MembershipUpdates{updates, false});
+    departed_ = true;
+    MembershipUpdate update = update_of(self_);
+    update.health = static_cast<uint8_t>(Health::gone);
+    gossip({update}, no_member);
 }
 
-bool Membership::accept(Point now, MemberIndex m, Health health, Incarnation incarnation, InstanceId instance,
-                        uint8_t weight)
+// ---- what is received ----
+
+bool Membership::accept(Point now, MemberIndex member, const MemberState& update)
 {
-    const MemberState o = all_[m];
-    if (m == self_) {
-        // Guards against being taken for gone, and against a past of this id that its disk has forgotten.
-        twin_ = twin_ || (instance != 0 && instance != o.instance && incarnation >= o.incarnation &&
-                          health == Health::alive);
-        if (left_ || incarnation < o.incarnation ||
-            (health == Health::alive && (incarnation == o.incarnation || instance == o.instance)))
-            return false;
-        set(self_, {incarnation + 1, o.instance, o.health, o.weight});
-        spread({update_of(self_)}, nobody);
+    if (member == self_) {
+        refute(update);
         return false;
     }
-    if (incarnation < o.incarnation || (incarnation == o.incarnation && health <= o.health)) return false;
-    const bool other = o.health != health;
-    set(m, {incarnation, instance ? instance : o.instance, health, weight});
-    note_health(now, m, o.health);
-    if (health == Health::alive)
-        if (const auto at = watch_.find(m); at != watch_.end()) at->second.asking = false;
-    // Of those that are gone, only a neighbour leaves a place to be filled.
-    const bool gone_now = health == Health::gone;
-    if ((o.health == Health::gone) != gone_now && (!gone_now || is_neighbour(m))) find_neighbours();
-    if (other) changes_.push_back({m, health, incarnation});
+    const MemberState before = view_.of(member);
+    const bool is_newer = update.incarnation > before.incarnation ||
+                          (update.incarnation == before.incarnation && update.health > before.health);
+    if (!is_newer) return false;
+    MemberState next = update;
+    if (!next.instance) next.instance = before.instance;
+    view_.set(member, next);
+    view_.update_sets(now, member, before.health);
+    if (next.health == Health::alive)
+        if (const auto contact = contacts_.find(member); contact != contacts_.end())
+            contact->second.probing = false;
+    // Of those that are gone, only a monitored one leaves a place to be filled.
+    const bool is_gone = next.health == Health::gone, was_gone = before.health == Health::gone;
+    if (is_gone != was_gone && (!is_gone || is_monitored(member))) find_monitored_peers();
+    if (next.health != before.health) changes_.push_back({member, next.health, next.incarnation});
     return true;
 }
 
-void Membership::heard(Point now, MemberIndex from)
+// Answers an update about this member itself that says it is suspect or gone, or that comes from a past of
+// this id which its disk has forgotten: by a higher incarnation.
+void Membership::refute(const MemberState& update)
 {
-    Watch& w = watch(from);
-    w.heard = now;
-    w.asking = false;
-    std::erase_if(asked_for_, [&](const auto& asked) {
-        if (asked.first != from) return false;
-        send(asked.second.first, IndirectProbeAck{file_.members[from].key, all_[from].incarnation});
+    const MemberState state = own();
+    const bool is_alive = update.health == Health::alive;
+    const bool is_other_instance = update.instance != 0 && update.instance != state.instance;
+    if (is_other_instance && update.incarnation >= state.incarnation && is_alive) duplicate_identity_ = true;
+    if (departed_ || update.incarnation < state.incarnation) return;
+    const bool agrees =
+        is_alive && (update.incarnation == state.incarnation || update.instance == state.instance);
+    if (agrees) return;
+    view_.set(self_, {update.incarnation + 1, state.instance, state.health, state.weight});
+    gossip({update_of(self_)}, no_member);
+}
+
+void Membership::on_message(Point now, MemberIndex from)
+{
+    Contact& contact = contact_of(from);
+    contact.last_heard = now;
+    contact.probing = false;
+    std::erase_if(relayed_probes_, [&](const RelayedProbe& probe) {
+        if (probe.subject != from) return false;
+        send(probe.requester, IndirectProbeAck{config_.members[from].key, view_.of(from).incarnation});
         return true;
     });
 }
 
-void Membership::on(Point now, MemberIndex from, const Ping& p)
+void Membership::on_ping(Point now, MemberIndex from, const Ping& ping_received)
+{
+    const MemberState sender{ping_received.incarnation, ping_received.instance, Health::alive,
+                             ping_received.weight};
+    if (view_.of(from).incarnation < sender.incarnation && accept(now, from, sender))
+        gossip({update_of(from)}, from);
+    const bool thinks_alive = ping_received.receiver_health == static_cast<uint8_t>(Health::alive);
+    const bool must_refute = (!thinks_alive && ping_received.receiver_incarnation) ||
+                             ping_received.receiver_incarnation > incarnation();
+    if (must_refute) accept(now, self_, {ping_received.receiver_incarnation, 0, Health::suspect, 0});
+    if (!ping_received.acknowledges) ping(now, from, ping_received.number);
+    reconcile(now, from, ping_received.view_digest);
+}
+
+// Repairs what gossip has lost. Backs off, for two members whose files name other members differ for good.
+void Membership::reconcile(Point now, MemberIndex from, uint64_t other_digest)
 {
-    if (all_[from].incarnation < p.incarnation &&
-        accept(now, from, Health::alive, p.incarnation, p.instance, p.weight))
-        spread({update_of(from)}, from);
-    if (p.held != static_cast<uint8_t>(Health::alive) && p.held_at)
-        accept(now, self_, Health::suspect, p.held_at, 0, 0);
-    else if (p.held_at > incarnation())
-        accept(now, self_, Health::suspect, p.held_at, 0, 0);
-    if (!p.answers) ping(now, from, p.number);
-    // Repairs what gossip has lost. Guards against telling all, again and again, where files name other
-    // members.
-    Watch& w = watch(from);
-    if (p.view == digest_) {
-        w.differs_since = now + period_;
-        w.exchange_after = first_exchange;
-    } else if (now - w.differs_since > period_ && now - w.exchanged > w.exchange_after) {
-        w.exchanged = now;
-        w.exchange_after = std::min(longest_exchange, w.exchange_after * 2);
-        send(from, all_known(true));
+    Contact& contact = contact_of(from);
+    if (other_digest == digest()) {
+        contact.differs_since = now + period_;
+        contact.exchange_backoff = first_exchange_backoff;
+        return;
     }
+    const bool differs_for_long = now - contact.differs_since > period_;
+    if (!differs_for_long || now - contact.last_exchange <= contact.exchange_backoff) return;
+    contact.last_exchange = now;
+    contact.exchange_backoff = std::min(max_exchange_backoff, contact.exchange_backoff * 2);
+    send(from, full_state(true));
 }
 
-void Membership::on(Point now, MemberIndex from, const IndirectProbeRequest& ask)
+void Membership::on_indirect_probe(Point now, MemberIndex from, const IndirectProbeRequest& request)
 {
-    const auto m = file_.member_of(ask.member);
-    if (!m || *m == self_) return;
-    if (now - heard_at(watch(*m)) < period_ * 2)
-        return send(from, IndirectProbeAck{ask.member, all_[*m].incarnation});
-    asked_for_.push_back({*m, {from, now}});
-    ping(now, *m);
+    const auto subject = config_.member_of(request.member);
+    if (!subject || *subject == self_) return;
+    if (now - last_heard(contact_of(*subject)) < period_ * recently_heard)
+        return send(from, IndirectProbeAck{request.member, view_.of(*subject).incarnation});
+    relayed_probes_.push_back({*subject, from, now});
+    ping(now, *subject);
 }
 
-void Membership::on(Point now, MemberIndex, const IndirectProbeAck& reached)
+void Membership::on_indirect_ack(Point now, const IndirectProbeAck& ack)
 {
-    const auto m = file_.member_of(reached.member);
-    if (!m || *m == self_) return;
-    Watch& w = watch(*m);
-    w.asking = false;
-    w.heard = now;
+    const auto subject = config_.member_of(ack.member);
+    if (!subject || *subject == self_) return;
+    Contact& contact = contact_of(*subject);
+    contact.probing = false;
+    contact.last_heard = now;
 }
 
-void Membership::on(Point now, MemberIndex from, const MembershipUpdates& updates)
+void Membership::on_updates(Point now, MemberIndex from, const MembershipUpdates& updates)
 {
     std::vector<MembershipUpdate> news;
-    for (const MembershipUpdate& r : updates.all) {
-        const auto m = file_.member_of(r.member);
-        if (!m || r.health > static_cast<uint8_t>(Health::gone)) continue;
-        if (accept(now, *m, static_cast<Health>(r.health), r.incarnation, r.instance, r.weight))
-            news.push_back(update_of(*m));
+    for (const MembershipUpdate& update : updates.updates) {
+        const auto member = config_.member_of(update.member);
+        if (!member || update.health > static_cast<uint8_t>(Health::gone)) continue;
+        const MemberState state{update.incarnation, update.instance, static_cast<Health>(update.health),
+                                update.weight};
+        if (accept(now, *member, state)) news.push_back(update_of(*member));
     }
-    spread(news, from);
-    if (updates.answer) send(from, all_known(false));
+    gossip(news, from);
+    if (updates.reply_requested) send(from, full_state(false));
+}
+
+// ---- monitoring ----
+
+void Membership::tick(Point now)
+{
+    // After a stall of this process nobody has been heard: the others are not to blame.
+    if (now - last_tick_ > period_ * stalled_after) heard_at_least_ = now - period_;
+    last_tick_ = now;
+    std::erase_if(relayed_probes_, [&](const RelayedProbe& probe) {
+        return now - probe.requested > period_ * relayed_probe_lasts;
+    });
+    std::vector<MembershipUpdate> found = monitor_peers(now);
+    const auto gone_member = next_gone_member();
+    expire_suspects(now, found);
+    gossip(found, no_member);
+    ping_gone_member(now, gone_member);
 }
 
-void Membership::weigh(uint8_t weight)
+std::vector<MembershipUpdate> Membership::monitor_peers(Point now)
 {
-    const MemberState& o = all_[self_];
-    set(self_, {o.incarnation + 1, o.instance, o.health, weight});
-    spread({update_of(self_)}, nobody);
+    std::vector<MembershipUpdate> found;
+    const auto peers = monitored_;  // a finding may change them
+    const auto contacts = monitored_contacts_;
+    for (size_t i = 0; i < peers.size(); ++i) monitor(now, peers[i], *contacts[i], found);
+    return found;
 }
 
-void Membership::leave(Point)
+void Membership::monitor(Point now, MemberIndex peer, Contact& contact, std::vector<MembershipUpdate>& found)
 {
-    left_ = true;
-    MembershipUpdate r = update_of(self_);
-    r.health = static_cast<uint8_t>(Health::gone);
-    spread({r}, nobody);
+    if (now - contact.last_ping >= period_) ping(now, peer);
+    if (view_.of(peer).health != Health::alive) return;
+    if (!contact.probing) {
+        if (now - last_heard(contact) > period_ * silent_after) probe_indirectly(now, peer, contact);
+        return;
+    }
+    if (now - contact.probe_started <= period_ * suspect_after) return;
+    contact.probing = false;
+    const MemberState state = view_.of(peer);
+    if (accept(now, peer, {state.incarnation, 0, Health::suspect, state.weight}))
+        found.push_back(update_of(peer));
 }
 
-// Up to three others that are alive, drawn alike from all.
-std::vector<MemberIndex> Membership::draw_helpers(MemberIndex subject)
+void Membership::probe_indirectly(Point now, MemberIndex peer, Contact& contact)
 {
-    std::vector<MemberIndex> drawn;
-    const auto suits = [&](MemberIndex m) {
-        return m != subject && m != self_ && all_[m].health == Health::alive &&
-               std::find(drawn.begin(), drawn.end(), m) == drawn.end();
-    };
-    std::uniform_int_distribution<MemberIndex> any(0, static_cast<MemberIndex>(all_.size() - 1));
-    for (size_t i = 0; i < helpers * draws && drawn.size() < helpers; ++i)
-        if (const MemberIndex m = any(chance_); suits(m)) drawn.push_back(m);
-    if (drawn.size() == helpers) return drawn;
-    // Few are alive: those that are left, in a random order.
-    std::vector<MemberIndex> left;
-    for (MemberIndex m = 0; m < all_.size(); ++m)
-        if (suits(m)) left.push_back(m);
-    std::shuffle(left.begin(), left.end(), chance_);
-    left.resize(std::min(left.size(), helpers - drawn.size()));
-    drawn.insert(drawn.end(), left.begin(), left.end());
-    return drawn;
+    contact.probing = true;
+    contact.probe_started = now;
+    for (const MemberIndex helper : draw_helpers(peer))
+        send(helper, IndirectProbeRequest{config_.members[peer].key});
 }
 
-// In the order of the file.
-std::vector<MemberIndex> Membership::overdue_suspects(Point now)
+void Membership::expire_suspects(Point now, std::vector<MembershipUpdate>& found)
 {
-    std::vector<MemberIndex> overdue;
-    for (const auto& [m, since] : suspect_since_)
-        if (now - since > period_ * gone_after) overdue.push_back(m);
-    if (!unheard_are_suspect_ || now - started_ <= period_ * gone_after) return overdue;
-    unheard_are_suspect_ = false;
-    for (MemberIndex m = 0; m < all_.size(); ++m)
-        if (all_[m].health == Health::suspect && all_[m].incarnation == 0) overdue.push_back(m);
-    std::sort(overdue.begin(), overdue.end());
-    return overdue;
+    for (const MemberIndex member : view_.overdue_suspects(now, period_ * gone_after)) {
+        const MemberState state = view_.of(member);
+        const bool was_heard_of = state.incarnation > 0;
+        if (accept(now, member, {state.incarnation, 0, Health::gone, state.weight}) && was_heard_of)
+            found.push_back(update_of(member));
+    }
 }
 
-// They are taken in turn.
-std::optional<MemberIndex> Membership::next_gone() const
+std::optional<MemberIndex> Membership::next_gone_member() const
 {
-    if (gone_.empty()) return {};
-    return gone_[next_gone_ % gone_.size()];
+    const auto& gone = view_.gone();
+    if (gone.empty()) return {};
+    return gone[next_gone_ % gone.size()];
 }
 
-void Membership::tick(Point now)
+// They are tried in turn: two halves of a fleet that hold each other for gone find together again.
+void Membership::ping_gone_member(Point now, std::optional<MemberIndex> member)
 {
-    // Guards against blaming all others for a stall of this process: whoever stood still has heard nobody.
-    if (now - woken_ > period_ * 2) heard_at_least_ = now - period_;
-    woken_ = now;
-    std::erase_if(asked_for_, [&](const auto& a) { return now - a.second.second > period_ * 3; });
-    std::vector<MembershipUpdate> found;
-    const auto neighbours = neighbours_;  // a finding below may change them
-    const auto watches = neighbour_watches_;
-    for (size_t i = 0; i < neighbours.size(); ++i) {
-        const MemberIndex m = neighbours[i];
-        Watch& w = *watches[i];
-        if (now - w.pinged >= period_) ping(now, m);
-        if (all_[m].health != Health::alive) continue;
-        if (!w.asking && now - heard_at(w) > period_ * silent_after) {
-            w.asking = true;
-            w.asked = now;
-            for (const MemberIndex o : draw_helpers(m)) send(o, IndirectProbeRequest{file_.members[m].key});
-        } else if (w.asking && now - w.asked > period_ * suspect_after) {
-            w.asking = false;
-            if (accept(now, m, Health::suspect, all_[m].incarnation, 0, all_[m].weight))
-                found.push_back(update_of(m));
-        }
-    }
-    const auto gone_before = next_gone();
-    for (const MemberIndex m : overdue_suspects(now)) {
-        const bool known = all_[m].incarnation > 0;
-        if (accept(now, m, Health::gone, all_[m].incarnation, 0, all_[m].weight) && known)
-            found.push_back(update_of(m));
-    }
-    spread(found, nobody);
-    // Those that are gone are tried in turn: two halves that hold each other for gone find together again.
-    if (gone_before && now - gone_pinged_ >= period_) {
-        ping(now, *gone_before);
-        ++next_gone_;
-        gone_pinged_ = now;
-    }
+    if (!member || now - last_gone_ping_ < period_) return;
+    ping(now, *member);
+    ++next_gone_;
+    last_gone_ping_ = now;
+}
+
+// Up to three others that are alive, drawn with equal chance.
+std::vector<MemberIndex> Membership::draw_helpers(MemberIndex subject)
+{
+    std::vector<MemberIndex> drawn;
+    const auto suits = [&](MemberIndex member) {
+        return member != subject && member != self_ && view_.of(member).health == Health::alive &&
+               std::find(drawn.begin(), drawn.end(), member) == drawn.end();
+    };
+    std::uniform_int_distribution<MemberIndex> any(0, static_cast<MemberIndex>(view_.size() - 1));
+    for (size_t i = 0; i < indirect_probes * draws_per_helper && drawn.size() < indirect_probes; ++i)
+        if (const MemberIndex member = any(random_); suits(member)) drawn.push_back(member);
+    if (drawn.size() == indirect_probes) return drawn;
+    // Few are alive: those that are left, in a random order.
+    std::vector<MemberIndex> remaining;
+    for (MemberIndex member = 0; member < view_.size(); ++member)
+        if (suits(member)) remaining.push_back(member);
+    std::shuffle(remaining.begin(), remaining.end(), random_);
+    remaining.resize(std::min(remaining.size(), indirect_probes - drawn.size()));
+    drawn.insert(drawn.end(), remaining.begin(), remaining.end());
+    return drawn;
 }
 
 }  // namespace firtide::fleet
--- a/src/fleet/membership/membership.h
+++ b/src/fleet/membership/membership.h
@@ -1,16 +1,19 @@
-// Who of the fleet is there: alive, suspect or gone, each at an incarnation. Each member watches a few
-// others, which follow from their ids, whatever the size of the fleet; what it finds is gossiped. No
-// I/O, no clock.
+// Failure detection and dissemination, after SWIM: who of the fleet is alive, suspect or gone, each at an
+// incarnation.
 //
-// Neither a tick nor a ping goes through all members: a digest of the view is kept as the view changes, and
-// beside the one small record of each member there are only those that are suspect, gone or heard directly.
+// Each member monitors a few others, the next and the last on each ring of the roster, whatever the size of
+// the fleet. One that falls silent is probed through others before it is suspected; a suspect that does not
+// refute in time is gone. What is found is gossiped over the same links, and repaired by comparing digests
+// with each ping.
+//
+// No I/O and no clock of its own. Not thread-safe.
 #pragma once
 
-#include <map>
 #include <random>
 #include <unordered_map>
 #include <vector>
 
+#include "member_view.h"
 #include "src/fleet/config.h"
 #include "src/fleet/transport/outgoing.h"
 
@@ -23,11 +26,11 @@
     Incarnation incarnation = 0;
 };
 
-// What a member says of itself with each ping.
+// What the other parts of a member say with each ping.
 struct PingPayload {
     MemberKey leader = 0;
     Term term = 0;
-    uint64_t list = 0;
+    uint64_t list_number = 0;
     Epoch list_epoch = 0;
     uint64_t list_digest = 0;
 };
@@ -35,102 +38,105 @@
 class Membership
 {
   public:
-    // Of each member. Incarnation zero: never heard of.
-    struct MemberState {
-        Incarnation incarnation = 0;
-        InstanceId instance = 0;
-        Health health = Health::suspect;
-        uint8_t weight = 0;
-    };
-
-    // period: of watching; a silent member is suspect after some four and gone after some eight of them.
-    Membership(const FleetConfig& file, InstanceId instance, Incarnation incarnation, Span period,
+    // `config` must outlive the membership. `period`: of monitoring; a silent member is suspect after some
+    // four and gone after some eight of them.
+    Membership(const FleetConfig& config, InstanceId instance, Incarnation incarnation, Span period,
                uint64_t seed);
 
     void start(Point now);
-    // Takes the view of a fleet that has long been up, as one record for each member, in place of finding it
-    // out. Tells nobody. For simulations that begin with a fleet at rest.
-    void seed_members(const std::vector<MemberState>& all);
+    // Takes the view of a fleet that has long been up, in place of finding it out. Sends nothing. For
+    // simulations.
+    void seed_members(const std::vector<MemberState>& members);
     void tick(Point now);
-    void heard(Point now, MemberIndex from);  // anything at all
-    void on(Point now, MemberIndex from, const Ping& ping);
-    void on(Point now, MemberIndex from, const IndirectProbeRequest& ask);
-    void on(Point now, MemberIndex from, const IndirectProbeAck& reached);
-    void on(Point now, MemberIndex from, const MembershipUpdates& updates);
-    void leave(Point now);       // says that it is gone
-    void weigh(uint8_t weight);  // tells all of its own
-
-    std::vector<Send> take_sends() { return std::exchange(sends_, {}); }
-    std::vector<HealthChange> take_changes() { return std::exchange(changes_, {}); }
-
-    const MemberState& of(MemberIndex m) const { return all_[m]; }
-    Incarnation incarnation() const { return all_[self_].incarnation; }
-    // Told apart by their lives: another process has been seen under this one's id.
-    bool twin() const { return twin_; }
-    const std::vector<MemberIndex>& neighbours() const { return neighbours_; }
-    // The next on each ring: what all pass on to these reaches everybody, with one or two to spare.
-    const std::vector<MemberIndex>& successors() const { return successors_; }
-    size_t alive() const { return alive_; }
-    // A digest of the health and incarnation of all members that were ever heard of: equal at two members
-    // exactly if they hold the same of each, but for collisions of 64 bits.
-    uint64_t digest() const { return digest_; }
-    // Grows with every change of a record.
-    uint64_t version() const { return version_; }
-    PingPayload carried;
+
+    // To be called for every message, whatever it is, before the message itself is handled.
+    void on_message(Point now, MemberIndex from);
+    void on_ping(Point now, MemberIndex from, const Ping& ping);
+    void on_indirect_probe(Point now, MemberIndex from, const IndirectProbeRequest& request);
+    void on_indirect_ack(Point now, const IndirectProbeAck& ack);
+    void on_updates(Point now, MemberIndex from, const MembershipUpdates& updates);
+
+    // Announces that this member is gone.
+    void depart();
+    // Announces the weight of this member's traffic.
+    void set_weight(uint8_t weight);
+    // Sent with every ping from now on.
+    void set_payload(const PingPayload& payload) { payload_ = payload; }
+
+    [[nodiscard]] std::vector<Send> take_sends() { return std::exchange(sends_, {}); }
+    [[nodiscard]] std::vector<HealthChange> take_changes() { return std::exchange(changes_, {}); }
+
+    [[nodiscard]] const MemberState& of(MemberIndex member) const { return view_.of(member); }
+    [[nodiscard]] const MemberState& own() const { return view_.of(self_); }
+    [[nodiscard]] Incarnation incarnation() const { return own().incarnation; }
+    [[nodiscard]] size_t alive() const { return view_.alive(); }
+    [[nodiscard]] uint64_t digest() const { return view_.digest(); }
+    [[nodiscard]] uint64_t version() const { return view_.version(); }
+    // Whether another process has been seen under this member's id.
+    [[nodiscard]] bool has_duplicate_identity() const { return duplicate_identity_; }
+
+    [[nodiscard]] const std::vector<MemberIndex>& monitored_peers() const { return monitored_; }
+    // The next member on each ring: what all pass on to these reaches everybody, with one or two to spare.
+    [[nodiscard]] const std::vector<MemberIndex>& gossip_targets() const { return gossip_targets_; }
 
   private:
     // Of a member that was heard directly, or pinged.
-    struct Watch {
-        Point heard, pinged, asked;
-        bool asking = false;
-        Point exchanged;
-        Span exchange_after;
-        Point differs_since;
+    struct Contact {
+        Point last_heard, last_ping, probe_started;
+        bool probing = false;  // through others
+        Point last_exchange;   // of all records
+        Span exchange_backoff;
+        Point differs_since;  // the digests of both
+    };
+    // An indirect probe that another member has asked for.
+    struct RelayedProbe {
+        MemberIndex subject = 0, requester = 0;
+        Point requested;
     };
 
     void send(MemberIndex to, Message message) { sends_.push_back({to, std::move(message)}); }
-    void ping(Point now, MemberIndex to, uint64_t answers = 0);
-    // True where it is news.
-    bool accept(Point now, MemberIndex m, Health health, Incarnation incarnation, InstanceId instance,
-                uint8_t weight);
-    void spread(const std::vector<MembershipUpdate>& updates, MemberIndex not_to);
-    MembershipUpdate update_of(MemberIndex m) const;
-    MembershipUpdates all_known(bool answer) const;
-    // The one place where a record changes.
-    void set(MemberIndex m, const MemberState& next);
-    uint64_t digest_of(MemberIndex m) const;
-    void note_health(Point now, MemberIndex m, Health before);
-    void find_neighbours();
-    bool is_neighbour(MemberIndex m) const;
-    Watch& watch(MemberIndex m);
-    Point heard_at(const Watch& watch) const { return std::max(watch.heard, heard_at_least_); }
+    void ping(Point now, MemberIndex to, uint64_t acknowledges = 0);
+    void gossip(const std::vector<MembershipUpdate>& updates, MemberIndex except);
+    MembershipUpdate update_of(MemberIndex member) const;
+    MembershipUpdates full_state(bool reply_requested) const;
+
+    // Returns true where the update is news.
+    bool accept(Point now, MemberIndex member, const MemberState& update);
+    void refute(const MemberState& update);
+    void reconcile(Point now, MemberIndex from, uint64_t digest);
+
+    void monitor(Point now, MemberIndex peer, Contact& contact, std::vector<MembershipUpdate>& found);
+    void probe_indirectly(Point now, MemberIndex peer, Contact& contact);
+    std::vector<MembershipUpdate> monitor_peers(Point now);
+    void expire_suspects(Point now, std::vector<MembershipUpdate>& found);
+    void ping_gone_member(Point now, std::optional<MemberIndex> member);
+    std::optional<MemberIndex> next_gone_member() const;
     std::vector<MemberIndex> draw_helpers(MemberIndex subject);
-    std::vector<MemberIndex> overdue_suspects(Point now);
-    std::optional<MemberIndex> next_gone() const;
 
-    const FleetConfig& file_;
+    void find_monitored_peers();
+    bool is_monitored(MemberIndex member) const;
+    Contact& contact_of(MemberIndex member);
+    Point last_heard(const Contact& contact) const { return std::max(contact.last_heard, heard_at_least_); }
+
+    const FleetConfig& config_;
     const MemberIndex self_;
     const Span period_;
-    std::ranlux24_base chance_;
-    std::vector<MemberState> all_;
-    size_t alive_ = 0;
-    uint64_t digest_ = 0, version_ = 0;
-    // Those that were never heard of are suspect since the start, all alike, and not among these.
-    std::map<MemberIndex, Point> suspect_since_;
-    std::vector<MemberIndex> gone_;  // in order
-    bool unheard_are_suspect_ = true;
-    std::unordered_map<MemberIndex, Watch> watch_;
-    Point heard_at_least_;  // each is taken to have been heard since then
-    std::vector<MemberIndex> neighbours_, successors_;
-    std::vector<Watch*> neighbour_watches_;  // in step with the neighbours
-    std::vector<std::pair<MemberIndex, std::pair<MemberIndex, Point>>>
-        asked_for_;  // subject, who asked and when
+    std::ranlux24_base random_;
+    MemberView view_;
+    PingPayload payload_;
+
+    std::unordered_map<MemberIndex, Contact> contacts_;
+    Point heard_at_least_;  // each member is taken to have been heard since then
+    std::vector<MemberIndex> monitored_, gossip_targets_;
+    std::vector<Contact*> monitored_contacts_;  // in step with monitored_
+    std::vector<RelayedProbe> relayed_probes_;
+
     std::vector<Send> sends_;
     std::vector<HealthChange> changes_;
-    uint64_t pings_ = 0;
+    uint64_t last_ping_number_ = 0;
     size_t next_gone_ = 0;
-    Point started_, woken_, gone_pinged_;
-    bool twin_ = false, left_ = false;
+    Point started_, last_tick_, last_gone_ping_;
+    bool duplicate_identity_ = false, departed_ = false;
 };
 
 }  // namespace firtide::fleet
--- a/src/fleet/outlier/outlier_gossip.cpp
+++ b/src/fleet/outlier/outlier_gossip.cpp
@@ -7,176 +7,245 @@
 namespace
 {
 
-constexpr double worth_telling = 0.1;  // of an entry
-constexpr Span again = seconds(0.5);   // the same finding, with new evidence
-constexpr size_t witnesses = 3;        // of one upstream that are passed on
-constexpr size_t most_signals = 64;    // in one digest
-constexpr size_t few_signals = 6;      // wait for more room, where there are more
-constexpr size_t most_upstreams = 10000;
-constexpr double bytes_of_one = 48, bytes_of_frame = 40;
-constexpr double own_weighs = 3;  // good answers: so many halve what others say
+constexpr double min_reduction = 0.1;           // of an entry that is worth a report
+constexpr Span repeat_interval = seconds(0.5);  // of the same finding, with new evidence
+constexpr double start_repeat = 0.5;            // the same of a start alone: of the validity
+constexpr size_t max_reporters = 3;             // whose reports on one upstream are passed on
+constexpr size_t max_reports = 64;              // in one digest
+constexpr size_t min_batch = 6;                 // reports that wait for more bytes, where there are more
+constexpr size_t max_upstreams = 10000;
+constexpr double report_bytes = 48, frame_bytes = 40;
+constexpr double own_answer_weight = 3;  // good answers that halve what others say
+constexpr int own_report_bonus = 32;     // of 255, in the order of sending
+constexpr double full_reduction = 255;   // as it is encoded
+constexpr int64_t microseconds_per_millisecond = 1000;
 
-double part_of(const OutlierReport& s) { return s.reduction / 255.0; }
+double reduction_of(const OutlierReport& report) { return report.reduction / full_reduction; }
 
 }  // namespace
 
-OutlierGossip::OutlierGossip(const OutlierGossipConfig& rule, MemberKey own, InstanceId instance)
-    : rule_(rule), own_(own), instance_(instance)
+OutlierGossip::OutlierGossip(const OutlierGossipConfig& config, MemberKey own, InstanceId instance)
+    : config_(config), own_(own), instance_(instance)
 {
 }
 
-void OutlierGossip::seen(Point now, const std::vector<OutlierEvidence>& all)
+// ---- own findings ----
+
+void OutlierGossip::on_local_evidence(Point now, const std::vector<OutlierEvidence>& evidence)
 {
     evidence_.clear();
     evidence_at_ = now;
-    for (const OutlierEvidence& e : all) {
-        evidence_[e.upstream] = e;
-        const bool reduced = e.reduction >= worth_telling && e.bad > 0 && e.age < rule_.validity;
-        if (!reduced && !e.started) continue;
-        auto& [when, before] = own_told_[e.upstream];
-        if (now - when < again && e.reduction < before + worth_telling) continue;
-        const Point found = reduced ? now - e.age : now;
-        Held& h = held_[e.upstream][own_];
-        // Nothing but new evidence renews what was found.
-        if (reduced && h.signal.number && found <= h.found && e.reduction <= part_of(h.signal)) continue;
-        if (!reduced && now - when < rule_.validity * 0.5) continue;
-        when = now, before = e.reduction;
-        h.signal = {e.upstream,
-                    own_,
-                    instance_,
-                    ++number_,
-                    static_cast<uint8_t>(reduced ? std::min(1.0, e.reduction) * 255 : 0),
-                    static_cast<uint8_t>(std::min<uint32_t>(e.bad, 255)),
-                    0,
-                    e.started ? static_cast<uint32_t>(e.started->seconds()) + 1 : 0};
-        h.found = found, h.until = found + rule_.validity;
-        due(e.upstream, own_);
+    for (const OutlierEvidence& each : evidence) {
+        evidence_[each.upstream] = each;
+        report_local(now, each);
     }
 }
 
-void OutlierGossip::heard(Point now, const OutlierDigest& digest)
+void OutlierGossip::report_local(Point now, const OutlierEvidence& evidence)
 {
-    for (const OutlierReport& s : digest.all) {
-        if (s.by == own_) continue;
-        const Span age{int64_t{s.age_ms} * 1000};
-        Newest& of = newest_[s.by];
-        if (of.instance != s.instance) of = {s.instance, {}};
-        uint64_t& newest = of.of[s.upstream];
-        // Guards against what comes twice, late or out of order: it renews nothing.
-        if (s.number <= newest || age >= rule_.validity ||
-            (held_.size() >= most_upstreams && !held_.count(s.upstream))) {
+    const bool is_reduced =
+        evidence.reduction >= min_reduction && evidence.bad > 0 && evidence.age < config_.validity;
+    if (!is_reduced && !evidence.started) return;
+    Sent& sent = last_sent_[evidence.upstream];
+    if (now - sent.at < repeat_interval && evidence.reduction < sent.reduction + min_reduction) return;
+    const Point found = is_reduced ? now - evidence.age : now;
+    HeldReport& held = reports_[evidence.upstream][own_];
+    // Nothing but new evidence renews a finding.
+    const bool is_known =
+        held.report.number && found <= held.found && evidence.reduction <= reduction_of(held.report);
+    if (is_reduced && is_known) return;
+    if (!is_reduced && now - sent.at < config_.validity * start_repeat) return;
+    sent = {now, evidence.reduction};
+    held = {make_report(evidence, is_reduced), found, found + config_.validity};
+    pending_.insert({evidence.upstream, own_});
+}
+
+OutlierReport OutlierGossip::make_report(const OutlierEvidence& evidence, bool is_reduced)
+{
+    OutlierReport report;
+    report.upstream = evidence.upstream;
+    report.reporter = own_;
+    report.instance = instance_;
+    report.number = ++last_number_;
+    const double reduction = std::min(1.0, evidence.reduction) * full_reduction;
+    report.reduction = is_reduced ? static_cast<uint8_t>(reduction) : 0;
+    report.evidence_count = static_cast<uint8_t>(std::min<uint32_t>(evidence.bad, UINT8_MAX));
+    if (evidence.started) report.started_s = static_cast<uint32_t>(evidence.started->seconds()) + 1;
+    return report;
+}
+
+// ---- reports of others ----
+
+void OutlierGossip::on_digest(Point now, const OutlierDigest& digest)
+{
+    for (const OutlierReport& report : digest.reports) {
+        if (report.reporter == own_) continue;
+        if (is_stale(report))
             ++stale_;
-            continue;
-        }
-        newest = s.number;
-        auto& by = held_[s.upstream];
-        std::erase_if(by, [&](const auto& h) { return h.second.until <= now; });
-        const bool enough = by.size() >= witnesses && !by.count(s.by);
-        by[s.by] = {s, now - age, now - age + rule_.validity};
-        if (!enough) due(s.upstream, s.by);
+        else
+            accept(now, report);
     }
 }
 
-OutlierDigest OutlierGossip::take(Point now, size_t successors)
+bool OutlierGossip::is_stale(const OutlierReport& report)
 {
-    room_ = std::min<double>(rule_.bytes, room_ + rule_.bytes * (now - filled_).seconds());
-    filled_ = now;
-    for (auto at = held_.begin(); at != held_.end();) {
-        std::erase_if(at->second, [&](const auto& h) { return h.second.until <= now; });
-        at = at->second.empty() ? held_.erase(at) : std::next(at);
+    Sequence& sequence = sequences_[report.reporter];
+    if (sequence.instance != report.instance) sequence = {report.instance, {}};
+    uint64_t& newest = sequence.newest[report.upstream];
+    const Span age{int64_t{report.age_ms} * microseconds_per_millisecond};
+    const bool has_room = reports_.size() < max_upstreams || reports_.count(report.upstream);
+    if (report.number <= newest || age >= config_.validity || !has_room) return true;
+    newest = report.number;
+    return false;
+}
+
+void OutlierGossip::accept(Point now, const OutlierReport& report)
+{
+    const Point found = now - Span{int64_t{report.age_ms} * microseconds_per_millisecond};
+    Reports& reports = reports_[report.upstream];
+    std::erase_if(reports, [&](const auto& each) { return each.second.valid_until <= now; });
+    const bool is_known_enough = reports.size() >= max_reporters && !reports.count(report.reporter);
+    reports[report.reporter] = {report, found, found + config_.validity};
+    if (!is_known_enough) pending_.insert({report.upstream, report.reporter});
+}
+
+// ---- what is sent ----
+
+void OutlierGossip::expire(Point now)
+{
+    for (auto next = reports_.begin(); next != reports_.end();) {
+        std::erase_if(next->second, [&](const auto& each) { return each.second.valid_until <= now; });
+        next = next->second.empty() ? reports_.erase(next) : std::next(next);
     }
-    std::erase_if(due_, [&](const auto& d) {
-        const auto at = held_.find(d.first);
-        return at == held_.end() || !at->second.count(d.second);
+    std::erase_if(pending_, [&](const Pending& pending) {
+        const auto reports = reports_.find(pending.upstream);
+        return reports == reports_.end() || !reports->second.count(pending.reporter);
     });
-    OutlierDigest out;
-    if (due_.empty() || successors == 0) return out;
-    const double copies = static_cast<double>(successors);
-    const double room = std::min(room_ / copies, most_signals * bytes_of_one + bytes_of_frame);
-    const auto most = static_cast<size_t>(std::max(0.0, (room - bytes_of_frame) / bytes_of_one));
-    if (most < std::min(few_signals, due_.size())) return out;
-    std::vector<const Held*> order;
-    for (const auto& [upstream, by] : due_) order.push_back(&held_[upstream][by]);
-    // The gravest first, own ones before others'; the rest waits until it is too old to be told.
-    std::stable_sort(order.begin(), order.end(), [&](const Held* a, const Held* b) {
-        const auto rank = [&](const Held* h) {
-            return h->signal.reduction + (h->signal.by == own_ ? 32 : 0);
-        };
-        return rank(a) > rank(b);
+}
+
+size_t OutlierGossip::affordable_reports(size_t receivers) const
+{
+    const double bytes =
+        std::min(byte_budget_ / static_cast<double>(receivers), max_reports * report_bytes + frame_bytes);
+    return static_cast<size_t>(std::max(0.0, (bytes - frame_bytes) / report_bytes));
+}
+
+// The gravest first, own ones before others'.
+std::vector<const OutlierGossip::HeldReport*> OutlierGossip::pending_by_gravity()
+{
+    std::vector<const HeldReport*> order;
+    for (const auto& [upstream, reporter] : pending_) order.push_back(&reports_[upstream][reporter]);
+    const auto gravity = [&](const HeldReport* held) {
+        return held->report.reduction + (held->report.reporter == own_ ? own_report_bonus : 0);
+    };
+    std::stable_sort(order.begin(), order.end(), [&](const HeldReport* left, const HeldReport* right) {
+        return gravity(left) > gravity(right);
     });
-    if (order.size() > most) dropped_ += order.size() - most, order.resize(most);
-    if (order.empty()) return out;
-    for (const Held* h : order) {
-        out.all.push_back(h->signal);
-        out.all.back().age_ms = static_cast<uint32_t>(std::max<int64_t>(0, (now - h->found).us / 1000));
-        due_.erase({h->signal.upstream, h->signal.by});
+    return order;
+}
+
+OutlierDigest OutlierGossip::next_digest(Point now, size_t receivers)
+{
+    const double refill = config_.bytes * (now - last_refill_).seconds();
+    byte_budget_ = std::min<double>(config_.bytes, byte_budget_ + refill);
+    last_refill_ = now;
+    expire(now);
+    OutlierDigest digest;
+    if (pending_.empty() || receivers == 0) return digest;
+    const size_t affordable = affordable_reports(receivers);
+    if (affordable < std::min(min_batch, pending_.size())) return digest;
+    auto order = pending_by_gravity();
+    // The others wait until they are too old to be sent.
+    if (order.size() > affordable) {
+        dropped_ += order.size() - affordable;
+        order.resize(affordable);
+    }
+    if (order.empty()) return digest;
+    for (const HeldReport* held : order) {
+        digest.reports.push_back(held->report);
+        const int64_t age_ms = (now - held->found).us / microseconds_per_millisecond;
+        digest.reports.back().age_ms = static_cast<uint32_t>(std::max<int64_t>(0, age_ms));
+        pending_.erase({held->report.upstream, held->report.reporter});
     }
-    room_ -= copies * (bytes_of_frame + bytes_of_one * static_cast<double>(out.all.size()));
-    return out;
+    const double bytes = frame_bytes + report_bytes * static_cast<double>(digest.reports.size());
+    byte_budget_ -= static_cast<double>(receivers) * bytes;
+    return digest;
 }
 
+// ---- verdicts ----
+
 // What others say counts less the more own answers since then were good.
-double OutlierGossip::against(Point now, const OutlierEvidence& own, Point found) const
-{
-    if (own.bad > 0 || own.well == 0 || now - own.well_age - (now - evidence_at_) < found) return 1;
-    return own_weighs / (own_weighs + own.well);
-}
-
-// The second greatest of what others say is agreed on; the greatest counts alone up to a part. Own good
-// answers since they found it hold both down to a part: an own road that is well says more than others' that
-// may not be.
-OutlierGossip::Verdict OutlierGossip::result(Point now, uint64_t upstream,
-                                             const std::map<MemberKey, Held>& by) const
-{
-    double first = 0, second = 0;
-    Point found{INT64_MIN / 2};
-    uint32_t youngest = 0, next = 0;  // starts: the youngest that two name
-    for (const auto& [key, h] : by) {
-        if (key == own_ || h.until <= now) continue;
-        const double r = part_of(h.signal);
-        second = std::max(second, std::min(first, r));
-        first = std::max(first, r);
-        if (r > 0) found = std::max(found, h.found);
-        if (const uint32_t s = h.signal.started_s) {
-            if (!youngest || s < youngest)
-                next = youngest, youngest = s;
-            else if (!next || s < next)
-                next = s;
+double OutlierGossip::discount(Point now, const OutlierEvidence& own, Point found) const
+{
+    const Point last_good = now - own.well_age - (now - evidence_at_);
+    if (own.bad > 0 || own.well == 0 || last_good < found) return 1;
+    return own_answer_weight / (own_answer_weight + own.well);
+}
+
+OutlierGossip::Consensus OutlierGossip::consensus_of(Point now, const Reports& reports) const
+{
+    Consensus consensus;
+    for (const auto& [reporter, held] : reports) {
+        if (reporter == own_ || held.valid_until <= now) continue;
+        const double reduction = reduction_of(held.report);
+        consensus.second = std::max(consensus.second, std::min(consensus.greatest, reduction));
+        consensus.greatest = std::max(consensus.greatest, reduction);
+        if (reduction > 0) consensus.last_found = std::max(consensus.last_found, held.found);
+        const uint32_t start = held.report.started_s;
+        if (!start) continue;
+        if (!consensus.youngest_start || start < consensus.youngest_start) {
+            consensus.second_start = consensus.youngest_start;
+            consensus.youngest_start = start;
+        } else if (!consensus.second_start || start < consensus.second_start) {
+            consensus.second_start = start;
         }
     }
-    Verdict out;
-    out.reduction = std::max(second, std::min(first, rule_.alone));
-    const auto at = evidence_.find(upstream);
-    if (at != evidence_.end()) {
-        if (at->second.reduction >= worth_telling)
-            out.reduction = first;
-        else if (const double less = against(now, at->second, found); less < 1)
-            out.reduction = std::min(out.reduction, rule_.alone) * less;
+    return consensus;
+}
+
+// Two reporters agree on the second greatest reduction; the greatest counts alone up to a share. Own good
+// answers since then hold both down: an own path that works says more than others' that may not.
+OutlierGossip::Verdict OutlierGossip::verdict(Point now, uint64_t upstream, const Reports& reports) const
+{
+    const Consensus others = consensus_of(now, reports);
+    Verdict verdict;
+    verdict.reduction = std::max(others.second, std::min(others.greatest, config_.alone));
+    const auto own = evidence_.find(upstream);
+    if (own != evidence_.end()) {
+        const double discounted = discount(now, own->second, others.last_found);
+        if (own->second.reduction >= min_reduction)
+            verdict.reduction = others.greatest;
+        else if (discounted < 1)
+            verdict.reduction = std::min(verdict.reduction, config_.alone) * discounted;
     }
-    const bool knows = at != evidence_.end() && at->second.started;
-    if (next && !knows) out.started = seconds(next - 1);
-    if (youngest && !next && !knows) out.reduction = std::max(out.reduction, rule_.alone);
-    return out;
+    // A start is believed where two name one; where one does, the upstream is treated as a suspect.
+    const bool knows_itself = own != evidence_.end() && own->second.started;
+    if (knows_itself || !others.youngest_start) return verdict;
+    if (others.second_start)
+        verdict.started = seconds(others.second_start - 1);
+    else
+        verdict.reduction = std::max(verdict.reduction, config_.alone);
+    return verdict;
 }
 
-std::map<uint64_t, OutlierGossip::Verdict> OutlierGossip::results(Point now) const
+std::map<uint64_t, OutlierGossip::Verdict> OutlierGossip::verdicts(Point now) const
 {
-    std::map<uint64_t, Verdict> out;
-    for (const auto& [upstream, by] : held_) {
-        const Verdict r = result(now, upstream, by);
-        if (r.reduction > 0 || r.started) out.emplace(upstream, r);
+    std::map<uint64_t, Verdict> verdicts;
+    for (const auto& [upstream, reports] : reports_) {
+        const Verdict each = verdict(now, upstream, reports);
+        if (each.reduction > 0 || each.started) verdicts.emplace(upstream, each);
     }
-    return out;
+    return verdicts;
 }
 
-std::vector<OutlierGossip::Counted> OutlierGossip::told(Point now, uint64_t upstream) const
+std::vector<OutlierGossip::ReceivedReport> OutlierGossip::reports_on(Point now, uint64_t upstream) const
 {
-    std::vector<Counted> out;
-    const auto at = held_.find(upstream);
-    if (at == held_.end()) return out;
-    for (const auto& [by, h] : at->second)
-        if (h.until > now) out.push_back({by, part_of(h.signal), now - h.found});
-    return out;
+    std::vector<ReceivedReport> valid;
+    const auto reports = reports_.find(upstream);
+    if (reports == reports_.end()) return valid;
+    for (const auto& [reporter, held] : reports->second)
+        if (held.valid_until > now) valid.push_back({reporter, reduction_of(held.report), now - held.found});
+    return valid;
 }
 
 }  // namespace firtide::fleet
--- /dev/null
+++ b/src/fleet/quota/quota_client.cpp
@@ -0,0 +1,127 @@
+#include "quota_client.h"
+
+#include <algorithm>
+
+namespace firtide::fleet
+{
+namespace
+{
+
+constexpr Span retention = seconds(10);  // of a slow-start budget that nothing is asked of
+constexpr double demand_fall_gain = 2;   // a second
+constexpr size_t max_budgets = 256, max_pending_requests = 16;
+
+}  // namespace
+
+const char* text_of(Budget budget)
+{
+    switch (budget) {
+        case Budget::retries: return "retries";
+        case Budget::probes: return "probes";
+        case Budget::cold: return "cold";
+        case Budget::tenant: return "tenant";
+    }
+    return "";
+}
+
+double QuotaConfig::total_of(BudgetName name) const
+{
+    if (name.of == Budget::tenant) {
+        for (const auto& [key, value] : whole)
+            if (key.starts_with(tenant_prefix) && key_of(key.substr(tenant_prefix.size())) == name.which)
+                return value;
+        return 0;
+    }
+    const auto found = whole.find(text_of(name.of));
+    return found == whole.end() ? 0 : found->second;
+}
+
+QuotaClient::QuotaClient(const QuotaConfig& config, size_t members, InstanceId instance)
+    : config_(config), members_(members), instance_(instance)
+{
+    for (const auto& [name, total] : config.whole) {
+        if (name == text_of(Budget::cold)) continue;  // one for each upstream that warms up
+        if (name.starts_with(tenant_prefix))
+            state_of({Budget::tenant, key_of(name.substr(tenant_prefix.size()))});
+        else
+            state_of({name == text_of(Budget::retries) ? Budget::retries : Budget::probes, 0});
+    }
+}
+
+QuotaClient::BudgetState& QuotaClient::state_of(BudgetName name)
+{
+    const auto [entry, is_new] = budgets_.try_emplace(name);
+    BudgetState& state = entry->second;
+    if (!is_new) return state;
+    const double even_share = config_.total_of(name) * guaranteed_share / static_cast<double>(members_);
+    state.lease.name = name;
+    state.lease.guaranteed = config_.floor.value_or(even_share);
+    return state;
+}
+
+void QuotaClient::record_demand(Point now, const std::map<BudgetName, uint32_t>& requests)
+{
+    const double elapsed = (now - last_measured_).seconds();
+    if (elapsed <= 0) return;
+    last_measured_ = now;
+    for (const auto& [name, count] : requests)
+        if (config_.total_of(name) > 0 && budgets_.size() < max_budgets) state_of(name).last_demand = now;
+    for (auto next = budgets_.begin(); next != budgets_.end();) {
+        auto& [name, state] = *next;
+        const auto count = requests.find(name);
+        const double rate = count == requests.end() ? 0 : count->second / elapsed;
+        // Up at once, down slowly.
+        const double gain = rate > state.demand ? 1 : std::min(1.0, demand_fall_gain * elapsed);
+        state.demand += gain * (rate - state.demand);
+        const bool unused = now - state.last_demand > retention && now >= state.lease.expires;
+        next = name.of == Budget::cold && unused ? budgets_.erase(next) : std::next(next);
+    }
+}
+
+QuotaRequest QuotaClient::make_request(Point now, Epoch allocator)
+{
+    // An answer of the earlier allocator must not come after the new one was told what is held.
+    if (std::exchange(allocator_, allocator) != allocator) {
+        pending_requests_.clear();
+        last_answered_ = 0;
+    }
+    QuotaRequest request{instance_, allocator, ++last_number_, last_answered_, {}};
+    pending_requests_[last_number_] = now;
+    while (pending_requests_.size() > max_pending_requests)
+        pending_requests_.erase(pending_requests_.begin());
+    for (const auto& [name, state] : budgets_) {
+        const double held_rate = state.lease.rate_at(now) - state.lease.guaranteed;
+        request.demands.push_back({static_cast<uint8_t>(name.of), name.which,
+                                   static_cast<float>(state.demand), static_cast<float>(held_rate)});
+    }
+    return request;
+}
+
+// A lease counts from its request, so that it is over here before it is over at the allocator.
+void QuotaClient::on_response(Point now, const QuotaResponse& response)
+{
+    const auto request = pending_requests_.find(response.number);
+    const bool is_answer = response.instance == instance_ && response.epoch == allocator_;
+    if (!is_answer || request == pending_requests_.end()) return;
+    last_answered_ = response.number;
+    const Point sent = request->second;
+    pending_requests_.erase(pending_requests_.begin(), std::next(request));
+    for (const QuotaGrant& grant : response.grants) {
+        const auto budget = budgets_.find({static_cast<Budget>(grant.budget), grant.which});
+        if (budget == budgets_.end()) continue;
+        QuotaLease lease = budget->second.lease;
+        lease.rate = grant.rate;
+        lease.full_until = sent + config_.length;
+        lease.expires = sent + config_.length * 2;
+        if (now < lease.expires) budget->second.lease = lease;
+    }
+}
+
+std::vector<QuotaLease> QuotaClient::leases() const
+{
+    std::vector<QuotaLease> leases;
+    for (const auto& [name, state] : budgets_) leases.push_back(state.lease);
+    return leases;
+}
+
+}  // namespace firtide::fleet
--- a/src/fleet/shared_choices_config.h
+++ b/src/fleet/shared_choices_config.h
@@ -5,6 +5,7 @@
 #include <map>
 #include <optional>
 #include <string>
+#include <string_view>
 
 #include "src/base/time.h"
 
@@ -39,16 +40,19 @@
 };
 const char* text_of(Budget budget);
 
-// Of each budget, what is dealt out by demand, and what is everybody's by right: an even part for each member
-// of the fleet file, also of one that is cut off. What is left over covers files that name too few.
-inline constexpr double dealt_out = 0.7, kept_for_floors = 0.2;
+// Of each budget, the share that is allocated by demand, and the share that is guaranteed: an even part for
+// each member of the fleet file, also for one that is cut off. What is left over covers files that name too
+// few.
+inline constexpr double allocatable_share = 0.7, guaranteed_share = 0.2;
+
+inline constexpr std::string_view tenant_prefix = "tenant.";
 
 struct QuotaConfig {
     Span length = seconds(1);
     std::map<std::string, double> whole;  // a second: "retries", "probes", "cold", "tenant.NAME"
     std::optional<double> floor;          // of each member; absent: an even part of what is kept for that
 
-    double whole_of(BudgetName name) const;  // zero: there is no such budget
+    double total_of(BudgetName name) const;  // zero: there is no such budget
 };
 
 }  // namespace firtide::fleet
--- a/src/fleet/startup/member_snapshot.cpp
+++ b/src/fleet/startup/member_snapshot.cpp
@@ -2,6 +2,7 @@
 
 #include <xxhash.h>
 
+#include <array>
 #include <cstring>
 
 namespace firtide::fleet
@@ -9,57 +10,59 @@
 namespace
 {
 
-// Little-endian. The checksum is of the head without it, and all that follows.
-struct Head {
-    char magic[8] = {'F', 'I', 'R', 'T', 'S', 'N', 'A', 'P'};
+// Little-endian. The checksum covers the header without it, and all that follows.
+struct Header {
+    std::array<char, 8> magic = {'F', 'I', 'R', 'T', 'S', 'N', 'A', 'P'};
     uint32_t format = member_snapshot_format;
-    uint32_t pad = 0;
+    uint32_t padding = 0;
     uint64_t length = 0;
     uint64_t checksum = 0;
 };
-static_assert(sizeof(Head) == 32);
+static_assert(sizeof(Header) == 32);
 
-uint64_t checksum(Head head, std::string_view payload)
+uint64_t checksum_of(Header header, std::string_view payload)
 {
-    head.checksum = 0;
-    return XXH3_64bits_withSeed(payload.data(), payload.size(), XXH3_64bits(&head, sizeof head));
+    header.checksum = 0;
+    return XXH3_64bits_withSeed(payload.data(), payload.size(), XXH3_64bits(&header, sizeof header));
 }
 
 }  // namespace
 
-std::string encode_member_snapshot(const MemberSnapshot& memory)
+std::string encode_member_snapshot(const MemberSnapshot& snapshot)
 {
-    const auto payload = pack(memory);
-    Head head;
-    head.length = payload.size();
-    head.checksum = checksum(head, payload);
-    std::string out(sizeof head, '\0');
-    std::memcpy(out.data(), &head, sizeof head);
-    return out.append(payload);
+    const auto payload = pack(snapshot);
+    Header header;
+    header.length = payload.size();
+    header.checksum = checksum_of(header, payload);
+    std::string bytes(sizeof header, '\0');
+    std::memcpy(bytes.data(), &header, sizeof header);
+    return bytes.append(payload);
 }
 
-std::variant<MemberSnapshot, std::string> decode_member_snapshot(std::string_view bytes)
+std::variant<MemberSnapshot, SnapshotError> decode_member_snapshot(std::string_view bytes)
 {
-    Head head;
-    if (bytes.size() < sizeof head) return "it is cut short";
-    std::memcpy(&head, bytes.data(), sizeof head);
-    if (std::memcmp(head.magic, Head{}.magic, sizeof head.magic) != 0) return "it is no snapshot";
-    const auto payload = bytes.substr(sizeof head);
-    if (payload.size() < head.length) return "it is cut short";
-    if (payload.size() > head.length || checksum(head, payload) != head.checksum) return "it is damaged";
+    Header header;
+    if (bytes.size() < sizeof header) return SnapshotError{"it is cut short"};
+    std::memcpy(&header, bytes.data(), sizeof header);
+    if (header.magic != Header{}.magic) return SnapshotError{"it is no snapshot"};
+    const auto payload = bytes.substr(sizeof header);
+    if (payload.size() < header.length) return SnapshotError{"it is cut short"};
+    if (payload.size() > header.length || checksum_of(header, payload) != header.checksum)
+        return SnapshotError{"it is damaged"};
     // Only after the checksum: a damaged number is no newer format.
-    if (head.format != member_snapshot_format)
-        return "its format " + std::to_string(head.format) + " is not known here";
-    auto memory = unpack<MemberSnapshot>(payload);
-    if (!memory) return "it holds something else";
-    return std::move(*memory);
+    if (header.format != member_snapshot_format)
+        return SnapshotError{"its format " + std::to_string(header.format) + " is not known here"};
+    auto snapshot = unpack<MemberSnapshot>(payload);
+    if (!snapshot) return SnapshotError{"it holds something else"};
+    return std::move(*snapshot);
 }
 
-std::string not_of(const MemberSnapshot& memory, const std::string& fleet, const std::string& member)
+std::optional<SnapshotError> check_owner(const MemberSnapshot& snapshot, const std::string& fleet,
+                                         const std::string& member)
 {
-    if (memory.fleet != fleet) return "it is of fleet '" + memory.fleet + "'";
-    if (memory.member != member) return "it is of member '" + memory.member + "'";
-    return "";
+    if (snapshot.fleet != fleet) return SnapshotError{"it is of fleet '" + snapshot.fleet + "'"};
+    if (snapshot.member != member) return SnapshotError{"it is of member '" + snapshot.member + "'"};
+    return {};
 }
 
 }  // namespace firtide::fleet
--- a/src/fleet/startup/member_snapshot.h
+++ b/src/fleet/startup/member_snapshot.h
@@ -1,8 +1,10 @@
-// What a member remembers over its own end: a snapshot of what is safe to believe, as far as it says. Encoded
-// and decoded once; no I/O.
+// What a member persists for its own next start: facts that are safe to trust after a restart, and hints.
+// Encoded and decoded here; no I/O. Snapshots of earlier versions have to stay readable.
 #pragma once
 
+#include <optional>
 #include <string>
+#include <string_view>
 #include <variant>
 #include <vector>
 
@@ -11,37 +13,44 @@
 namespace firtide::fleet
 {
 
+// An overload-control entry of the decision module.
 struct PersistedReduction {
-    uint64_t upstream = 0;
+    uint64_t upstream = 0;  // hash of its uid
     float reduction = 0;
-    int64_t left_us = 0;  // when it was written
+    int64_t left_us = 0;  // of its validity, when it was written
     MSGPACK_DEFINE(upstream, reduction, left_us)
 };
 
 struct MemberSnapshot {
     std::string fleet, member;
     Incarnation incarnation = 0;
-    std::string boot;     // of the machine: its boot clock says nothing of another one's
-    int64_t boot_us = 0;  // when it was written, by that clock
+    std::string boot;     // id of the machine's boot: its boot clock says nothing after another one
+    int64_t boot_us = 0;  // when this was written, by that clock
     uint64_t list_version = 0;
-    std::string list;  // whole
-    double rate = 0;   // invocations a second that were accepted and went well
-    double size = 0;   // of all upstreams together
-    uint32_t sharers = 0;
+    std::string list;    // the full endpoint list
+    double rate = 0;     // requests a second that were accepted and succeeded
+    double size = 0;     // of all upstreams together
+    uint32_t peers = 0;  // balancers that shared the upstreams
     std::vector<PersistedReduction> reductions;
     std::vector<SeenEpoch> epochs;
-    std::vector<std::string> open;  // ids of what may have run and was not answered
-    MSGPACK_DEFINE(fleet, member, incarnation, boot, boot_us, list_version, list, rate, size, sharers,
+    std::vector<std::string> open;  // ids of requests that may have run and were not answered
+    MSGPACK_DEFINE(fleet, member, incarnation, boot, boot_us, list_version, list, rate, size, peers,
                    reductions, epochs, open)
 };
 
+// Why a snapshot is not used. The text is for the log and for operators.
+struct SnapshotError {
+    std::string text;
+};
+
 inline constexpr uint32_t member_snapshot_format = 1;
 inline constexpr const char* snapshot_file = "snapshot";
 
-std::string encode_member_snapshot(const MemberSnapshot& memory);
-// Or why it is refused: whole or not at all.
-std::variant<MemberSnapshot, std::string> decode_member_snapshot(std::string_view bytes);
-// Empty: it is this member's.
-std::string not_of(const MemberSnapshot& memory, const std::string& fleet, const std::string& member);
+std::string encode_member_snapshot(const MemberSnapshot& snapshot);
+// The whole snapshot or nothing of it.
+std::variant<MemberSnapshot, SnapshotError> decode_member_snapshot(std::string_view bytes);
+// Nothing where the snapshot is this member's.
+std::optional<SnapshotError> check_owner(const MemberSnapshot& snapshot, const std::string& fleet,
+                                         const std::string& member);
 
 }  // namespace firtide::fleet
--- /dev/null
+++ b/src/fleet/startup/snapshot_service.cpp
@@ -0,0 +1,130 @@
+#include "snapshot_service.h"
+
+#include <algorithm>
+
+namespace firtide::fleet
+{
+
+SnapshotService::SnapshotService(FleetContext& context, EndpointListService& endpoints,
+                                 const SharedChoices& choices)
+    : context_(context), endpoints_(endpoints), choices_(choices)
+{
+}
+
+void SnapshotService::start()
+{
+    last_write_ = context_.now;
+    first_incarnation_ = context_.membership.incarnation();
+}
+
+// ---- the last run's snapshot ----
+
+void SnapshotService::on_loaded(SnapshotLoaded& loaded)
+{
+    if (const auto* error = std::get_if<SnapshotError>(&loaded.snapshot)) return refuse(*error);
+    auto* snapshot = std::get_if<MemberSnapshot>(&loaded.snapshot);
+    if (!snapshot) return history_.push_back("no snapshot");
+    if (const auto error = check_owner(*snapshot, context_.config.name, context_.config.id))
+        return refuse(*error);
+    trust(std::move(*snapshot), loaded.age);
+}
+
+void SnapshotService::refuse(const SnapshotError& error)
+{
+    history_.push_back("refused snapshot: " + error.text);
+    context_.log(LogEvent::Kind::fault, context_.config.id, "the snapshot is refused: " + error.text);
+}
+
+void SnapshotService::trust(MemberSnapshot snapshot, std::optional<Span> age)
+{
+    context_.lease_client.restore_epochs(snapshot.epochs);
+    for (const SeenEpoch& seen : snapshot.epochs) context_.fencing.observe(seen.duty, seen.epoch);
+    history_.push_back("trusted epochs of " + std::to_string(snapshot.epochs.size()) + " duties");
+    history_.push_back("hint list version " + std::to_string(snapshot.list_version) + ", " +
+                       std::to_string(snapshot.list.size()) + " bytes");
+    history_.push_back("trusted " + std::to_string(snapshot.open.size()) + " ids of what may have run");
+    // Reductions go on to run out while the process is away, by a clock that goes on as well.
+    std::erase_if(snapshot.reductions, [&](PersistedReduction& reduction) {
+        if (!age) return true;
+        reduction.left_us -= age->us;
+        return reduction.left_us <= 0;
+    });
+    history_.push_back(age ? "trusted " + std::to_string(snapshot.reductions.size()) + " reductions"
+                           : "refused reductions: the machine was started anew");
+    endpoints_.set_hint(snapshot.list_version, snapshot.list);
+    context_.emit(ApplySnapshot{std::move(snapshot)});
+}
+
+// ---- this run's snapshots ----
+
+// Others have seen this member at a later incarnation than its disk has it.
+void SnapshotService::report_outdated_disk()
+{
+    const bool is_early = context_.now - context_.started < context_.config.recovery->wait;
+    const Incarnation incarnation = context_.membership.incarnation();
+    if (reported_outdated_disk_ || incarnation <= first_incarnation_ || !is_early) return;
+    reported_outdated_disk_ = true;
+    history_.push_back("older than others have seen this member: as incarnation " +
+                       std::to_string(incarnation));
+    context_.log(LogEvent::Kind::fault, context_.config.id,
+                 "its disk is older than others have seen this member");
+}
+
+FleetState SnapshotService::fleet_state() const
+{
+    FleetState state;
+    state.members = context_.config.members.size();
+    state.alive = context_.membership.alive();
+    state.majority = context_.lease_client.is_confirmed(context_.now);
+    for (const Duty& duty : context_.config.duties) {
+        if (duty.kind == DutyKind::drain) continue;
+        ++state.duties;
+        const bool is_held = context_.lease_client.table().entry(duty.name).holder != 0;
+        state.held += is_held || context_.held_epoch(duty.name);
+    }
+    return state;
+}
+
+MemberSnapshot SnapshotService::make_snapshot()
+{
+    const LocalObservations& observed = choices_.observations();
+    MemberSnapshot snapshot;
+    snapshot.fleet = context_.config.name;
+    snapshot.member = context_.config.id;
+    snapshot.incarnation = context_.membership.incarnation();
+    snapshot.boot_us = context_.now.us;
+    snapshot.list_version = endpoints_.version_to_persist();
+    snapshot.list = endpoints_.list_to_persist();
+    snapshot.rate = observed.accepted;
+    snapshot.size = observed.size;
+    snapshot.peers = observed.sharers ? observed.sharers : static_cast<uint32_t>(context_.membership.alive());
+    snapshot.reductions = observed.reductions;
+    snapshot.open = observed.open;
+    for (const Duty& duty : context_.config.duties) {
+        const Epoch granted = context_.lease_client.table().entry(duty.name).epoch;
+        const Epoch epoch = std::max(granted, context_.fencing.epoch(duty.name));
+        if (epoch) snapshot.epochs.push_back({duty.name, epoch});
+    }
+    return snapshot;
+}
+
+void SnapshotService::tick()
+{
+    if (!context_.config.recovery) return;
+    report_outdated_disk();
+    context_.emit(ApplyFleetState{fleet_state()});
+    if (context_.now - last_write_ < context_.config.recovery->every || context_.shutting_down) return;
+    last_write_ = context_.now;
+    context_.emit(WriteSnapshot{make_snapshot()});
+}
+
+std::string SnapshotService::status() const
+{
+    if (!context_.config.recovery) return "FAILURE the fleet file has no [recovery]\n";
+    std::string text;
+    for (const auto& line : choices_.observations().recovery) text += line + "\n";
+    for (const auto& line : history_) text += "memory " + line + "\n";
+    return text + "EOT\n";
+}
+
+}  // namespace firtide::fleet
--- a/src/fleet/startup/startup_sequencer.h
+++ b/src/fleet/startup/startup_sequencer.h
@@ -28,50 +28,50 @@
 class StartupSequencer
 {
   public:
-    explicit StartupSequencer(const StartupConfig& rule) : rule_(rule) {}
+    explicit StartupSequencer(const StartupConfig& config) : config_(config) {}
 
     void start(Point now);
     // What was accepted a second before, by so many balancers, and the size of all upstreams then.
-    void remembered(Point now, double rate, uint32_t sharers, double size);
-    void fleet_is(const FleetState& state) { state_ = state; }
+    void set_baseline(Point now, double rate, uint32_t sharers, double size);
+    void set_fleet_state(const FleetState& state) { state_ = state; }
     // warm: size that listed upstreams can do by now; listed: all of it; told: a list that is no hint.
-    void tick(Point now, double warm, double listed, bool told);
+    void tick(Point now, double warm, double listed, bool list_received);
 
     // Of one that arrives. rank: 0 for the most valuable operations, up to 1.
     bool admits(Point now, double rank);
-    double admitted() const { return admitted_; }  // a part of what was accepted before; 1: all
+    double admitted_share() const { return admitted_share_; }  // a part of what was accepted before; 1: all
     // An empty list is believed over one that is not only once it has stayed so for long.
-    bool believes_empty(Point now);
-    void list_is_good() { empty_since_.reset(); }
+    bool accepts_empty_list(Point now);
+    void on_valid_list() { empty_since_.reset(); }
     // What the next start should measure by: until service has been full for a while, what this one did.
     // Guards against a second loss that would take the little of a return for the usual.
     struct TrafficBaseline {
         double rate = 0, size = 0;
         uint32_t sharers = 0;
     };
-    TrafficBaseline usual(Point now, const TrafficBaseline& seen) const;
+    TrafficBaseline baseline(Point now, const TrafficBaseline& seen) const;
     StartupStage stage() const { return stage_; }
-    bool ready() const { return stage_ > StartupStage::list || told_; }
-    std::vector<std::string> lines(Point now) const;
+    bool ready() const { return stage_ > StartupStage::list || list_received_; }
+    std::vector<std::string> status_lines(Point now) const;
 
   private:
-    struct Passed {
+    struct StageRecord {
         Point from, to;
-        bool gave_up = false;
+        bool timed_out = false;
     };
-    bool done(double warm, double listed) const;
-    Span longest() const { return stage_ == StartupStage::warming ? rule_.warm : rule_.wait; }
+    bool is_complete(double warm, double listed) const;
+    Span max_duration() const { return stage_ == StartupStage::warming ? config_.warm : config_.wait; }
 
-    const StartupConfig rule_;
+    const StartupConfig config_;
     FleetState state_;
     StartupStage stage_ = StartupStage::disk;
-    std::array<Passed, 7> passed_;
-    Point started_, filled_;
+    std::array<StageRecord, 7> completed_;
+    Point started_, last_refill_;
     std::optional<Point> empty_since_;
-    bool told_ = false;
-    double rate_ = 0, size_ = 0, sharers_ = 0;
-    double admitted_ = 1, tokens_ = 0;
-    uint64_t turned_away_ = 0;
+    bool list_received_ = false;
+    double baseline_rate_ = 0, baseline_size_ = 0, baseline_peers_ = 0;
+    double admitted_share_ = 1, tokens_ = 0;
+    uint64_t rejected_ = 0;
 };
 
 }  // namespace firtide::fleet
--- a/src/fleet/transport/duty_notifier.cpp
+++ b/src/fleet/transport/duty_notifier.cpp
@@ -12,89 +12,116 @@
 namespace
 {
 
-constexpr Span answers_within = seconds(1);
+constexpr Span answer_timeout = seconds(1);
+constexpr int conflict = 409;  // the subscriber has seen a higher epoch
+
+std::string encode(const std::string& address, const DutyNotification& notification)
+{
+    return "POST /duty/" + notification.duty + " HTTP/1.1\r\nHost: " + address +
+           "\r\nDuty-Holder: " + notification.holder +
+           "\r\nDuty-Epoch: " + std::to_string(notification.epoch) +
+           "\r\nDuty-Number: " + std::to_string(notification.number) +
+           "\r\nDuty-Left-Ms: " + std::to_string(notification.left_ms) + "\r\nContent-Length: 0\r\n\r\n";
+}
 
 }  // namespace
 
-// Lives as long as this process.
-struct DutyNotifier::One {
+// Lives as long as this process; its connection is made anew as needed.
+struct DutyNotifier::Subscriber {
     DutyNotifier* owner = nullptr;
     std::string address;
     Stream stream;
     bool connected = false;
-    std::optional<What> out;  // told and not answered yet
+    std::optional<DutyNotification> unanswered;
     std::optional<ResponseReader> reader;
 
-    void end() { stream.reset(), connected = false, out.reset(); }
+    void close()
+    {
+        stream.reset();
+        connected = false;
+        unanswered.reset();
+    }
     void connect();
-    void readable();
+    void on_connected();
+    void on_readable();
+    void send(const std::string& bytes, const DutyNotification& notification);
 };
 
-void DutyNotifier::One::connect()
+void DutyNotifier::Subscriber::connect()
 {
-    sockaddr_storage at{};
-    int length = sizeof at;
-    if (evutil_parse_sockaddr_port(address.c_str(), reinterpret_cast<sockaddr*>(&at), &length) != 0) return;
+    sockaddr_storage remote{};
+    int length = sizeof remote;
+    if (evutil_parse_sockaddr_port(address.c_str(), reinterpret_cast<sockaddr*>(&remote), &length) != 0)
+        return;
     stream.reset(bufferevent_socket_new(owner->base_, -1, BEV_OPT_CLOSE_ON_FREE));
     bufferevent_setcb(
-        stream.get(), [](bufferevent*, void* arg) { static_cast<One*>(arg)->readable(); }, nullptr,
+        stream.get(), [](bufferevent*, void* self) { static_cast<Subscriber*>(self)->on_readable(); },
+        nullptr,
         [](bufferevent*, short what, void* arg) {
-            auto* one = static_cast<One*>(arg);
-            if (!(what & BEV_EVENT_CONNECTED)) return one->end();
-            one->connected = true;
-            bufferevent_set_timeouts(one->stream.get(), nullptr, nullptr);
+            auto* self = static_cast<Subscriber*>(arg);
+            if (what & BEV_EVENT_CONNECTED)
+                self->on_connected();
+            else
+                self->close();
         },
         this);
-    const auto wait = to_timeval(answers_within);
-    bufferevent_set_timeouts(stream.get(), &wait, &wait);
+    const auto timeout = to_timeval(answer_timeout);
+    bufferevent_set_timeouts(stream.get(), &timeout, &timeout);
     bufferevent_enable(stream.get(), EV_READ | EV_WRITE);
-    bufferevent_socket_connect(stream.get(), reinterpret_cast<sockaddr*>(&at), length);
+    bufferevent_socket_connect(stream.get(), reinterpret_cast<sockaddr*>(&remote), length);
+}
+
+void DutyNotifier::Subscriber::on_connected()
+{
+    connected = true;
+    bufferevent_set_timeouts(stream.get(), nullptr, nullptr);
 }
 
-void DutyNotifier::One::readable()
+void DutyNotifier::Subscriber::on_readable()
 {
     auto* input = bufferevent_get_input(stream.get());
     const size_t size = evbuffer_get_length(input);
-    if (!out || size == 0) return end();
+    if (!unanswered || size == 0) return close();
     const auto state = reader->take({reinterpret_cast<const char*>(evbuffer_pullup(input, -1)), size});
     evbuffer_drain(input, size);
     if (state == ResponseReader::State::more) return;
-    const bool well = state == ResponseReader::State::whole;
-    const What told = *std::exchange(out, std::nullopt);
-    const int status = well ? reader->response().status : 0;
+    const bool is_answer = state == ResponseReader::State::whole;
+    const DutyNotification answered = *std::exchange(unanswered, std::nullopt);
+    const int status = is_answer ? reader->response().status : 0;
     bufferevent_set_timeouts(stream.get(), nullptr, nullptr);
-    if (!well || !reader->keeps_connection()) end();
-    if (status == 409) owner->refused_(told.duty, told.epoch);
+    if (!is_answer || !reader->keeps_connection()) close();
+    if (status == conflict) owner->on_refused_(answered.duty, answered.epoch);
+}
+
+void DutyNotifier::Subscriber::send(const std::string& bytes, const DutyNotification& notification)
+{
+    const auto sent =
+        ::send(bufferevent_getfd(stream.get()), bytes.data(), bytes.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
+    if (sent != static_cast<ssize_t>(bytes.size())) return close();
+    unanswered = notification;
+    const auto timeout = to_timeval(answer_timeout);
+    bufferevent_set_timeouts(stream.get(), &timeout, nullptr);
 }
 
-DutyNotifier::DutyNotifier(event_base* base, std::function<void(const std::string&, Epoch)> refused)
-    : base_(base), refused_(std::move(refused))
+DutyNotifier::DutyNotifier(event_base* base, std::function<void(const std::string&, Epoch)> on_refused)
+    : base_(base), on_refused_(std::move(on_refused))
 {
 }
 
 DutyNotifier::~DutyNotifier() = default;
 
-void DutyNotifier::tell(const std::string& address, const What& what, const std::function<bool()>& gate)
+void DutyNotifier::notify(const std::string& address, const DutyNotification& notification,
+                          const std::function<bool()>& authorize)
 {
-    // One connection for each duty at each address: none waits for another's answer.
-    One& one = all_[address + " " + what.duty];
-    one.owner = this;
-    one.address = address;
-    if (one.out) return;
-    if (!one.stream) one.connect();
-    if (!one.connected) return;
-    const std::string bytes =
-        "POST /duty/" + what.duty + " HTTP/1.1\r\nHost: " + address + "\r\nDuty-Holder: " + what.holder +
-        "\r\nDuty-Epoch: " + std::to_string(what.epoch) + "\r\nDuty-Number: " + std::to_string(what.number) +
-        "\r\nDuty-Left-Ms: " + std::to_string(what.left_ms) + "\r\nContent-Length: 0\r\n\r\n";
-    one.reader.emplace(setup_);
-    if (!gate()) return;
-    const auto sent =
-        send(bufferevent_getfd(one.stream.get()), bytes.data(), bytes.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
-    if (sent != static_cast<ssize_t>(bytes.size())) return one.end();
-    one.out = what;
-    const auto wait = to_timeval(answers_within);
-    bufferevent_set_timeouts(one.stream.get(), &wait, nullptr);
+    Subscriber& subscriber = subscribers_[address + " " + notification.duty];
+    subscriber.owner = this;
+    subscriber.address = address;
+    if (subscriber.unanswered) return;
+    if (!subscriber.stream) subscriber.connect();
+    if (!subscriber.connected) return;
+    const std::string bytes = encode(address, notification);
+    subscriber.reader.emplace(response_config_);
+    if (authorize()) subscriber.send(bytes, notification);
 }
 
 }  // namespace firtide::fleet
--- a/src/fleet/transport/duty_notifier.h
+++ b/src/fleet/transport/duty_notifier.h
@@ -6,36 +6,43 @@
 #include <map>
 #include <string>
 
-#include "messages.h"
 #include "src/balance/decode_settings.h"
+#include "src/fleet/ids.h"
 #include "src/http/message.h"
 #include "src/io/event.h"
 
 namespace firtide::fleet
 {
 
+// One notification: the duty, who holds it at which epoch, and for how long yet. Sent as the headers Duty-*.
+struct DutyNotification {
+    std::string duty, holder;
+    Epoch epoch = 0;
+    uint64_t number = 0;  // grows within the epoch
+    int64_t left_ms = 0;
+};
+
 class DutyNotifier
 {
   public:
-    struct What {
-        std::string duty, holder;
-        Epoch epoch = 0;
-        uint64_t number = 0;
-        int64_t left_ms = 0;
-    };
-    // refused: by who has met a higher epoch.
-    DutyNotifier(event_base* base, std::function<void(const std::string& duty, Epoch epoch)> refused);
+    // `on_refused` is called for a subscriber that has seen a higher epoch.
+    DutyNotifier(event_base* base, std::function<void(const std::string& duty, Epoch epoch)> on_refused);
     ~DutyNotifier();
+    DutyNotifier(const DutyNotifier&) = delete;
+    DutyNotifier& operator=(const DutyNotifier&) = delete;
 
-    // Where there is no connection yet one is made, and this is not told: the next one is soon enough.
-    void tell(const std::string& address, const What& what, const std::function<bool()>& gate);
+    // `authorize` is asked right before the bytes leave. Where there is no connection yet one is made, and
+    // this notification is dropped: the next one is soon enough.
+    void notify(const std::string& address, const DutyNotification& notification,
+                const std::function<bool()>& authorize);
 
   private:
-    struct One;
+    struct Subscriber;
+
     event_base* base_;
-    std::function<void(const std::string&, Epoch)> refused_;
-    std::map<std::string, One> all_;
-    ServiceConfig setup_;  // of nothing; answers are read by the same reader as upstreams'
+    std::function<void(const std::string&, Epoch)> on_refused_;
+    std::map<std::string, Subscriber> subscribers_;  // by address and duty: none waits for another's answer
+    ServiceConfig response_config_;  // empty: answers are read by the same reader as upstreams'
 };
 
 }  // namespace firtide::fleet
--- a/src/fleet/transport/messages.cpp
+++ b/src/fleet/transport/messages.cpp
@@ -71,12 +71,12 @@
 {
     if (std::get_if<Broadcast>(&message) || std::get_if<OutlierDigest>(&message) ||
         std::get_if<EndpointDelta>(&message) || std::get_if<EndpointSnapshotChunk>(&message))
-        return Urgency::news;
+        return Urgency::bulk;
     if (std::get_if<Ping>(&message) || std::get_if<IndirectProbeRequest>(&message) ||
         std::get_if<IndirectProbeAck>(&message) || std::get_if<MembershipUpdates>(&message) ||
         std::get_if<BroadcastRequest>(&message) || std::get_if<QuotaRequest>(&message) ||
         std::get_if<QuotaResponse>(&message) || std::get_if<EndpointDeltaRequest>(&message))
-        return Urgency::members;
+        return Urgency::membership;
     return Urgency::leases;
 }
 
--- a/src/fleet/transport/messages.h
+++ b/src/fleet/transport/messages.h
@@ -1,4 +1,5 @@
-// What members and voters tell each other. A message is decoded once, on arrival, to one of these.
+// Messages between members and between voters. Their encoding is fixed: a fleet may run several versions at a
+// time (tests/compatibility.cpp). A message is decoded once, on arrival, to one of these.
 #pragma once
 
 #include <cstdint>
@@ -15,44 +16,50 @@
 {
 
 enum class Health : uint8_t { alive, suspect, gone };  // at one incarnation, later ones overrule earlier ones
+// How far a voter has come after its start; see VoterAgent.
 enum class VoterStage : uint8_t { empty, checking, voting, failed, refused };
 const char* text_of(Health health);
 const char* text_of(VoterStage stage);
 
-// The first on every connection.
+// The first message on every connection.
 struct Hello {
     std::string fleet;
-    uint32_t version = 0;
+    uint32_t version = 0;  // wire_version
     MemberKey from = 0, to = 0;
     InstanceId instance = 0;
     MSGPACK_DEFINE(fleet, version, from, to, instance)
 };
+
+// ---- membership ----
+
 struct MembershipUpdate {
     MemberKey member = 0;
-    uint8_t health = 0;
+    uint8_t health = 0;  // Health
     Incarnation incarnation = 0;
     InstanceId instance = 0;
-    uint8_t weight = 0;  // of its traffic: four steps double it, 100 is one invocation a second; 0: unknown
+    uint8_t weight = 0;  // of its traffic: four steps double it, 100 is one request a second; 0: unknown
     MSGPACK_DEFINE(member, health, incarnation, instance, weight)
 };
-// Also answers one: then `answers` is that one's number.
+// Also acknowledges one.
 struct Ping {
-    uint64_t number = 0, answers = 0;
+    uint64_t number = 0;
+    uint64_t acknowledges = 0;  // the number of the ping that this one answers; zero: none
     Incarnation incarnation = 0;
     InstanceId instance = 0;
-    uint64_t view = 0;  // digest of all that its sender holds of the members
-    uint8_t held = 0;   // what its sender holds of its receiver, and at which incarnation
-    Incarnation held_at = 0;
-    MemberKey leader = 0;  // zero: unknown
+    uint64_t view_digest = 0;              // of all that the sender holds of the members
+    uint8_t receiver_health = 0;           // what the sender holds of the receiver,
+    Incarnation receiver_incarnation = 0;  // and at which incarnation
+    MemberKey leader = 0;                  // zero: unknown
     Term term = 0;
-    uint64_t list = 0;  // newest list that its sender has
+    uint64_t list_number = 0;  // revision of the endpoint list that the sender has
     Epoch list_epoch = 0;
     uint8_t weight = 0;
-    uint64_t list_digest = 0;  // of the state at that revision, where lists go round as deltas
-    MSGPACK_DEFINE(number, answers, incarnation, instance, view, held, held_at, leader, term, list,
-                   list_epoch, weight, list_digest)
+    uint64_t list_digest = 0;  // of the state at that revision, where the list is replicated as deltas
+    MSGPACK_DEFINE(number, acknowledges, incarnation, instance, view_digest, receiver_health,
+                   receiver_incarnation, leader, term, list_number, list_epoch, weight, list_digest)
 };
-struct IndirectProbeRequest {  // whether the receiver reaches this member
+// Asks the receiver to probe a member that the sender does not reach.
+struct IndirectProbeRequest {
     MemberKey member = 0;
     MSGPACK_DEFINE(member)
 };
@@ -62,10 +69,14 @@
     MSGPACK_DEFINE(member, incarnation)
 };
 struct MembershipUpdates {
-    std::vector<MembershipUpdate> all;
-    bool answer = false;  // with all that the receiver holds
-    MSGPACK_DEFINE(all, answer)
+    std::vector<MembershipUpdate> updates;
+    bool reply_requested = false;  // with all that the receiver holds
+    MSGPACK_DEFINE(updates, reply_requested)
 };
+
+// ---- consensus ----
+
+// A message between voters: raft_wire.h.
 struct RaftMessage {
     DiskId from = 0, to = 0;
     uint64_t writes = 0;  // of the sender's disk: what the message says rests on these
@@ -154,11 +165,13 @@
     MSGPACK_DEFINE(duty, epoch, instance)
 };
 
-// Asked of the leader for an operator at the sender's management address.
+// ---- operators ----
+
+// Sent to the leader for an operator at the sender's admin address.
 struct AdminCommand {
     uint64_t number = 0;
-    std::string what, first, second;
-    MSGPACK_DEFINE(number, what, first, second)
+    std::string name, first, second;  // and its arguments
+    MSGPACK_DEFINE(number, name, first, second)
 };
 struct AdminCommandResult {
     uint64_t number = 0;
@@ -166,68 +179,79 @@
     std::string text;
     MSGPACK_DEFINE(number, success, text)
 };
-// An effect of a duty on all members, passed on by each that takes it.
+
+// ---- broadcasts ----
+
+// An effect of a duty on all members, passed on by each that accepts it.
 struct Broadcast {
     std::string duty;
     Epoch epoch = 0;
     uint64_t number = 0;  // grows within the epoch
-    uint64_t base = 0;    // the number of the last one with bytes: without any, that one still holds
+    uint64_t content_number =
+        0;  // of the last one with content: where this one has none, that one still holds
     int64_t age_us = 0;
-    std::string bytes;
-    MSGPACK_DEFINE(duty, epoch, number, base, age_us, bytes)
+    std::string content;
+    MSGPACK_DEFINE(duty, epoch, number, content_number, age_us, content)
 };
-struct BroadcastRequest {  // the newest of a duty
+// Asks for the newest broadcast of a duty.
+struct BroadcastRequest {
     std::string duty;
     MSGPACK_DEFINE(duty)
 };
 
-// Of what a balancer has found of upstreams: signals.h.
+// ---- outliers ----
+
+// What one balancer has found of an upstream: outlier_gossip.h.
 struct OutlierReport {
-    uint64_t upstream = 0;  // as all members name it
-    MemberKey by = 0;
+    uint64_t upstream = 0;  // hash of its uid
+    MemberKey reporter = 0;
     InstanceId instance = 0;
-    uint64_t number = 0;     // grows with each of this instance
-    uint8_t reduction = 0;   // of 255
-    uint8_t seen = 0;        // bad answers that it rests on
-    uint32_t age_ms = 0;     // since the last of them
-    uint32_t started_s = 0;  // since the upstream's start, plus one; zero: it is not cold
-    MSGPACK_DEFINE(upstream, by, instance, number, reduction, seen, age_ms, started_s)
-};
-// Of what its sender has found, or heard of others and passes on.
+    uint64_t number = 0;         // grows with each report of this instance
+    uint8_t reduction = 0;       // of 255
+    uint8_t evidence_count = 0;  // bad answers that it rests on
+    uint32_t age_ms = 0;         // since the last of them
+    uint32_t started_s = 0;      // since the upstream's start, plus one; zero: it is not warming up
+    MSGPACK_DEFINE(upstream, reporter, instance, number, reduction, evidence_count, age_ms, started_s)
+};
 struct OutlierDigest {
-    std::vector<OutlierReport> all;
-    MSGPACK_DEFINE(all)
+    std::vector<OutlierReport> reports;
+    MSGPACK_DEFINE(reports)
 };
-// Parts of budgets, asked of who gives them: shares.h.
+
+// ---- quotas ----
+
+// Of one budget: quota_client.h.
 struct QuotaDemand {
-    uint8_t of = 0;
+    uint8_t budget = 0;  // Budget
     uint64_t which = 0;
-    float demand = 0, have = 0;  // a second; have: what it was given and may still use
-    MSGPACK_DEFINE(of, which, demand, have)
+    float demand = 0;     // a second
+    float held_rate = 0;  // what was granted and may still be used
+    MSGPACK_DEFINE(budget, which, demand, held_rate)
 };
 struct QuotaRequest {
     InstanceId instance = 0;
-    Epoch epoch = 0;      // of the holder that is asked
-    uint64_t number = 0;  // of the asking
-    uint64_t heard =
-        0;  // the newest that it had an answer to: what was given before that is not used any more
-    std::vector<QuotaDemand> all;
-    MSGPACK_DEFINE(instance, epoch, number, heard, all)
+    Epoch epoch = 0;  // of the allocator that is asked
+    uint64_t number = 0;
+    uint64_t last_answered = 0;  // request: what was granted before its answer is not used any more
+    std::vector<QuotaDemand> demands;
+    MSGPACK_DEFINE(instance, epoch, number, last_answered, demands)
 };
 struct QuotaGrant {
-    uint8_t of = 0;
+    uint8_t budget = 0;
     uint64_t which = 0;
-    float rate = 0;
-    MSGPACK_DEFINE(of, which, rate)
+    float rate = 0;  // a second
+    MSGPACK_DEFINE(budget, which, rate)
 };
 struct QuotaResponse {
     Epoch epoch = 0;
     InstanceId instance = 0;
-    uint64_t number = 0;  // of the asking
-    std::vector<QuotaGrant> all;
-    MSGPACK_DEFINE(epoch, instance, number, all)
+    uint64_t number = 0;  // of the request
+    std::vector<QuotaGrant> grants;
+    MSGPACK_DEFINE(epoch, instance, number, grants)
 };
 
+// ---- the endpoint list ----
+
 // A state of the replicated list: ordered, and never used for two states. Zero: the empty list at the start.
 struct EndpointRevision {
     Epoch epoch = 0;      // of the holder that published it
@@ -293,8 +317,8 @@
 inline constexpr uint32_t wire_version = 1;
 inline constexpr size_t max_frame_bytes = 4 << 20;  // bytes
 
-// Lower ones go first, and last where a queue overflows.
-enum class Urgency : uint8_t { leases, members, news };
+// Lower ones are sent first, and dropped last where a queue overflows.
+enum class Urgency : uint8_t { leases, membership, bulk };
 Urgency urgency_of(const Message& message);
 
 std::string encode_payload(const Message& message);
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -2,7 +2,7 @@
 #include <CLI/CLI.hpp>
 #include <cstdio>
 
-#include "src/fleet/commands.h"
+#include "src/fleet/host/commands.h"
 #include "src/io/log.h"
 #include "src/net/discovery.h"
 #include "src/net/service.h"
