--- a/fault_injection/scenario.cpp
+++ b/fault_injection/scenario.cpp
@@ -21,8 +21,8 @@
 class Player
 {
   public:
-    Player(const Scenario& scenario, TestCluster& fault_injection)
-        : scenario_(scenario), rig_(fault_injection)
+    Player(const Scenario& scenario, TestCluster& cluster)
+        : scenario_(scenario), cluster_(cluster)
     {
         for (size_t i = 0; i < scenario.plan.duties; ++i) duties_.push_back("d" + std::to_string(i + 1));
     }
@@ -34,31 +34,31 @@
         for (std::string w; in >> w;) words_.push_back(w);
         at_ = 0;
         const auto verb = next();
-        if (verb == "wait") return rig_.run(span());
+        if (verb == "wait") return cluster_.run(span());
         if (verb == "settle") return settle();
         if (verb == "let") return let();
-        if (verb == "start") return each([&](size_t i) { rig_.start(i); });
-        if (verb == "kill") return each([&](size_t i) { rig_.kill(i, SIGKILL); });
-        if (verb == "term") return each([&](size_t i) { rig_.kill(i, SIGTERM); });
-        if (verb == "stop") return each([&](size_t i) { rig_.kill(i, SIGSTOP); });
-        if (verb == "continue") return each([&](size_t i) { rig_.kill(i, SIGCONT); });
-        if (verb == "save") return rig_.save(who());
+        if (verb == "start") return each([&](size_t i) { cluster_.start(i); });
+        if (verb == "kill") return each([&](size_t i) { cluster_.kill(i, SIGKILL); });
+        if (verb == "term") return each([&](size_t i) { cluster_.kill(i, SIGTERM); });
+        if (verb == "stop") return each([&](size_t i) { cluster_.kill(i, SIGSTOP); });
+        if (verb == "continue") return each([&](size_t i) { cluster_.kill(i, SIGCONT); });
+        if (verb == "save") return cluster_.save(who());
         if (verb == "disk") return disk();
         if (verb == "files") return files();
         if (verb == "snapshot") {
             const size_t a = who();
             const auto how = next();
-            return rig_.spoil_snapshot(a, how, how == "of" ? who() : static_cast<size_t>(number()));
+            return cluster_.spoil_snapshot(a, how, how == "of" ? who() : static_cast<size_t>(number()));
         }
         if (verb == "clock") {
-            Control& c = rig_.control(who());
+            Control& c = cluster_.control(who());
             return (void)(c.rate = number());
         }
         if (verb == "cut" || verb == "delay" || verb == "hold" || verb == "refuse" || verb == "rate")
             return road(verb);
         if (verb == "cut-off") return cut_off();
         if (verb == "split") return split();
-        if (verb == "whole") return rig_.whole();
+        if (verb == "whole") return cluster_.whole();
         if (verb == "flap") return flap();
         if (verb == "change" || verb == "repeat" || verb == "tear") return bytes(verb);
         if (verb == "garbage") return garbage();
@@ -68,8 +68,8 @@
         if (verb == "discovery") return discovery();
         if (verb == "served-by") return served_by();
         if (verb == "spread") return spread();
-        if (verb == "without") return rig_.files_are({who()}, {});
-        if (verb == "voters") return rig_.files_are({}, some());
+        if (verb == "without") return cluster_.files_are({who()}, {});
+        if (verb == "voters") return cluster_.files_are({}, some());
         if (verb == "roll") return roll();
         if (verb == "expect") return expect();
         if (verb == "flood") return flood();
@@ -96,16 +96,16 @@
         flood_->player = this, flood_->rate = number(), flood_->from = monotonic_now();
         if (more()) flood_->tenant = next();
         flood_->timer.reset(event_new(
-            rig_.base(), -1, EV_PERSIST,
+            cluster_.base(), -1, EV_PERSIST,
             [](evutil_socket_t, short, void* self) {
                 auto& f = *static_cast<Flood*>(self);
                 const auto due = static_cast<uint64_t>(f.rate * (monotonic_now() - f.from).seconds());
-                TestCluster& fault_injection = f.player->rig_;
-                for (size_t tries = 0; f.sent < due && tries < due - f.sent + fault_injection.size();
+                TestCluster& cluster = f.player->cluster_;
+                for (size_t tries = 0; f.sent < due && tries < due - f.sent + cluster.size();
                      ++tries) {
-                    const size_t i = f.at++ % fault_injection.size();
-                    if (!fault_injection.up(i)) continue;
-                    fault_injection.request_later(i, f.tenant);
+                    const size_t i = f.at++ % cluster.size();
+                    if (!cluster.up(i)) continue;
+                    cluster.request_later(i, f.tenant);
                     ++f.sent;
                 }
             },
@@ -121,13 +121,13 @@
         const std::map<std::string, Mood> moods = {
             {"well", Mood::well}, {"frozen", Mood::frozen}, {"full", Mood::full}, {"wrong", Mood::wrong}};
         for (size_t i = 0; i < scenario_.plan.upstreams; ++i) {
-            if (name != "all" && rig_.upstream(i).name() != name) continue;
+            if (name != "all" && cluster_.upstream(i).name() != name) continue;
             if (mood == "cold")
-                rig_.discovery().started(rig_.upstream(i).name());
+                cluster_.discovery().started(cluster_.upstream(i).name());
             else if (mood == "wrong-to")
-                rig_.upstream(i).wrong_to(more() ? "l" + TestCluster::id_of(who()) + "-" : "");
+                cluster_.upstream(i).wrong_to(more() ? "l" + TestCluster::id_of(who()) + "-" : "");
             else if (moods.count(mood))
-                rig_.upstream(i).mood_is(moods.at(mood));
+                cluster_.upstream(i).mood_is(moods.at(mood));
             else
                 throw Failed{"no such mood"};
         }
@@ -138,11 +138,11 @@
     void expect_reached(const std::string& name, Span most, double least, double greatest, double mean)
     {
         const Point from = monotonic_now();
-        rig_.run(most);
+        cluster_.run(most);
         std::vector<Point> all;
         for (size_t i = 0; i < scenario_.plan.upstreams; ++i) {
-            if (name != "all" && rig_.upstream(i).name() != name) continue;
-            for (const Point p : rig_.upstream(i).reached())
+            if (name != "all" && cluster_.upstream(i).name() != name) continue;
+            for (const Point p : cluster_.upstream(i).reached())
                 if (p >= from) all.push_back(p);
         }
         std::sort(all.begin(), all.end());
@@ -195,9 +195,9 @@
         if (const auto known = names_.find(name); known != names_.end()) return known->second;
         if (name == "leader" || name.starts_with("holder:")) {
             std::optional<size_t> found;
-            rig_.until(
+            cluster_.until(
                 [&] {
-                    found = name == "leader" ? rig_.leader() : rig_.holder(name.substr(7));
+                    found = name == "leader" ? cluster_.leader() : cluster_.holder(name.substr(7));
                     return found.has_value();
                 },
                 seconds(5));
@@ -206,15 +206,15 @@
         }
         // A voter, or a member without a vote, that has no name yet and leads nothing.
         if (name == "voter" || name == "member") {
-            const auto leader = rig_.leader();
-            for (size_t i = 0; i < rig_.size(); ++i) {
+            const auto leader = cluster_.leader();
+            for (size_t i = 0; i < cluster_.size(); ++i) {
                 bool named = leader == i;
                 for (const auto& [n, m] : names_) named |= m == i;
                 if (!named && (i < scenario_.plan.voters) == (name == "voter")) return i;
             }
             throw Failed{"there is no other " + name};
         }
-        return rig_.index_of(name);
+        return cluster_.index_of(name);
     }
     std::vector<size_t> some()
     {
@@ -222,7 +222,7 @@
         while (more()) {
             const auto name = next();
             if (name == "all")
-                for (size_t i = 0; i < rig_.size(); ++i) out.push_back(i);
+                for (size_t i = 0; i < cluster_.size(); ++i) out.push_back(i);
             else
                 out.push_back(who(name));
         }
@@ -236,15 +236,15 @@
 
     void settle()
     {
-        const bool held = rig_.until(
+        const bool held = cluster_.until(
             [&] {
                 for (const auto& d : duties_)
-                    if (!rig_.checker.holder(d)) return false;
-                return rig_.leader().has_value();
+                    if (!cluster_.checker.holder(d)) return false;
+                return cluster_.leader().has_value();
             },
             seconds(15));
         if (!held) throw Failed{"the duties were not all held within 15 s"};
-        rig_.run(seconds(0.3));
+        cluster_.run(seconds(0.3));
     }
     void let()
     {
@@ -256,21 +256,21 @@
     {
         const size_t i = who();
         const auto what = next();
-        if (rig_.up(i)) throw Failed{"its process is up"};
+        if (cluster_.up(i)) throw Failed{"its process is up"};
         if (what == "lost")
-            rig_.wipe(i);
+            cluster_.wipe(i);
         else if (what == "saved")
-            rig_.put_back(i);
+            cluster_.put_back(i);
         else if (what == "of")
-            rig_.swap_folder(i, who());
+            cluster_.swap_folder(i, who());
         else if (what == "torn")
-            rig_.tear(i, static_cast<size_t>(number()));
+            cluster_.tear(i, static_cast<size_t>(number()));
         else
             throw Failed{"no such disk"};
     }
     void files()
     {
-        Control& c = rig_.control(who());
+        Control& c = cluster_.control(who());
         const auto what = next();
         const double rate = c.rate;
         if (what == "well")
@@ -298,27 +298,27 @@
         if (verb == "delay") delay = span();
         if (verb == "rate") rate = number();
         const auto change = [&](size_t a, size_t b) {
-            Road r = rig_.road(a, b);
+            Road r = cluster_.road(a, b);
             if (verb == "cut") r.cut = true;
             if (verb == "hold") r.held = true;
             if (verb == "refuse") r.refused = true;
             if (verb == "delay") r.delay = delay;
             if (verb == "rate") r.rate = rate;
-            rig_.road_is(a, b, r);
+            cluster_.road_is(a, b, r);
         };
         if (more()) {
             const size_t a = who(), b = who();
             return change(a, b);
         }
-        for (size_t a = 0; a < rig_.size(); ++a)
-            for (size_t b = 0; b < rig_.size(); ++b)
+        for (size_t a = 0; a < cluster_.size(); ++a)
+            for (size_t b = 0; b < cluster_.size(); ++b)
                 if (a != b) change(a, b);
     }
     void cut(size_t a, size_t b)
     {
-        Road r = rig_.road(a, b);
+        Road r = cluster_.road(a, b);
         r.cut = true;
-        rig_.road_is(a, b, r);
+        cluster_.road_is(a, b, r);
     }
     // "cut-off A": both ways; "cut-off A deaf": it hears nobody; "cut-off A mute": nobody hears it; "...
     // voters": these only.
@@ -332,7 +332,7 @@
             if (w == "mute") deaf = false;
             if (w == "voters") voters = true;
         }
-        for (size_t b = 0; b < rig_.size(); ++b) {
+        for (size_t b = 0; b < cluster_.size(); ++b) {
             if (a == b || (voters && b >= scenario_.plan.voters)) continue;
             if (mute) cut(a, b);
             if (deaf) cut(b, a);
@@ -342,8 +342,8 @@
     {
         const auto side = some();
         const auto in = [&](size_t i) { return std::find(side.begin(), side.end(), i) != side.end(); };
-        for (size_t a = 0; a < rig_.size(); ++a)
-            for (size_t b = 0; b < rig_.size(); ++b)
+        for (size_t a = 0; a < cluster_.size(); ++a)
+            for (size_t b = 0; b < cluster_.size(); ++b)
                 if (a != b && in(a) != in(b)) cut(a, b);
     }
     void flap()
@@ -352,34 +352,34 @@
         const Span every = span();
         const int times = static_cast<int>(number());
         for (int n = 0; n < times; ++n) {
-            for (size_t b = 0; b < rig_.size(); ++b)
+            for (size_t b = 0; b < cluster_.size(); ++b)
                 if (a != b) cut(a, b), cut(b, a);
-            rig_.run(every);
-            rig_.whole();
-            rig_.run(every);
+            cluster_.run(every);
+            cluster_.whole();
+            cluster_.run(every);
         }
     }
     void bytes(const std::string& verb)
     {
         const size_t a = who();
         const auto spoil = [&](size_t b) {
-            FaultProxy& r = rig_.relay(a, b);
+            FaultProxy& r = cluster_.relay(a, b);
             if (verb == "change") r.change_next();
             if (verb == "repeat") r.repeat_next();
             if (verb == "tear") r.cut_within(7);
         };
         if (more()) return spoil(who());
-        for (size_t b = 0; b < rig_.size(); ++b)
+        for (size_t b = 0; b < cluster_.size(); ++b)
             if (a != b) spoil(b);
     }
     void garbage()
     {
         const size_t i = who();
-        rig_.garbage(i, "GET / HTTP/1.1\r\n\r\n");
-        rig_.garbage(i, std::string(64, '\xff'));
-        rig_.garbage(i, std::string(24, '\0') + "x");
-        rig_.garbage(i, "x");
-        rig_.run(seconds(0.2));
+        cluster_.garbage(i, "GET / HTTP/1.1\r\n\r\n");
+        cluster_.garbage(i, std::string(64, '\xff'));
+        cluster_.garbage(i, std::string(24, '\0') + "x");
+        cluster_.garbage(i, "x");
+        cluster_.run(seconds(0.2));
     }
     // A line for the door, up to "->", with names as the processes know them; and what stands behind that.
     std::pair<std::string, std::string> line_for_door()
@@ -399,15 +399,15 @@
     {
         const size_t i = who();
         const auto [line, start] = line_for_door();
-        const auto got = rig_.ask(i, line, seconds(12));
+        const auto got = cluster_.ask(i, line, seconds(12));
         if (!got.starts_with(start)) throw Failed{"the door said: " + got.substr(0, got.find('\n'))};
     }
     // Asked, and not waited for.
     void door_later()
     {
         const size_t i = who();
-        rig_.ask_later(i, line_for_door().first, [](const std::string&) {});
-        rig_.run(seconds(0.01));
+        cluster_.ask_later(i, line_for_door().first, [](const std::string&) {});
+        cluster_.run(seconds(0.01));
     }
     // "until-door A LINE 5s -> START": asked again and again
     void until_door()
@@ -418,7 +418,7 @@
         const Span most = to_span(line.substr(space + 1));
         line.resize(space);
         std::string got;
-        if (!rig_.until([&] { return (got = rig_.ask(i, line)).starts_with(start); }, most))
+        if (!cluster_.until([&] { return (got = cluster_.ask(i, line)).starts_with(start); }, most))
             throw Failed{"the door never said " + start + ", but " + got};
     }
     // "served-by A... not U": none of a few requests goes there
@@ -430,15 +430,15 @@
                 from.push_back(who(w));
                 continue;
             }
-            for (size_t i = 0; i < rig_.size(); ++i)
-                if (rig_.up(i)) from.push_back(i);
+            for (size_t i = 0; i < cluster_.size(); ++i)
+                if (cluster_.up(i)) from.push_back(i);
         }
         const size_t upstream = std::strtoul(next().c_str() + 1, nullptr, 10) - 1;
-        const auto before = rig_.upstream(upstream).served();
+        const auto before = cluster_.upstream(upstream).served();
         for (const size_t i : from)
             for (int n = 0; n < 6; ++n)
-                if (rig_.request(i) != 200) throw Failed{TestCluster::id_of(i) + " does not serve"};
-        if (rig_.upstream(upstream).served() != before) throw Failed{"some were served by " + words_.back()};
+                if (cluster_.request(i) != 200) throw Failed{TestCluster::id_of(i) + " does not serve"};
+        if (cluster_.upstream(upstream).served() != before) throw Failed{"some were served by " + words_.back()};
     }
     // "spread LEAST MOST within T": so many duties a process
     void spread()
@@ -449,9 +449,9 @@
             [&] {
                 std::map<std::string, size_t> loads;
                 for (const auto& d : duties_)
-                    if (const auto h = rig_.checker.holder(d)) ++loads[*h];
-                for (size_t i = 0; i < rig_.size(); ++i)
-                    if (const size_t n = loads[TestCluster::id_of(i)]; rig_.up(i) && (n < least || n > most))
+                    if (const auto h = cluster_.checker.holder(d)) ++loads[*h];
+                for (size_t i = 0; i < cluster_.size(); ++i)
+                    if (const size_t n = loads[TestCluster::id_of(i)]; cluster_.up(i) && (n < least || n > most))
                         return false;
                 return true;
             },
@@ -461,19 +461,19 @@
     void roll()
     {
         for (const size_t i : some()) {
-            rig_.kill(i, SIGTERM);
-            rig_.until([&] { return !rig_.up(i); }, seconds(6));
-            rig_.start(i);
-            rig_.run(seconds(1));
+            cluster_.kill(i, SIGTERM);
+            cluster_.until([&] { return !cluster_.up(i); }, seconds(6));
+            cluster_.start(i);
+            cluster_.run(seconds(1));
         }
     }
     void discovery()
     {
         const auto what = next();
-        if (what == "silent") return rig_.discovery().silent(true);
-        if (what == "speaks") return rig_.discovery().silent(false);
-        if (what == "empty" || what == "whole") return rig_.discovery().empty(what == "empty");
-        rig_.discovery().state_is(next(), what);
+        if (what == "silent") return cluster_.discovery().silent(true);
+        if (what == "speaks") return cluster_.discovery().silent(false);
+        if (what == "empty" || what == "whole") return cluster_.discovery().empty(what == "empty");
+        cluster_.discovery().state_is(next(), what);
     }
 
     void expect()
@@ -484,20 +484,20 @@
         if (what == "holder") {
             const auto duty = next();
             const size_t i = who();
-            return seen([&] { return rig_.holder(duty) == i; }, most,
+            return seen([&] { return cluster_.holder(duty) == i; }, most,
                         TestCluster::id_of(i) + " does not hold " + duty);
         }
         if (what == "leader")
-            return seen([&] { return rig_.leader().has_value(); }, most, "there is no leader");
+            return seen([&] { return cluster_.leader().has_value(); }, most, "there is no leader");
         if (what == "serves") {
             for (const size_t i : some())
-                seen([&] { return rig_.request(i) == 200; }, most, TestCluster::id_of(i) + " does not serve");
+                seen([&] { return cluster_.request(i) == 200; }, most, TestCluster::id_of(i) + " does not serve");
             return;
         }
         if (what == "exit") {
             const size_t i = who();
             const int status = static_cast<int>(number());
-            return seen([&] { return rig_.exit_status(i) == status; }, most,
+            return seen([&] { return cluster_.exit_status(i) == status; }, most,
                         TestCluster::id_of(i) + " did not end so");
         }
         if (what == "show" || what == "log") {
@@ -509,7 +509,7 @@
                 for (size_t at; (at = text.find("{" + name + "}")) != std::string::npos;)
                     text.replace(at, name.size() + 2, TestCluster::id_of(m));
             const auto so = [&] {
-                const auto all = what == "log" ? rig_.log(i) : rig_.ask(i, "show-fleet");
+                const auto all = what == "log" ? cluster_.log(i) : cluster_.ask(i, "show-fleet");
                 return (all.find(text) != std::string::npos) != no;
             };
             return seen(
@@ -518,12 +518,12 @@
         }
         if (what == "refused") {
             const auto least = static_cast<uint64_t>(number());
-            return seen([&] { return rig_.receiver().refused() >= least; }, most,
+            return seen([&] { return cluster_.receiver().refused() >= least; }, most,
                         "the receiver refused fewer");
         }
         if (what == "probes") {
             const auto before = probes();
-            rig_.run(most);
+            cluster_.run(most);
             const double rate = static_cast<double>(probes() - before) / most.seconds();
             const double least = number(), greatest = number();
             if (rate < least || rate > greatest) throw Failed{std::to_string(rate) + " probes a second"};
@@ -537,19 +537,19 @@
         if (what == "answers") {  // of what was sent: a part of them at least, with this status
             const auto status = static_cast<int>(number());
             const double least = number(), greatest = number();
-            rig_.answers.clear();
-            rig_.run(most);
+            cluster_.answers.clear();
+            cluster_.run(most);
             double sum = 0;
-            for (const auto& [of, n] : rig_.answers) sum += static_cast<double>(n);
-            const double part = static_cast<double>(rig_.answers[status]) / std::max(1.0, sum);
+            for (const auto& [of, n] : cluster_.answers) sum += static_cast<double>(n);
+            const double part = static_cast<double>(cluster_.answers[status]) / std::max(1.0, sum);
             if (part < least || part > greatest)
                 throw Failed{std::to_string(part) + " of " + std::to_string(sum) + " answers"};
             return;
         }
         if (what == "calls") {
-            const auto before = rig_.discovery().calls();
-            rig_.run(most);
-            const double rate = static_cast<double>(rig_.discovery().calls() - before) / most.seconds();
+            const auto before = cluster_.discovery().calls();
+            cluster_.run(most);
+            const double rate = static_cast<double>(cluster_.discovery().calls() - before) / most.seconds();
             const double greatest = number();
             if (rate > greatest) throw Failed{std::to_string(rate) + " calls for lists a second"};
             return;
@@ -559,7 +559,7 @@
     uint64_t probes()
     {
         uint64_t n = 0;
-        for (size_t i = 0; i < scenario_.plan.upstreams; ++i) n += rig_.upstream(i).probes();
+        for (size_t i = 0; i < scenario_.plan.upstreams; ++i) n += cluster_.upstream(i).probes();
         return n;
     }
     void held(const std::string& which, Span most)
@@ -567,18 +567,18 @@
         seen(
             [&] {
                 for (const auto& d : duties_)
-                    if ((which == "all" || which == d) && !rig_.checker.holder(d)) return false;
+                    if ((which == "all" || which == d) && !cluster_.checker.holder(d)) return false;
                 return true;
             },
             most, which + " not held");
     }
     void seen(const std::function<bool()>& so, Span most, const std::string& otherwise)
     {
-        if (!rig_.until(so, most)) throw Failed{otherwise};
+        if (!cluster_.until(so, most)) throw Failed{otherwise};
     }
 
     const Scenario& scenario_;
-    TestCluster& rig_;
+    TestCluster& cluster_;
     std::unique_ptr<Flood> flood_;
     std::vector<std::string> duties_, words_;
     size_t at_ = 0;
@@ -675,30 +675,30 @@
 Verdict play(const Scenario& scenario, const std::string& program, const std::string& shim, size_t slot)
 {
     Verdict v;
-    TestCluster fault_injection(scenario.plan, program, shim, slot);
-    fault_injection.checker.overlap_allowed = scenario.overlap_allowed;
-    Player player(scenario, fault_injection);
+    TestCluster cluster(scenario.plan, program, shim, slot);
+    cluster.checker.overlap_allowed = scenario.overlap_allowed;
+    Player player(scenario, cluster);
     for (const auto& step : scenario.steps) {
         try {
             player.play(step);
         } catch (const Failed& f) {
             v.wrong.push_back("at '" + step + "': " + f.what);
-            for (size_t i = 0; i < fault_injection.size(); ++i)
-                if (fault_injection.up(i))
+            for (size_t i = 0; i < cluster.size(); ++i)
+                if (cluster.up(i))
                     v.logs +=
-                        "-- shown by " + TestCluster::id_of(i) + "\n" + fault_injection.ask(i, "show-fleet");
+                        "-- shown by " + TestCluster::id_of(i) + "\n" + cluster.ask(i, "show-fleet");
             break;
         } catch (const std::exception& e) {
             v.wrong.push_back("at '" + step + "': " + e.what());
             break;
         }
     }
-    for (auto& w : fault_injection.judge()) v.wrong.push_back(std::move(w));
-    v.gaps = fault_injection.checker.gaps();
-    v.accepted = fault_injection.checker.accepted();
+    for (auto& w : cluster.judge()) v.wrong.push_back(std::move(w));
+    v.gaps = cluster.checker.gaps();
+    v.accepted = cluster.checker.accepted();
     if (!v.wrong.empty())
-        for (size_t i = 0; i < fault_injection.size(); ++i)
-            v.logs += "-- " + TestCluster::id_of(i) + "\n" + fault_injection.log(i);
+        for (size_t i = 0; i < cluster.size(); ++i)
+            v.logs += "-- " + TestCluster::id_of(i) + "\n" + cluster.log(i);
     return v;
 }
 
--- a/src/fleet/endpoints/endpoint_view.cpp
+++ b/src/fleet/endpoints/endpoint_view.cpp
@@ -8,291 +8,377 @@
 namespace
 {
 
-constexpr Span observe_every = seconds(0.1), doubles_in = seconds(0.5);
-constexpr double least_factor = 0.02;   // of its size: what is left to find out that all is well again
-constexpr double worth_showing = 0.05;  // of a size
-constexpr Span another_start = seconds(5);
-// Of a cold one that has no turn now, where most are cold: it is drawn if nothing else is there, and then the
-// gate decides. Not shown at all, it would be missing from what the module takes the upstreams to be able to
-// do.
-constexpr double least_drawn = 1e-3;
-constexpr Span rate_over = seconds(10);
-constexpr double least_counted = 50;  // invocations, before a rate is told
-constexpr double none = 1e-9;
+constexpr Span observation_interval = seconds(0.1);
+constexpr Span doubling_time = seconds(0.5);  // of a size that comes back
+constexpr double min_size_factor = 0.02;      // what is left to find out that all is well again
+constexpr double visible_change = 0.05;       // of a size
+constexpr Span another_start = seconds(5);    // two reported starts that far apart are not the same
+// Of an upstream in slow start without a token now, where most are: it is drawn if nothing else is there, and
+// then the budget decides. Not shown at all, it would be missing from what the module takes the upstreams to
+// be able to do.
+constexpr double min_drawn_size = 1e-3;
+constexpr Span rate_window = seconds(10);
+constexpr double min_counted_requests = 50;  // before a rate is told
+constexpr double whole = 1 - 1e-9;           // a weight that is 1 but for rounding
+constexpr double stalled_reduction = 0.5;    // from which work in flight without an answer is evidence
+constexpr Point long_ago{INT64_MIN / 2};
 
 }  // namespace
 
-EndpointView::EndpointView(Config rules)
-    : config_(std::move(rules)), width_(config_.subset ? config_.subset->narrow : Span{})
+EndpointView::EndpointView(Config config)
+    : config_(std::move(config)), subset_size_(config_.subset ? config_.subset->narrow : Span{})
 {
 }
 
+// ---- what is known ----
+
 void EndpointView::set_endpoints(const std::vector<EndpointState>& all)
 {
-    all_.resize(std::max(all_.size(), all.size()));
-    choosable_.resize(all_.size());
-    for (UpstreamId t = 0; t < all.size(); ++t) {
-        One& one = all_[t];
-        if (one.real.id != all[t].id) one = {};
-        one.real = all[t];
-        choosable_[t] = {all[t].id, all[t].phase == EndpointPhase::gone ? 0 : all[t].size, true};
-        choosable_[t].own_zone = all[t].zone == config_.zone;
+    endpoints_.resize(std::max(endpoints_.size(), all.size()));
+    candidates_.resize(endpoints_.size());
+    for (UpstreamId upstream = 0; upstream < all.size(); ++upstream) {
+        const EndpointState& state = all[upstream];
+        Endpoint& endpoint = endpoints_[upstream];
+        if (endpoint.real.id != state.id) endpoint = {};
+        endpoint.real = state;
+        const double size = state.phase == EndpointPhase::gone ? 0 : state.size;
+        candidates_[upstream] = {state.id, size, state.zone == config_.zone};
     }
-    dirty_ = due_ = true;
+    subset_outdated_ = due_ = true;
 }
 
-void EndpointView::set_peers(std::vector<SubsetPeer> sharers)
+void EndpointView::set_peers(std::vector<SubsetPeer> peers)
 {
-    sharers_ = std::move(sharers);
-    dirty_ = due_ = true;
+    peers_ = std::move(peers);
+    subset_outdated_ = due_ = true;
 }
 
-void EndpointView::apply_verdicts(Point now, const std::map<uint64_t, OutlierGossip::Verdict>& results)
-{
-    for (One& one : all_) {
-        const auto at = results.find(one.real.id);
-        factor(now, one);
-        one.verdict_reduction = at == results.end() ? 0 : at->second.reduction;
-        if (at == results.end() || !at->second.started) continue;
-        const Point start = now - *at->second.started;
-        const Point before = std::max(one.told_start.value_or(Point{INT64_MIN / 2}),
-                                      one.real.started.value_or(Point{INT64_MIN / 2}));
-        if (start - before > another_start) one.told_start = start;
+void EndpointView::apply_verdicts(Point now, const std::map<uint64_t, OutlierGossip::Verdict>& verdicts)
+{
+    for (Endpoint& endpoint : endpoints_) {
+        const auto verdict = verdicts.find(endpoint.real.id);
+        update_size_factor(now, endpoint);
+        endpoint.verdict_reduction = verdict == verdicts.end() ? 0 : verdict->second.reduction;
+        if (verdict == verdicts.end() || !verdict->second.started) continue;
+        const Point start = now - *verdict->second.started;
+        const Point known =
+            std::max(endpoint.reported_start.value_or(long_ago), endpoint.real.started.value_or(long_ago));
+        if (start - known > another_start) endpoint.reported_start = start;
     }
 }
 
-// Tokens are saved up from the first part on, whether or not any is wanted.
-void EndpointView::set_quotas(Point now, const std::vector<QuotaLease>& parts)
+// Tokens are saved up from the first lease on, whether or not any is wanted.
+void EndpointView::set_quotas(Point now, const std::vector<QuotaLease>& leases)
 {
-    budgets_.clear();
-    for (const QuotaLease& p : parts) budgets_[p.name] = p, (void)buckets_[p.name].has_token(now, p);
-    std::erase_if(buckets_, [this](const auto& b) { return !budgets_.count(b.first); });
+    quotas_.clear();
+    for (const QuotaLease& lease : leases) {
+        quotas_[lease.name] = lease;
+        (void)buckets_[lease.name].has_token(now, lease);
+    }
+    std::erase_if(buckets_, [this](const auto& bucket) { return !quotas_.count(bucket.first); });
 }
 
 void EndpointView::restore_reductions(Point now, const std::vector<PersistedReduction>& reductions)
 {
-    for (const PersistedReduction& r : reductions)
-        recalled_[r.upstream] = {r.reduction, now + Span{r.left_us}};
+    for (const PersistedReduction& persisted : reductions)
+        restored_[persisted.upstream] = {persisted.reduction, now + Span{persisted.left_us}};
     due_ = true;
 }
 
-void EndpointView::record_answer(Point now, UpstreamId upstream_id, bool well)
+void EndpointView::record_answer(Point now, UpstreamId upstream, bool success)
 {
-    if (upstream_id >= all_.size()) return;
-    ++(well ? all_[upstream_id].well : all_[upstream_id].bad)[0];
-    (well ? all_[upstream_id].well_at : all_[upstream_id].bad_at) = now;
+    if (upstream >= endpoints_.size()) return;
+    Endpoint& endpoint = endpoints_[upstream];
+    ++(success ? endpoint.well : endpoint.bad).seconds[0];
+    (success ? endpoint.last_well : endpoint.last_bad) = now;
 }
 
-bool EndpointView::is_cold(Point now, const EndpointState& l) const
+// ---- slow start ----
+
+bool EndpointView::is_warming(Point now, const EndpointState& endpoint) const
 {
-    return l.started && now - *l.started < config_.cold;
+    return endpoint.started && now - *endpoint.started < config_.cold;
 }
 
-// Of a cold one: what it can do by now, over what it could at its start.
-double EndpointView::warmth(Point now, const EndpointState& l) const
+// What an upstream in slow start can do by now, over what it could at its start.
+double EndpointView::capacity_growth(Point now, const EndpointState& endpoint) const
 {
-    const double age = std::clamp((now - *l.started) / config_.cold, 0.0, 1.0);
+    const double age = std::clamp((now - *endpoint.started) / config_.cold, 0.0, 1.0);
     return (config_.cold_share + (1 - config_.cold_share) * age) / config_.cold_share;
 }
 
-// The budget of a cold one grows as it warms, alike at every balancer.
-const QuotaLease* EndpointView::part_of(Point now, BudgetName name, const EndpointState& l)
+// The budget of an upstream grows as it warms up, alike at every balancer.
+std::optional<QuotaLease> EndpointView::slow_start_quota(Point now, const EndpointState& endpoint) const
 {
-    const auto at = budgets_.find(name);
-    if (at == budgets_.end()) return nullptr;
-    scaled_ = at->second;
-    scaled_.rate *= warmth(now, l);
-    scaled_.guaranteed *= warmth(now, l);
-    return &scaled_;
+    const auto quota = quotas_.find({Budget::cold, endpoint.id});
+    if (quota == quotas_.end()) return {};
+    QuotaLease scaled = quota->second;
+    const double growth = capacity_growth(now, endpoint);
+    scaled.rate *= growth;
+    scaled.guaranteed *= growth;
+    return scaled;
 }
 
-double EndpointView::factor(Point now, One& one) const
-{
-    double told = one.verdict_reduction;
-    if (const auto at = recalled_.find(one.real.id); at != recalled_.end() && now < at->second.second)
-        told = std::max(told, at->second.first);
-    // The module draws by about the fifth power of the size where work is out. So what one balancer says
-    // lessens an upstream little, and what is agreed on nearly takes it away.
-    const double most = std::max(least_factor, std::pow(1 - told, 0.2 + 0.8 * told * told));
-    const double grown = one.factor * std::exp2((now - one.factor_at) / doubles_in);
-    one.factor = std::min(most, std::max(least_factor, std::min(1.0, grown)));
-    one.factor_at = now;
-    return one.factor;
+void EndpointView::limit_slow_start(Point now, EndpointState& state)
+{
+    if (!config_.turns || state.phase != EndpointPhase::ready || !is_warming(now, state)) return;
+    const BudgetName name{Budget::cold, state.id};
+    if (!has_budget(name)) return;
+    const auto quota = slow_start_quota(now, state);
+    if (quota && buckets_[name].has_token(now, *quota)) return;
+    if (mostly_warm_)
+        state.phase = EndpointPhase::gone;
+    else
+        state.size *= min_drawn_size;
 }
 
-EndpointState EndpointView::wanted(Point now, UpstreamId upstream_id)
-{
-    One& one = all_[upstream_id];
-    EndpointState l = one.real;
-    if (one.told_start && (!l.started || *l.started < *one.told_start)) l.started = one.told_start;
-    const double part = config_.subset && upstream_id < parts_.size() ? parts_[upstream_id]
-                        : config_.subset                              ? 0
-                                                                      : 1;
-    if (part <= 0) l.phase = EndpointPhase::gone;
-    if (config_.signals || !recalled_.empty()) l.size *= factor(now, one);
-    l.size *= part > 0 ? part : 1;
-    if (config_.turns && l.phase == EndpointPhase::ready && is_cold(now, l)) {
-        const BudgetName name{Budget::cold, l.id};
-        if (config_.turns->total_of(name) > 0) {
-            const QuotaLease* own = part_of(now, name, l);
-            if (!own || !buckets_[name].has_token(now, *own)) {
-                if (mostly_warm_)
-                    l.phase = EndpointPhase::gone;
-                else
-                    l.size *= least_drawn;
-            }
-        }
-    }
-    return l;
+bool EndpointView::take_from_budget(Point now, BudgetName name)
+{
+    if (!has_budget(name)) return true;
+    ++asked_.try_emplace(name).first->second;
+    const auto quota = quotas_.find(name);
+    return quota != quotas_.end() && buckets_[name].take(now, quota->second);
 }
 
-// Of an arc, by sizes, and what cold ones can do by now.
-double EndpointView::free_of(Point now, const SubsetWeights& parts, const Reduction& reduction) const
+bool EndpointView::take_from_slow_start_budget(Point now, UpstreamId upstream)
 {
-    double all = 0, free = 0;
-    bool any = false;
-    for (UpstreamId t = 0; t < parts.size(); ++t) {
-        if (parts[t] <= 0) continue;
-        const double size = parts[t] * choosable_[t].size;
-        all += size;
-        if (all_[t].real.phase != EndpointPhase::ready) continue;
-        const double r = reduction(t);
-        any = any || r <= 0;
-        const double able = is_cold(now, all_[t].real) ? warmth(now, all_[t].real) * config_.cold_share : 1;
-        free += size * (1 - std::max(r, all_[t].verdict_reduction)) * able;
-    }
-    return any && all > 0 ? free / all : 0;
+    if (upstream >= shown_.size() || !is_warming(now, shown_[upstream])) return true;
+    due_ = true;  // until its next token it is not shown
+    const BudgetName name{Budget::cold, shown_[upstream].id};
+    if (!has_budget(name)) return true;
+    const auto quota = slow_start_quota(now, shown_[upstream]);
+    return quota && buckets_[name].take(now, *quota);
 }
 
-void EndpointView::widen(Point now, const Reduction& reduction)
+// ---- what the module is shown ----
+
+// The module draws by about the fifth power of the size where work is in flight. So what one balancer reports
+// lessens an upstream little, and what several agree on nearly takes it away.
+double EndpointView::update_size_factor(Point now, Endpoint& endpoint) const
 {
-    if (std::exchange(dirty_, false)) {
-        parts_ = choose(*config_.subset, sharers_, config_.self, choosable_, width_.widening());
-        if (width_.steps() > 0)
-            narrower_ = choose(*config_.subset, sharers_, config_.self, choosable_, width_.widening() / 2);
-    }
-    for (;;) {
-        const bool whole = std::all_of(choosable_.begin(), choosable_.end(), [&](const SubsetCandidate& c) {
-            return c.size <= 0 || parts_[static_cast<size_t>(&c - choosable_.data())] > 1 - none;
-        });
-        const double free = free_of(now, parts_, reduction);
-        const double narrower = width_.steps() > 0 ? free_of(now, narrower_, reduction) : 0;
-        const double before = width_.widening();
-        if (!width_.look(now, free, narrower, whole)) return;
-        parts_ = choose(*config_.subset, sharers_, config_.self, choosable_, width_.widening());
-        narrower_ = choose(*config_.subset, sharers_, config_.self, choosable_, width_.widening() / 2);
-        if (width_.widening() < before) return;
+    double reduction = endpoint.verdict_reduction;
+    const auto restored = restored_.find(endpoint.real.id);
+    if (restored != restored_.end() && now < restored->second.until)
+        reduction = std::max(reduction, restored->second.reduction);
+    const double exponent = 0.2 + 0.8 * reduction * reduction;
+    const double most = std::max(min_size_factor, std::pow(1 - reduction, exponent));
+    const double grown = endpoint.size_factor * std::exp2((now - endpoint.size_factor_at) / doubling_time);
+    endpoint.size_factor = std::min(most, std::max(min_size_factor, std::min(1.0, grown)));
+    endpoint.size_factor_at = now;
+    return endpoint.size_factor;
+}
+
+double EndpointView::subset_weight(UpstreamId upstream) const
+{
+    if (!config_.subset) return 1;
+    return upstream < subset_.size() ? subset_[upstream] : 0;
+}
+
+EndpointState EndpointView::wanted(Point now, UpstreamId upstream)
+{
+    Endpoint& endpoint = endpoints_[upstream];
+    EndpointState state = endpoint.real;
+    const bool has_newer_start =
+        endpoint.reported_start && (!state.started || *state.started < *endpoint.reported_start);
+    if (has_newer_start) state.started = endpoint.reported_start;
+    const double weight = subset_weight(upstream);
+    if (weight <= 0) state.phase = EndpointPhase::gone;
+    if (config_.signals || !restored_.empty()) state.size *= update_size_factor(now, endpoint);
+    state.size *= weight > 0 ? weight : 1;
+    limit_slow_start(now, state);
+    return state;
+}
+
+bool EndpointView::is_mostly_warm(Point now) const
+{
+    double listed = 0, warming = 0;
+    for (const Endpoint& endpoint : endpoints_) {
+        if (endpoint.real.phase != EndpointPhase::ready) continue;
+        listed += endpoint.real.size;
+        if (is_warming(now, endpoint.real)) warming += endpoint.real.size;
     }
+    return warming * 2 < listed;
+}
+
+bool EndpointView::differs_visibly(const EndpointState& next, const EndpointState& shown,
+                                   UpstreamId upstream) const
+{
+    const bool same = next.id == shown.id && next.phase == shown.phase && next.started == shown.started &&
+                      next.zone == shown.zone && next.cell == shown.cell && next.kind == shown.kind;
+    if (!same) return true;
+    if (next.size == shown.size) return false;
+    // What is whole again is shown as whole, however little was missing.
+    const bool is_whole = next.size == endpoints_[upstream].real.size;
+    return is_whole || std::abs(next.size - shown.size) > visible_change * shown.size;
 }
 
 std::vector<EndpointState> EndpointView::update(Point now, const Reduction& reduction)
 {
     due_ = false;
-    if (config_.subset) widen(now, reduction);
-    double listed = 0, cold = 0;
-    for (const One& one : all_) {
-        if (one.real.phase != EndpointPhase::ready) continue;
-        listed += one.real.size;
-        if (is_cold(now, one.real)) cold += one.real.size;
-    }
-    mostly_warm_ = cold * 2 < listed;
-    std::vector<EndpointState> out;
-    for (UpstreamId t = 0; t < all_.size(); ++t) {
-        const EndpointState l = wanted(now, t);
-        if (t >= shown_.size()) shown_.resize(t + 1);
-        EndpointState& was = shown_[t];
-        if (l.phase == EndpointPhase::gone && was.phase == EndpointPhase::gone) continue;
-        const bool same = l.id == was.id && l.phase == was.phase && l.started == was.started &&
-                          l.zone == was.zone && l.cell == was.cell && l.kind == was.kind;
-        // What is whole again is shown as whole, however little was missing.
-        const bool near =
-            std::abs(l.size - was.size) <= worth_showing * was.size && l.size != all_[t].real.size;
-        if (same && (near || l.size == was.size)) continue;
-        was = l;
-        out.push_back(l);
+    if (config_.subset) update_subset(now, reduction);
+    mostly_warm_ = is_mostly_warm(now);
+    if (shown_.size() < endpoints_.size()) shown_.resize(endpoints_.size());
+    std::vector<EndpointState> changes;
+    for (UpstreamId upstream = 0; upstream < endpoints_.size(); ++upstream) {
+        const EndpointState next = wanted(now, upstream);
+        EndpointState& shown = shown_[upstream];
+        if (next.phase == EndpointPhase::gone && shown.phase == EndpointPhase::gone) continue;
+        if (!differs_visibly(next, shown, upstream)) continue;
+        shown = next;
+        changes.push_back(next);
     }
-    return out;
+    return changes;
 }
 
 bool EndpointView::due(const Reduction& reduction) const
 {
     if (due_ || !config_.subset) return due_;
-    for (UpstreamId t = 0; t < shown_.size(); ++t)
-        if (shown_[t].phase == EndpointPhase::ready && reduction(t) <= 0) return false;
+    for (UpstreamId upstream = 0; upstream < shown_.size(); ++upstream)
+        if (shown_[upstream].phase == EndpointPhase::ready && reduction(upstream) <= 0) return false;
     return !shown_.empty();
 }
 
+bool EndpointView::shows(UpstreamId upstream) const
+{
+    return upstream < shown_.size() && shown_[upstream].phase != EndpointPhase::gone;
+}
+
 double EndpointView::shown_share() const
 {
     double shown = 0, listed = 0;
-    for (UpstreamId t = 0; t < all_.size(); ++t) {
-        if (choosable_[t].size <= 0) continue;
+    for (UpstreamId upstream = 0; upstream < endpoints_.size(); ++upstream) {
+        if (candidates_[upstream].size <= 0) continue;
         listed += 1;
-        shown += t < parts_.size() ? parts_[t] : 0;
+        shown += upstream < subset_.size() ? subset_[upstream] : 0;
     }
     return config_.subset && listed > 0 && shown > 0 ? shown / listed : 1;
 }
 
-bool EndpointView::take_from_budget(Point now, BudgetName name)
+// ---- the subset ----
+
+SubsetWeights EndpointView::choose_subset(double widening) const
 {
-    if (!config_.turns || config_.turns->total_of(name) <= 0) return true;
-    ++asked_.try_emplace(name).first->second;
-    const auto at = budgets_.find(name);
-    return at != budgets_.end() && buckets_[name].take(now, at->second);
+    return choose(*config_.subset, peers_, config_.self, candidates_, widening);
+}
+
+bool EndpointView::is_whole_list() const
+{
+    for (size_t i = 0; i < candidates_.size(); ++i)
+        if (candidates_[i].size > 0 && subset_[i] <= whole) return false;
+    return true;
+}
+
+// By sizes, and by what upstreams in slow start can do by now.
+double EndpointView::free_share(Point now, const SubsetWeights& subset, const Reduction& reduction) const
+{
+    double all = 0, free = 0;
+    bool any_unreduced = false;
+    for (UpstreamId upstream = 0; upstream < subset.size(); ++upstream) {
+        if (subset[upstream] <= 0) continue;
+        const Endpoint& endpoint = endpoints_[upstream];
+        const double size = subset[upstream] * candidates_[upstream].size;
+        all += size;
+        if (endpoint.real.phase != EndpointPhase::ready) continue;
+        const double own = reduction(upstream);
+        any_unreduced = any_unreduced || own <= 0;
+        const bool warming = is_warming(now, endpoint.real);
+        const double able = warming ? capacity_growth(now, endpoint.real) * config_.cold_share : 1;
+        free += size * (1 - std::max(own, endpoint.verdict_reduction)) * able;
+    }
+    return any_unreduced && all > 0 ? free / all : 0;
+}
+
+void EndpointView::update_subset(Point now, const Reduction& reduction)
+{
+    if (std::exchange(subset_outdated_, false)) {
+        subset_ = choose_subset(subset_size_.widening());
+        if (subset_size_.steps() > 0) narrower_subset_ = choose_subset(subset_size_.widening() / 2);
+    }
+    for (;;) {
+        const double free = free_share(now, subset_, reduction);
+        const double narrower_free =
+            subset_size_.steps() > 0 ? free_share(now, narrower_subset_, reduction) : 0;
+        const double before = subset_size_.widening();
+        if (!subset_size_.adjust(now, free, narrower_free, is_whole_list())) return;
+        subset_ = choose_subset(subset_size_.widening());
+        narrower_subset_ = choose_subset(subset_size_.widening() / 2);
+        if (subset_size_.widening() < before) return;
+    }
 }
 
-bool EndpointView::take_from_slow_start_budget(Point now, UpstreamId upstream_id)
+// ---- what the fleet is told ----
+
+// The mean of all at first, and of the last ten seconds later: weights of the subset must not be chance.
+void EndpointView::update_rate(Point now, double elapsed)
 {
-    if (upstream_id >= shown_.size() || !is_cold(now, shown_[upstream_id])) return true;
-    due_ = true;  // until its next turn it is not shown
-    const BudgetName name{Budget::cold, shown_[upstream_id].id};
-    if (!config_.turns || config_.turns->total_of(name) <= 0) return true;
-    const QuotaLease* own = part_of(now, name, shown_[upstream_id]);
-    return own && buckets_[name].take(now, *own);
+    constexpr double min_elapsed = 0.01;
+    if (rate_since_.us == 0) rate_since_ = now - Span{static_cast<int64_t>(elapsed * 1e6)};
+    const double total = std::max(elapsed, (now - rate_since_).seconds());
+    const double gain = std::max(elapsed / rate_window.seconds(), elapsed / total);
+    total_requests_ += requests_;
+    const double rate = std::exchange(requests_, 0) / std::max(min_elapsed, elapsed);
+    rate_ += gain * (rate - rate_);
 }
 
-std::optional<LocalObservations> EndpointView::observe(Point now, const Reduction& reduction, const Out& out)
-{
-    if (now - observed_ < observe_every) return {};
-    const double since = std::min(1.0, (now - std::exchange(observed_, now)).seconds());
-    // The mean of all at first, and of the last ten seconds later. Guards against weights that are chance.
-    if (counts_from_.us == 0) counts_from_ = now - Span{static_cast<int64_t>(since * 1e6)};
-    const double gain =
-        std::max(since / rate_over.seconds(), since / std::max(since, (now - counts_from_).seconds()));
-    came_ += arrived_;
-    rate_ += gain * (std::exchange(arrived_, 0) / std::max(0.01, since) - rate_);
-    LocalObservations o;
-    if (came_ >= least_counted) o.rate = rate_;
-    o.asked = std::exchange(asked_, {});
-    o.widening = width_.steps();
-    for (UpstreamId t = 0; t < all_.size(); ++t) {
-        One& one = all_[t];
-        if (one.real.phase == EndpointPhase::gone) continue;
-        ++o.listed;
-        if (config_.subset && !(t < parts_.size() && parts_[t] > 0)) continue;
-        ++o.shown;
-        OutlierEvidence e{one.real.id,
-                          reduction(t),
-                          one.well[0] + one.well[1],
-                          one.bad[0] + one.bad[1],
-                          now - one.bad_at,
-                          now - one.well_at,
-                          {}};
-        // Whoever holds work and gives none back is found out by that, not by an answer.
-        if (e.reduction >= 0.5 && e.well + e.bad == 0 && out(t)) e.bad = 1, e.age = {};
-        const BudgetName cold{Budget::cold, one.real.id};
-        if (t < shown_.size() && is_cold(now, shown_[t]) && config_.turns &&
-            config_.turns->total_of(cold) > 0)
-            ++o.asked[cold];
-        if (is_cold(now, one.real)) e.started = now - *one.real.started;
-        if (e.reduction > 0 || e.well > 0 || e.bad > 0 || e.started) o.evidence.push_back(e);
+OutlierEvidence EndpointView::evidence_of(Point now, UpstreamId upstream, const Reduction& reduction,
+                                          const InFlight& in_flight) const
+{
+    const Endpoint& endpoint = endpoints_[upstream];
+    OutlierEvidence evidence;
+    evidence.upstream = endpoint.real.id;
+    evidence.reduction = reduction(upstream);
+    evidence.well = endpoint.well.total();
+    evidence.bad = endpoint.bad.total();
+    evidence.age = now - endpoint.last_bad;
+    evidence.well_age = now - endpoint.last_well;
+    // An upstream that holds work and gives none back is found out by that, not by an answer.
+    const bool is_silent = evidence.well + evidence.bad == 0;
+    if (evidence.reduction >= stalled_reduction && is_silent && in_flight(upstream)) {
+        evidence.bad = 1;
+        evidence.age = {};
     }
-    if (now - second_ >= seconds(1)) {
-        second_ = now;
-        for (One& one : all_)
-            one.well[1] = std::exchange(one.well[0], 0), one.bad[1] = std::exchange(one.bad[0], 0);
+    if (is_warming(now, endpoint.real)) evidence.started = now - *endpoint.real.started;
+    return evidence;
+}
+
+void EndpointView::observe_endpoint(Point now, UpstreamId upstream, const OutlierEvidence& evidence,
+                                    LocalObservations& observations) const
+{
+    const BudgetName slow_start{Budget::cold, endpoints_[upstream].real.id};
+    const bool shown_warming = upstream < shown_.size() && is_warming(now, shown_[upstream]);
+    if (shown_warming && has_budget(slow_start)) ++observations.asked[slow_start];
+    if (evidence.reduction > 0 || evidence.well > 0 || evidence.bad > 0 || evidence.started)
+        observations.evidence.push_back(evidence);
+}
+
+void EndpointView::rotate_answer_counts(Point now)
+{
+    if (now - last_rotation_ < seconds(1)) return;
+    last_rotation_ = now;
+    for (Endpoint& endpoint : endpoints_) {
+        endpoint.well.rotate();
+        endpoint.bad.rotate();
+    }
+}
+
+std::optional<LocalObservations> EndpointView::observe(Point now, const Reduction& reduction,
+                                                       const InFlight& in_flight)
+{
+    if (now - last_observation_ < observation_interval) return {};
+    update_rate(now, std::min(1.0, (now - std::exchange(last_observation_, now)).seconds()));
+    LocalObservations observations;
+    if (total_requests_ >= min_counted_requests) observations.rate = rate_;
+    observations.asked = std::exchange(asked_, {});
+    observations.widening = subset_size_.steps();
+    for (UpstreamId upstream = 0; upstream < endpoints_.size(); ++upstream) {
+        if (endpoints_[upstream].real.phase == EndpointPhase::gone) continue;
+        ++observations.listed;
+        if (config_.subset && subset_weight(upstream) <= 0) continue;
+        ++observations.shown;
+        observe_endpoint(now, upstream, evidence_of(now, upstream, reduction, in_flight), observations);
     }
-    return o;
+    rotate_answer_counts(now);
+    return observations;
 }
 
 }  // namespace firtide::fleet
--- a/src/fleet/endpoints/endpoint_view.h
+++ b/src/fleet/endpoints/endpoint_view.h
@@ -1,13 +1,15 @@
-// What the decision module of one balancer is shown of the upstreams, so that the choices of many add up: its
-// subset of the list, sizes by what other balancers tell, cold ones by its part of their budget. Off without
-// a fleet. No I/O, no clock.
+// What the decision module of one balancer is shown of the upstreams, so that the choices of many balancers
+// add up: its subset of the list, sizes by what other balancers report, upstreams in slow start by its quota
+// of their budget. Off without a fleet. No I/O, no clock of its own.
 //
-// The module picks, retries and refuses as it does alone, from what it is shown here.
+// The module picks, retries and rejects as it does alone, from what it is shown here.
 #pragma once
 
+#include <array>
 #include <functional>
 #include <map>
 #include <optional>
+#include <string>
 #include <vector>
 
 #include "src/balance/balancer.h"
@@ -19,18 +21,18 @@
 namespace firtide::fleet
 {
 
-// What a balancer tells its fleet of itself, again and again.
+// What a balancer tells its fleet of itself, several times a second.
 struct LocalObservations {
-    double rate = 0;  // invocations a second
+    double rate = 0;  // requests a second; zero: too few to say
     std::vector<OutlierEvidence> evidence;
-    std::map<BudgetName, uint32_t> asked;  // since the last one
-    // For the management address.
-    size_t shown = 0, listed = 0;
-    uint32_t widening = 0;
-    std::map<uint64_t, std::string> names;  // of upstreams
-    // For what it remembers over its own end, and of its return.
+    std::map<BudgetName, uint32_t> asked;  // of each budget, since the last observations
+    // For show-fleet.
+    size_t shown = 0, listed = 0;           // upstreams
+    uint32_t widening = 0;                  // steps
+    std::map<uint64_t, std::string> names;  // of upstreams, by the hash of their uids
+    // For the snapshot, and show-recovery.
     double accepted = 0, size = 0;
-    uint32_t sharers = 0;  // zero: those that are alive
+    uint32_t sharers = 0;  // balancers; zero: those that are alive
     std::vector<PersistedReduction> reductions;
     std::vector<std::string> open, recovery;
 };
@@ -43,75 +45,103 @@
         std::optional<OutlierGossipConfig> signals;
         std::optional<QuotaConfig> turns;
         MemberKey self = 0;
-        uint32_t zone = 0;  // as the list numbers them
-        Span cold;          // how long an upstream is, and what it can do at first, as a part
-        double cold_share = 0.1;
+        uint32_t zone = 0;        // as the list numbers them
+        Span cold;                // duration of the slow start,
+        double cold_share = 0.1;  // and the share of its capacity that an upstream has at first
     };
-    explicit EndpointView(Config rules);
+    explicit EndpointView(Config config);
 
-    // The list as discovery has it, by place; gone ones too.
+    // The list as discovery has it, by place; also those that are gone.
     void set_endpoints(const std::vector<EndpointState>& all);
-    void set_peers(std::vector<SubsetPeer> sharers);
-    void apply_verdicts(Point now, const std::map<uint64_t, OutlierGossip::Verdict>& results);
-    void set_quotas(Point now, const std::vector<QuotaLease>& parts);
-    // Reductions from before the start, while they last.
+    void set_peers(std::vector<SubsetPeer> peers);
+    void apply_verdicts(Point now, const std::map<uint64_t, OutlierGossip::Verdict>& verdicts);
+    void set_quotas(Point now, const std::vector<QuotaLease>& leases);
+    // Reductions from before the start, for as long as they last.
     void restore_reductions(Point now, const std::vector<PersistedReduction>& reductions);
-    void record_answer(Point now, UpstreamId upstream_id, bool well);
-    void count_request() { ++arrived_; }
+    void record_answer(Point now, UpstreamId upstream, bool success);
+    void count_request() { ++requests_; }
 
-    // Where the module's own entry for an upstream stands, and whether something is out to it.
+    // The module's own entry for an upstream, and whether something is in flight to it.
     using Reduction = std::function<double(UpstreamId)>;
-    using Out = std::function<bool(UpstreamId)>;
-    // What the module has to be shown anew. Guards against refusing while an upstream beyond the subset
-    // carries no reduction: it is widened before.
-    std::vector<EndpointState> update(Point now, const Reduction& reduction);
-    // Whether that cannot wait for the next tick.
-    bool due(const Reduction& reduction) const;
-    bool shows(UpstreamId upstream_id) const
-    {
-        return upstream_id < shown_.size() && shown_[upstream_id].phase != EndpointPhase::gone;
-    }
-    double shown_share() const;  // of the listed
-
-    // The gate of budgets. True where there is none of that name.
-    bool take_from_budget(Point now, BudgetName name);
-    bool take_from_slow_start_budget(Point now, UpstreamId upstream_id);
-    std::optional<LocalObservations> observe(Point now, const Reduction& reduction, const Out& out);
+    using InFlight = std::function<bool(UpstreamId)>;
+
+    // What the module has to be shown anew. The subset is widened before the module would reject requests
+    // while an upstream beyond it carries no reduction.
+    [[nodiscard]] std::vector<EndpointState> update(Point now, const Reduction& reduction);
+    // Whether that can't wait for the next tick.
+    [[nodiscard]] bool due(const Reduction& reduction) const;
+    [[nodiscard]] bool shows(UpstreamId upstream) const;
+    // Of the listed upstreams.
+    [[nodiscard]] double shown_share() const;
+
+    // Take a token of a budget; true where there is no such budget.
+    [[nodiscard]] bool take_from_budget(Point now, BudgetName name);
+    [[nodiscard]] bool take_from_slow_start_budget(Point now, UpstreamId upstream);
+
+    // Nothing where the last observations are recent.
+    [[nodiscard]] std::optional<LocalObservations> observe(Point now, const Reduction& reduction,
+                                                           const InFlight& in_flight);
 
   private:
-    struct One {
+    // Answers of the present second and the one before.
+    struct AnswerCount {
+        std::array<uint32_t, 2> seconds{};
+
+        uint32_t total() const { return seconds[0] + seconds[1]; }
+        void rotate() { seconds = {0, seconds[0]}; }
+    };
+    struct Endpoint {
         EndpointState real;
-        double verdict_reduction = 0, factor = 1;  // of its size: down at once, back by doublings
-        Point factor_at;
-        std::optional<Point> told_start;
-        uint32_t well[2] = {0, 0}, bad[2] = {0, 0};  // this second's and the last one's
-        Point bad_at, well_at;
+        double verdict_reduction = 0;
+        double size_factor = 1;  // down at once, back by doublings
+        Point size_factor_at;
+        std::optional<Point> reported_start;
+        AnswerCount well, bad;
+        Point last_well, last_bad;
+    };
+    struct RestoredReduction {
+        double reduction = 0;
+        Point until;
     };
 
-    bool is_cold(Point now, const EndpointState& l) const;
-    double warmth(Point now, const EndpointState& l) const;
-    const QuotaLease* part_of(Point now, BudgetName name, const EndpointState& l);
-    double factor(Point now, One& one) const;
-    EndpointState wanted(Point now, UpstreamId upstream_id);
-    void widen(Point now, const Reduction& reduction);
-    double free_of(Point now, const SubsetWeights& parts, const Reduction& reduction) const;
+    bool is_warming(Point now, const EndpointState& endpoint) const;
+    double capacity_growth(Point now, const EndpointState& endpoint) const;
+    bool has_budget(BudgetName name) const { return config_.turns && config_.turns->total_of(name) > 0; }
+    std::optional<QuotaLease> slow_start_quota(Point now, const EndpointState& endpoint) const;
+    double update_size_factor(Point now, Endpoint& endpoint) const;
+    double subset_weight(UpstreamId upstream) const;
+    EndpointState wanted(Point now, UpstreamId upstream);
+    void limit_slow_start(Point now, EndpointState& state);
+    bool differs_visibly(const EndpointState& next, const EndpointState& shown, UpstreamId upstream) const;
+    bool is_mostly_warm(Point now) const;
+
+    SubsetWeights choose_subset(double widening) const;
+    void update_subset(Point now, const Reduction& reduction);
+    bool is_whole_list() const;
+    double free_share(Point now, const SubsetWeights& subset, const Reduction& reduction) const;
+
+    void update_rate(Point now, double elapsed);
+    OutlierEvidence evidence_of(Point now, UpstreamId upstream, const Reduction& reduction,
+                                const InFlight& in_flight) const;
+    void observe_endpoint(Point now, UpstreamId upstream, const OutlierEvidence& evidence,
+                          LocalObservations& observations) const;
+    void rotate_answer_counts(Point now);
 
     const Config config_;
-    std::vector<One> all_;
-    std::vector<SubsetCandidate> choosable_;
-    std::vector<SubsetPeer> sharers_;
-    std::vector<EndpointState> shown_;
-    SubsetWeights parts_, narrower_;
-    SubsetSize width_;
-    bool dirty_ = true, due_ = true, mostly_warm_ = true;
-    std::map<uint64_t, std::pair<double, Point>> recalled_;
-    std::map<BudgetName, QuotaLease> budgets_;
-    QuotaLease scaled_;
+    std::vector<Endpoint> endpoints_;  // by place
+    std::vector<SubsetCandidate> candidates_;
+    std::vector<SubsetPeer> peers_;
+    std::vector<EndpointState> shown_;  // to the module
+    SubsetWeights subset_, narrower_subset_;
+    SubsetSize subset_size_;
+    bool subset_outdated_ = true, due_ = true, mostly_warm_ = true;
+    std::map<uint64_t, RestoredReduction> restored_;
+    std::map<BudgetName, QuotaLease> quotas_;
     std::map<BudgetName, TokenBucket> buckets_;
     std::map<BudgetName, uint32_t> asked_;
-    uint32_t arrived_ = 0;
-    double rate_ = 0, came_ = 0;  // invocations; in all
-    Point observed_, second_, counts_from_;
+    uint32_t requests_ = 0;  // since the last observations
+    double rate_ = 0, total_requests_ = 0;
+    Point last_observation_, last_rotation_, rate_since_;
 };
 
 }  // namespace firtide::fleet
--- a/src/fleet/endpoints/subset.cpp
+++ b/src/fleet/endpoints/subset.cpp
@@ -3,96 +3,122 @@
 #include <xxhash.h>
 
 #include <algorithm>
-#include <cmath>
+#include <utility>
 
 namespace firtide::fleet
 {
 namespace
 {
 
-constexpr double least_part = 0.1;     // less of an upstream is not worth its connections
-constexpr double least_weight = 0.05;  // of the mean: whoever is idle still has a place
+constexpr double min_weight = 0.1;        // of an upstream, to be used at all
+constexpr double min_peer_weight = 0.05;  // of the mean
 constexpr double enough_free = 0.6, plenty_free = 0.8;
-constexpr uint32_t most_steps = 16;
-constexpr Span between_steps = seconds(0.2);
+constexpr uint32_t max_steps = 16;
+constexpr Span step_interval = seconds(0.2);
+constexpr uint64_t ring_seed = 7;
 
-uint64_t mixed(uint64_t id) { return XXH3_64bits_withSeed(&id, sizeof id, 7); }
+uint64_t ring_position(uint64_t id) { return XXH3_64bits_withSeed(&id, sizeof id, ring_seed); }
 
-// An arc of a ring on which each upstream has its size. Arcs begin where the weights before them end, so
-// whatever the weights, each point is covered by the same weight.
-template <class InRing, class Shares>
-void arc(SubsetWeights& into, const std::vector<SubsetPeer>& sharers, MemberKey self,
-         const std::vector<SubsetCandidate>& upstreams, double wanted, InRing in_ring, Shares shares)
+// A ring on which each upstream takes up its size, in the order of hashed ids.
+struct Ring {
+    std::vector<std::pair<uint64_t, size_t>> order;  // position, place in the list
+    double length = 0;
+};
+
+template <class Included>
+Ring ring_of(const std::vector<SubsetCandidate>& candidates, Included included)
 {
-    std::vector<std::pair<uint64_t, size_t>> ring;
-    double around = 0;
-    for (size_t i = 0; i < upstreams.size(); ++i)
-        if (upstreams[i].size > 0 && in_ring(upstreams[i]))
-            ring.emplace_back(mixed(upstreams[i].id), i), around += upstreams[i].size;
-    if (ring.empty()) return;
-    std::sort(ring.begin(), ring.end());
+    Ring ring;
+    for (size_t i = 0; i < candidates.size(); ++i) {
+        if (candidates[i].size <= 0 || !included(candidates[i])) continue;
+        ring.order.emplace_back(ring_position(candidates[i].id), i);
+        ring.length += candidates[i].size;
+    }
+    std::sort(ring.order.begin(), ring.order.end());
+    return ring;
+}
 
-    std::vector<std::pair<uint64_t, double>> before;
-    double mean = 0, all = 0, own = 0;
-    for (const SubsetPeer& s : sharers)
-        if (shares(s)) before.emplace_back(mixed(s.key), s.weight), mean += s.weight;
-    if (before.empty()) before.emplace_back(mixed(self), 1), mean = 1;
-    mean /= static_cast<double>(before.size());
-    std::sort(before.begin(), before.end());
-    for (const auto& [at, weight] : before) {
-        const double w = mean > 0 ? std::max(weight, least_weight * mean) : 1;
-        if (at < mixed(self)) own += w;
-        all += w;
+// Where a balancer's arc begins, as a share of the ring: where the weights of the peers before it end. So
+// whatever the weights, each point of the ring is covered by the same weight.
+template <class Included>
+double arc_start(const std::vector<SubsetPeer>& peers, MemberKey self, Included included)
+{
+    std::vector<std::pair<uint64_t, double>> order;  // position, weight
+    double sum = 0;
+    for (const SubsetPeer& peer : peers) {
+        if (!included(peer)) continue;
+        order.emplace_back(ring_position(peer.key), peer.weight);
+        sum += peer.weight;
     }
-    const double from = own / all * around;
-    const double length = std::min(1.0, wanted / static_cast<double>(ring.size())) * around;
+    if (order.empty()) return 0;
+    const double mean = sum / static_cast<double>(order.size());
+    std::sort(order.begin(), order.end());
+    double all = 0, before = 0;
+    for (const auto& [position, peer_weight] : order) {
+        const double weight = mean > 0 ? std::max(peer_weight, min_peer_weight * mean) : 1;
+        if (position < ring_position(self)) before += weight;
+        all += weight;
+    }
+    return before / all;
+}
+
+// Adds the upstreams under an arc that holds so many upstreams of middling size.
+void cover(SubsetWeights& weights, const Ring& ring, const std::vector<SubsetCandidate>& candidates,
+           double start, double wanted)
+{
+    if (ring.order.empty()) return;
+    const double from = start * ring.length;
+    const double arc = std::min(1.0, wanted / static_cast<double>(ring.order.size())) * ring.length;
     double at = 0;
-    for (const auto& [hash, i] : ring) {
-        const double size = upstreams[i].size;
+    for (const auto& [position, place] : ring.order) {
+        const double size = candidates[place].size;
         double covered = 0;
         // The arc may go past the end of the ring, and on from its beginning.
-        for (const double turn : {0.0, around})
-            covered += std::max(0.0, std::min(at + size + turn, from + length) - std::max(at + turn, from));
-        const double part = std::min(1.0, covered / size);
-        if (part >= least_part) into[i] = std::max(into[i], part);
+        for (const double turn : {0.0, ring.length})
+            covered += std::max(0.0, std::min(at + size + turn, from + arc) - std::max(at + turn, from));
+        const double weight = std::min(1.0, covered / size);
+        if (weight >= min_weight) weights[place] = std::max(weights[place], weight);
         at += size;
     }
 }
 
 }  // namespace
 
-SubsetWeights choose(const SubsetConfig& config, const std::vector<SubsetPeer>& sharers, MemberKey self,
-                     const std::vector<SubsetCandidate>& upstreams, double widening)
+SubsetWeights choose(const SubsetConfig& config, const std::vector<SubsetPeer>& peers, MemberKey self,
+                     const std::vector<SubsetCandidate>& candidates, double widening)
 {
-    SubsetWeights parts(upstreams.size(), 0);
+    const auto any = [](const auto&) { return true; };
+    const auto in_own_zone = [](const auto& each) { return each.own_zone; };
+    const auto beyond = [](const auto& each) { return !each.own_zone; };
+    SubsetWeights weights(candidates.size(), 0);
     if (!config.zones) {
-        arc(
-            parts, sharers, self, upstreams, config.size * widening, [](const auto&) { return true; },
-            [](const auto&) { return true; });
-        return parts;
+        cover(weights, ring_of(candidates, any), candidates, arc_start(peers, self, any),
+              config.size * widening);
+        return weights;
     }
-    arc(
-        parts, sharers, self, upstreams, config.size * widening, [](const auto& u) { return u.own_zone; },
-        [](const auto& s) { return s.own_zone; });
-    arc(
-        parts, sharers, self, upstreams, config.beyond * widening, [](const auto& u) { return !u.own_zone; },
-        [](const auto&) { return true; });
-    return parts;
+    cover(weights, ring_of(candidates, in_own_zone), candidates, arc_start(peers, self, in_own_zone),
+          config.size * widening);
+    cover(weights, ring_of(candidates, beyond), candidates, arc_start(peers, self, any),
+          config.beyond * widening);
+    return weights;
 }
 
-bool SubsetSize::look(Point now, double free, double narrower, bool whole)
+// At once where nothing is free; else one step has to show first whether it is enough.
+bool SubsetSize::widen(Point now, double free)
 {
-    if (free < enough_free && !whole && steps_ < most_steps) {
-        // At once where nothing is free; else one step has to show first whether it is enough.
-        if (free > 0 && steps_ > 0 && now - needed_ < between_steps) return false;
-        needed_ = now;
-        ++steps_;
-        return true;
-    }
-    // Guards against going to and fro: only to where it will not have to widen again.
-    if (narrower < plenty_free) needed_ = now;
-    if (steps_ == 0 || now - needed_ < narrow_) return false;
-    needed_ = now;
+    if (free > 0 && steps_ > 0 && now - last_needed_ < step_interval) return false;
+    last_needed_ = now;
+    ++steps_;
+    return true;
+}
+
+bool SubsetSize::adjust(Point now, double free, double narrower_free, bool is_whole_list)
+{
+    if (free < enough_free && !is_whole_list && steps_ < max_steps) return widen(now, free);
+    // Only to where it will not have to widen again.
+    if (narrower_free < plenty_free) last_needed_ = now;
+    if (steps_ == 0 || now - last_needed_ < narrow_after_) return false;
+    last_needed_ = now;
     --steps_;
     return true;
 }
--- a/src/fleet/endpoints/subset.h
+++ b/src/fleet/endpoints/subset.h
@@ -11,7 +11,8 @@
 namespace firtide::fleet
 {
 
-struct SubsetPeer {  // a balancer that is there
+// A balancer that shares the upstreams.
+struct SubsetPeer {
     MemberKey key = 0;
     bool own_zone = false;
     double weight = 1;  // of its traffic
@@ -19,36 +20,41 @@
     bool operator==(const SubsetPeer&) const = default;
 };
 
-struct SubsetCandidate {  // an upstream, at its place
-    uint64_t id = 0;      // the same at every balancer
-    double size = 1;      // zero: not there
+// An upstream, at its place in the list.
+struct SubsetCandidate {
+    uint64_t id = 0;  // the same at every balancer
+    double size = 1;  // zero: not there
     bool own_zone = false;
 };
 
-// How much of each is used: 0 to 1.
+// How much of each candidate is used: 0 to 1.
 using SubsetWeights = std::vector<double>;
 
-// wider: times the arc. The same sharers and upstreams at every balancer make all parts of one upstream add
-// up to the same, by sizes and weights.
-SubsetWeights choose(const SubsetConfig& config, const std::vector<SubsetPeer>& sharers, MemberKey self,
-                     const std::vector<SubsetCandidate>& upstreams, double widening);
+// The subset of one balancer, `widening` times as wide as configured. With the same peers and candidates at
+// every balancer, all weights of one upstream add up to the same, by sizes and weights.
+SubsetWeights choose(const SubsetConfig& config, const std::vector<SubsetPeer>& peers, MemberKey self,
+                     const std::vector<SubsetCandidate>& candidates, double widening);
 
-// How wide the arc is. It widens at once where too little in it can be used, and narrows slowly.
+// How wide the subset is. It widens at once where too little in it can be used, and narrows slowly.
 class SubsetSize
 {
   public:
-    explicit SubsetSize(Span narrow) : narrow_(narrow) {}
+    // `narrow_after`: without need at the present width, one step back.
+    explicit SubsetSize(Span narrow_after) : narrow_after_(narrow_after) {}
 
-    double widening() const { return static_cast<double>(1u << steps_); }
-    uint32_t steps() const { return steps_; }
-    // free: of the arc, the part that carries no reduction; narrower: the same of the next narrower one;
-    // whole: the arc is all there is. True: it changed.
-    bool look(Point now, double free, double narrower, bool whole);
+    [[nodiscard]] double widening() const { return static_cast<double>(1U << steps_); }
+    [[nodiscard]] uint32_t steps() const { return steps_; }
+    // `free`: the share of the subset that carries no reduction; `narrower_free`: the same of the next
+    // narrower one; `is_whole_list`: there is nothing beyond the subset. Returns whether the size has
+    // changed.
+    [[nodiscard]] bool adjust(Point now, double free, double narrower_free, bool is_whole_list);
 
   private:
-    const Span narrow_;
+    bool widen(Point now, double free);
+
+    const Span narrow_after_;
     uint32_t steps_ = 0;
-    Point needed_;
+    Point last_needed_;
 };
 
 }  // namespace firtide::fleet
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -125,10 +125,10 @@
 
 void Fleet::on(const AdminRequest& request)
 {
-    if (request.name == "show-fleet") return context_.reply(request.caller, status(request.traffic));
-    if (request.name == "show-recovery") return context_.reply(request.caller, snapshots_.status());
-    if (request.name == "turn") return duties_.request_drain_permit(request.caller);
-    if (request.name == "turn-over") return duties_.return_drain_permit();
+    if (request.name == show_fleet) return context_.reply(request.caller, status(request.traffic));
+    if (request.name == show_recovery) return context_.reply(request.caller, snapshots_.status());
+    if (request.name == request_drain_permit) return duties_.request_drain_permit(request.caller);
+    if (request.name == return_drain_permit) return duties_.return_drain_permit();
     admin_.on_request(request, leader_key());
 }
 
--- a/src/fleet/fleet_events.h
+++ b/src/fleet/fleet_events.h
@@ -32,7 +32,14 @@
 struct VoterAgentReported {
     VoterAgentEffect effect;
 };
-// A line at the admin address: show-fleet, show-recovery, hand-over, let-in, put-out, turn, turn-over.
+// Names of AdminRequests that are not sent to other members.
+inline constexpr const char* show_fleet = "show-fleet";
+inline constexpr const char* show_recovery = "show-recovery";
+inline constexpr const char* request_drain_permit = "drain-permit";
+inline constexpr const char* return_drain_permit = "return-drain-permit";
+
+// From the admin address: one of those above, or hand-over, let-in and put-out, which go to the leader under these
+// names (see decode_fleet_command for what operators write).
 struct AdminRequest {
     uint64_t caller = 0;
     std::string name, first, second;
--- a/src/fleet/host/commands.cpp
+++ b/src/fleet/host/commands.cpp
@@ -39,7 +39,8 @@
     std::stringstream text;
     if (!file || !(text << file.rdbuf())) throw CannotStart(path + ": cannot be read");
     const auto decoded = decode_member_snapshot(text.str());
-    if (const auto* error = std::get_if<SnapshotError>(&decoded)) throw CannotStart(path + ": " + error->text);
+    if (const auto* error = std::get_if<SnapshotError>(&decoded))
+        throw CannotStart(path + ": " + error->text);
     const auto& m = std::get<MemberSnapshot>(decoded);
     std::printf("the snapshot is whole: member %s of fleet %s, incarnation %llu\n", m.member.c_str(),
                 m.fleet.c_str(), static_cast<unsigned long long>(m.incarnation));
--- a/src/fleet/startup/startup_sequencer.cpp
+++ b/src/fleet/startup/startup_sequencer.cpp
@@ -8,12 +8,34 @@
 namespace
 {
 
-constexpr double warm_threshold = 0.95;
-constexpr double headroom = 1.25;  // over what was accepted before: it was not the most that could be done
-constexpr double min_admitted_share = 0.05;  // so that somebody finds out what can be done
+constexpr double warm_threshold = 0.95;      // of the size of all upstreams
+constexpr double headroom = 1.25;            // over the baseline: it was not the most that could be done
+constexpr double min_admitted_share = 0.05;  // so that it shows what can be done
+constexpr double max_takeover_factor = 3;    // of the own baseline, where other balancers have not come back
+constexpr double reserved_for_value = 0.5;   // of the tokens, for the most valuable operations
+constexpr double empty_list_stages = 4;      // longest times of a stage
 constexpr Span burst_window = seconds(0.25);
 constexpr Span settling_time = seconds(30);
-constexpr double max_takeover_factor = 3;  // of the own rate, where others have not come back
+
+StartupStage next_of(StartupStage stage)
+{
+    return static_cast<StartupStage>(static_cast<uint8_t>(stage) + 1);
+}
+
+std::string milliseconds_of(Span span) { return std::to_string(span.us / 1000); }
+
+// What a stage waits for; null where it waits for nothing.
+const char* awaited_by(StartupStage stage)
+{
+    switch (stage) {
+        case StartupStage::peers: return "waits for half of the members";
+        case StartupStage::voters: return "waits for a majority of the voters";
+        case StartupStage::duties: return "waits until all duties are held";
+        case StartupStage::list: return "waits for a list from discovery, or from who holds it";
+        case StartupStage::warming: return "waits until upstreams are warm";
+        default: return nullptr;
+    }
+}
 
 }  // namespace
 
@@ -33,70 +55,78 @@
 
 void StartupSequencer::start(Point now)
 {
-    started_ = last_refill_ = now;
-    completed_[0].from = now;
+    last_refill_ = now;
+    record_of(StartupStage::disk).from = now;
 }
 
-void StartupSequencer::set_baseline(Point, double rate, uint32_t sharers, double size)
-{
-    baseline_rate_ = rate, baseline_peers_ = sharers, baseline_size_ = size;
-}
+// ---- stages ----
 
 bool StartupSequencer::is_complete(double warm, double listed) const
 {
     switch (stage_) {
         case StartupStage::disk: return true;
-        case StartupStage::peers: return state_.alive * 2 > state_.members;
-        case StartupStage::voters: return state_.majority;
-        case StartupStage::duties: return state_.held >= state_.duties;
+        case StartupStage::peers: return fleet_.alive * 2 > fleet_.members;
+        case StartupStage::voters: return fleet_.majority;
+        case StartupStage::duties: return fleet_.held >= fleet_.duties;
         case StartupStage::list: return list_received_;
         case StartupStage::warming:
-            return list_received_ && listed > 0 && warm >= warm_threshold * std::max(listed, baseline_size_);
+            return list_received_ && listed > 0 && warm >= warm_threshold * std::max(listed, baseline_.size);
         case StartupStage::full: return false;
     }
     return false;
 }
 
-void StartupSequencer::tick(Point now, double warm, double listed, bool list_received)
+void StartupSequencer::advance(Point now, double warm, double listed)
 {
-    list_received_ = list_received_ || list_received;
     while (stage_ != StartupStage::full) {
-        StageRecord& p = completed_[static_cast<size_t>(stage_)];
-        const bool well = is_complete(warm, listed);
-        if (!well && now - p.from < max_duration()) break;
-        p.to = now, p.timed_out = !well;
-        stage_ = static_cast<StartupStage>(static_cast<uint8_t>(stage_) + 1);
-        completed_[static_cast<size_t>(stage_)].from = now;
+        StageRecord& record = record_of(stage_);
+        const bool complete = is_complete(warm, listed);
+        if (!complete && now - record.from < max_duration()) return;
+        record.to = now;
+        record.timed_out = !complete;
+        stage_ = next_of(stage_);
+        record_of(stage_).from = now;
     }
-    // Where nothing is remembered there is nothing to measure by: the module's own limit alone holds.
-    const double whole = std::max(listed, baseline_size_);
-    admitted_share_ =
-        stage_ == StartupStage::full || baseline_rate_ <= 0 || whole <= 0 || warm >= warm_threshold * whole
-            ? 1
-            : std::max(min_admitted_share, warm / whole);
+}
+
+void StartupSequencer::tick(Point now, double warm, double listed, bool list_received)
+{
+    list_received_ = list_received_ || list_received;
+    advance(now, warm, listed);
+    const double total = std::max(listed, baseline_.size);
+    const bool is_limited =
+        stage_ != StartupStage::full && baseline_.rate > 0 && total > 0 && warm < warm_threshold * total;
+    admitted_share_ = is_limited ? std::max(min_admitted_share, warm / total) : 1;
 }
 
 bool StartupSequencer::accepts_empty_list(Point now)
 {
     if (!empty_since_) empty_since_ = now;
-    return now - *empty_since_ > config_.wait * 4;
+    return now - *empty_since_ > config_.wait * empty_list_stages;
+}
+
+// ---- admission ----
+
+double StartupSequencer::admission_rate() const
+{
+    // The balancers that are there have the work of those that are not there yet.
+    double takeover = 1;
+    if (baseline_.peers > 0 && fleet_.alive > 0)
+        takeover = std::clamp(baseline_.peers / static_cast<double>(fleet_.alive), 1.0, max_takeover_factor);
+    // The decision module's own slow start takes its part of what is admitted here: so the root.
+    return baseline_.rate * takeover * std::sqrt(admitted_share_) * headroom;
 }
 
 bool StartupSequencer::admits(Point now, double rank)
 {
     if (admitted_share_ >= 1) return true;
-    // Those that are there have the work of those that are not yet.
-    const double others =
-        baseline_peers_ > 0 && state_.alive > 0
-            ? std::clamp(baseline_peers_ / static_cast<double>(state_.alive), 1.0, max_takeover_factor)
-            : 1;
-    // The module's own rule for cold upstreams takes its part of what is admitted here: so the root.
-    const double rate = baseline_rate_ * others * std::sqrt(admitted_share_) * headroom;
-    const double most = std::max(2.0, rate * burst_window.seconds());
-    tokens_ = std::min(most, tokens_ + rate * std::max(0.0, (now - last_refill_).seconds()));
+    const double rate = admission_rate();
+    const double capacity = std::max(2.0, rate * burst_window.seconds());
+    const double refill = rate * std::max(0.0, (now - last_refill_).seconds());
+    tokens_ = std::min(capacity, tokens_ + refill);
     last_refill_ = now;
     // The less an operation is worth, the more has to be left for the others.
-    if (tokens_ < 1 + rank * 0.5 * (most - 1)) {
+    if (tokens_ < 1 + rank * reserved_for_value * (capacity - 1)) {
         ++rejected_;
         return false;
     }
@@ -104,35 +134,29 @@
     return true;
 }
 
-StartupSequencer::TrafficBaseline StartupSequencer::baseline(Point now, const TrafficBaseline& seen) const
+TrafficBaseline StartupSequencer::next_baseline(Point now, const TrafficBaseline& seen) const
 {
-    const bool full = stage_ == StartupStage::full && now - completed_.back().from >= settling_time;
-    return full || baseline_rate_ <= seen.rate
-               ? seen
-               : TrafficBaseline{baseline_rate_, baseline_size_, static_cast<uint32_t>(baseline_peers_)};
+    const bool has_settled = stage_ == StartupStage::full && now - records_.back().from >= settling_time;
+    return has_settled || baseline_.rate <= seen.rate ? seen : baseline_;
 }
 
+// ---- shown ----
+
 std::vector<std::string> StartupSequencer::status_lines(Point now) const
 {
-    std::vector<std::string> out;
-    const auto ms = [](Span s) { return std::to_string(s.us / 1000); };
-    out.push_back(std::string("stage ") + text_of(stage_) + " since_ms " +
-                  ms(now - completed_[static_cast<size_t>(stage_)].from) + " admitted_percent " +
-                  std::to_string(static_cast<int>(admitted_share_ * 100)) + " turned_away " +
-                  std::to_string(rejected_));
-    for (uint8_t s = 0; s < static_cast<uint8_t>(stage_); ++s)
-        out.push_back(std::string("passed ") + text_of(static_cast<StartupStage>(s)) + " after_ms " +
-                      ms(completed_[s].to - completed_[s].from) +
-                      (completed_[s].timed_out ? " gave up" : ""));
-    const char* waits = stage_ == StartupStage::peers    ? "waits for half of the members"
-                        : stage_ == StartupStage::voters ? "waits for a majority of the voters"
-                        : stage_ == StartupStage::duties ? "waits until all duties are held"
-                        : stage_ == StartupStage::list
-                            ? "waits for a list from discovery, or from who holds it"
-                        : stage_ == StartupStage::warming ? "waits until upstreams are warm"
-                                                          : nullptr;
-    if (waits) out.push_back(std::string(waits) + ", no longer than " + ms(max_duration()) + " ms");
-    return out;
+    std::vector<std::string> lines;
+    lines.push_back(std::string("stage ") + text_of(stage_) + " since_ms " +
+                    milliseconds_of(now - record_of(stage_).from) + " admitted_percent " +
+                    std::to_string(static_cast<int>(admitted_share_ * 100)) + " turned_away " +
+                    std::to_string(rejected_));
+    for (StartupStage stage = StartupStage::disk; stage < stage_; stage = next_of(stage)) {
+        const StageRecord& record = record_of(stage);
+        lines.push_back(std::string("passed ") + text_of(stage) + " after_ms " +
+                        milliseconds_of(record.to - record.from) + (record.timed_out ? " gave up" : ""));
+    }
+    if (const char* awaited = awaited_by(stage_))
+        lines.push_back(std::string(awaited) + ", no longer than " + milliseconds_of(max_duration()) + " ms");
+    return lines;
 }
 
 }  // namespace firtide::fleet
--- a/src/fleet/startup/startup_sequencer.h
+++ b/src/fleet/startup/startup_sequencer.h
@@ -1,9 +1,9 @@
-// The return of a member to service: stages in a stated order, and how much is admitted meanwhile. No I/O, no
-// clock.
+// The start of a member: stages in a stated order, and how much work is admitted meanwhile. No I/O, no clock
+// of its own.
 //
 // A stage waits only for what the ones before it have brought, or for its longest time; so none waits for
-// something that waits for it. Service goes on beside them as far as a list of upstreams is there: what is
-// admitted grows with what they can do.
+// something that waits for it. Service goes on beside the stages as far as a list of upstreams is there: what
+// is admitted grows with what they can do. See docs/recovery.md.
 #pragma once
 
 #include <array>
@@ -11,6 +11,7 @@
 #include <string>
 #include <vector>
 
+#include "src/base/time.h"
 #include "src/fleet/shared_choices_config.h"
 
 namespace firtide::fleet
@@ -19,57 +20,75 @@
 enum class StartupStage : uint8_t { disk, peers, voters, duties, list, warming, full };
 const char* text_of(StartupStage stage);
 
+// What a member knows of its fleet, as the stages wait for it.
 struct FleetState {
     size_t members = 1, alive = 1;
-    bool majority = false;
+    bool majority = false;  // of the voters confirms this member's lease
     size_t duties = 0, held = 0;
 };
 
+// The usual traffic, which a start measures by.
+struct TrafficBaseline {
+    double rate = 0;     // requests a second that were accepted and succeeded
+    double size = 0;     // of all upstreams together
+    uint32_t peers = 0;  // balancers that shared them
+};
+
 class StartupSequencer
 {
   public:
     explicit StartupSequencer(const StartupConfig& config) : config_(config) {}
 
     void start(Point now);
-    // What was accepted a second before, by so many balancers, and the size of all upstreams then.
-    void set_baseline(Point now, double rate, uint32_t sharers, double size);
-    void set_fleet_state(const FleetState& state) { state_ = state; }
-    // warm: size that listed upstreams can do by now; listed: all of it; told: a list that is no hint.
+    // What was usual before this start. Without it, admission is not limited here.
+    void set_baseline(const TrafficBaseline& baseline) { baseline_ = baseline; }
+    void set_fleet_state(const FleetState& state) { fleet_ = state; }
+    // `warm`: size that the listed upstreams can do by now, of `listed`, all of it. `list_received`: a list
+    // that is no hint.
     void tick(Point now, double warm, double listed, bool list_received);
 
-    // Of one that arrives. rank: 0 for the most valuable operations, up to 1.
-    bool admits(Point now, double rank);
-    double admitted_share() const { return admitted_share_; }  // a part of what was accepted before; 1: all
-    // An empty list is believed over one that is not only once it has stayed so for long.
-    bool accepts_empty_list(Point now);
+    // Whether a request may be accepted now. `rank`: 0 for the most valuable operations, up to 1.
+    [[nodiscard]] bool admits(Point now, double rank);
+    // Of what was accepted before; 1: all of it.
+    [[nodiscard]] double admitted_share() const { return admitted_share_; }
+
+    // An empty list replaces one that is not only once it has stayed empty for long.
+    [[nodiscard]] bool accepts_empty_list(Point now);
     void on_valid_list() { empty_since_.reset(); }
-    // What the next start should measure by: until service has been full for a while, what this one did.
-    // Guards against a second loss that would take the little of a return for the usual.
-    struct TrafficBaseline {
-        double rate = 0, size = 0;
-        uint32_t sharers = 0;
-    };
-    TrafficBaseline baseline(Point now, const TrafficBaseline& seen) const;
-    StartupStage stage() const { return stage_; }
-    bool ready() const { return stage_ > StartupStage::list || list_received_; }
-    std::vector<std::string> status_lines(Point now) const;
+
+    // What the next start should measure by: what this run has seen, once service has been full for a while,
+    // else the baseline of this start. A second loss must not take the little traffic of a start for the
+    // usual.
+    [[nodiscard]] TrafficBaseline next_baseline(Point now, const TrafficBaseline& seen) const;
+
+    [[nodiscard]] StartupStage stage() const { return stage_; }
+    [[nodiscard]] bool ready() const { return stage_ > StartupStage::list || list_received_; }
+    // For show-recovery.
+    [[nodiscard]] std::vector<std::string> status_lines(Point now) const;
 
   private:
+    static constexpr size_t stage_count = static_cast<size_t>(StartupStage::full) + 1;
+
     struct StageRecord {
         Point from, to;
         bool timed_out = false;
     };
+
+    StageRecord& record_of(StartupStage stage) { return records_[static_cast<size_t>(stage)]; }
+    const StageRecord& record_of(StartupStage stage) const { return records_[static_cast<size_t>(stage)]; }
     bool is_complete(double warm, double listed) const;
+    void advance(Point now, double warm, double listed);
     Span max_duration() const { return stage_ == StartupStage::warming ? config_.warm : config_.wait; }
+    double admission_rate() const;
 
     const StartupConfig config_;
-    FleetState state_;
+    FleetState fleet_;
+    TrafficBaseline baseline_;
     StartupStage stage_ = StartupStage::disk;
-    std::array<StageRecord, 7> completed_;
-    Point started_, last_refill_;
+    std::array<StageRecord, stage_count> records_;
+    Point last_refill_;
     std::optional<Point> empty_since_;
     bool list_received_ = false;
-    double baseline_rate_ = 0, baseline_size_ = 0, baseline_peers_ = 0;
     double admitted_share_ = 1, tokens_ = 0;
     uint64_t rejected_ = 0;
 };
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -83,6 +83,14 @@
 
 }  // namespace
 
+Response plain_response(int status, std::string_view text)
+{
+    Response response;
+    response.status = status;
+    response.body = text;
+    return response;
+}
+
 bool same_name(std::string_view a, std::string_view b)
 {
     const auto low = [](char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c; };
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -43,6 +43,9 @@
     std::optional<size_t> length = {};  // of it in all, where it is known and more follows
 };
 
+// An answer of the balancer itself, with a line of text as its body.
+Response plain_response(int status, std::string_view text);
+
 // Why a request was not taken, as the status it is answered with.
 struct RequestError {
     int status = 400;
--- a/src/net/admin_server.cpp
+++ b/src/net/admin_server.cpp
@@ -179,8 +179,8 @@
         at->caller = 0;
         return reply(
             at,
-            "FAILURE unknown call; known are ready, show-stat, drain, resume, drain turn, show-fleet, "
-            "hand-over DUTY [ID], let-in ID, put-out ID\n");
+            "FAILURE unknown call; known are ready, show-stat, drain, resume, drain permit, show-fleet, "
+            "transfer-duty DUTY [ID], add-voter ID, remove-voter ID\n");
     }
     at->caller = 0;
     reply(at, "FAILURE unknown call; known are ready, show-stat, drain, resume\n");
--- /dev/null
+++ b/src/net/reducer_admin.cpp
@@ -0,0 +1,119 @@
+// The reducer's part for operators, new settings and the shutdown.
+#include <algorithm>
+
+#include "reducer.h"
+
+namespace firtide::net
+{
+namespace
+{
+
+// The front goes on sending to a balancer that drains until it has noticed.
+constexpr Span front_notice_time = seconds(0.4);
+// The process may be killed so long after the signal to stop and the longest time that a client waits, of
+// which no more than max_client_wait counts.
+constexpr Span kill_delay = seconds(0.7), max_client_wait = seconds(3);
+// Requests that come after the signal are answered so long before that, and idle connections are closed so
+// long before the last answer.
+constexpr Span kill_margin = seconds(0.3), close_margin = seconds(1.4);
+
+}  // namespace
+
+void Reducer::on(ShutdownStarted stopping)
+{
+    stopped_ = now_;
+    another_serves_ = stopping.another_serves;
+}
+
+// A second drain changes nothing, nor does a resume where nothing drains. What stops does so for good.
+void Reducer::on(AdminCommandReceived ordered)
+{
+    AdminCommandResult obeyed{ordered.caller, true, {}, {}};
+    switch (ordered.order) {
+        case AdminCommand::ready: obeyed.success = ready(); break;
+        case AdminCommand::show_stat: obeyed.figures = figures(); break;
+        case AdminCommand::drain:
+            if (!drained_) drained_ = now_;
+            break;
+        case AdminCommand::resume:
+            obeyed.success = !stopped_;
+            drained_.reset();
+            break;
+    }
+    obeyed.serving_state = serving_state();
+    effects_.push_back(std::move(obeyed));
+}
+
+ServingState Reducer::serving_state() const
+{
+    if (stopped_) return ServingState::stopping;
+    if (drained_) return ServingState::draining;
+    return listed_ ? ServingState::ready : ServingState::starting;
+}
+
+ServiceStatistics Reducer::figures()
+{
+    ServiceStatistics f{outcomes_, backend_calls_, taken_, left_, open_ids_.size(), 0, 0};
+    for (const Upstream& u : upstreams_) f.hosts_listed += u.phase != EndpointPhase::gone;
+    for (UpstreamId t = 0; t < upstreams_.size(); ++t)
+        f.hosts_down += upstreams_[t].phase == EndpointPhase::draining ||
+                        (upstreams_[t].phase == EndpointPhase::ready && reduction(t) >= 0.5);
+    return f;
+}
+
+// What is open finishes as the module says; its answers come from upstreams that stay the same.
+void Reducer::settings_are(ServiceConfig setup)
+{
+    const auto places = [](const std::vector<std::string>& now, const std::vector<std::string>& before) {
+        IndexMapping were;
+        for (const auto& name : now) {
+            const auto at = std::find(before.begin(), before.end(), name);
+            were.emplace_back();
+            if (at != before.end()) were.back() = static_cast<uint32_t>(at - before.begin());
+        }
+        return were;
+    };
+    const auto operations = places(setup.operations, setup_.operations);
+    const auto tenants = places(setup.tenants, setup_.tenants);
+    setup.edition = setup_.edition + 1;
+    setup_ = std::move(setup);
+    for (const auto& name : setup_.operations) outcomes_[name];
+    balancer_.settings_are(now_, setup_.settings, operations, tenants);
+}
+
+// The list, and what is known of its upstreams, stays as it is until the new address has told its own. With
+// new settings the list is asked for anew as a whole: its zones may have other places.
+void Reducer::on(ConfigReloaded& read)
+{
+    if (read.discovery == discovery_ && !read.setup) return;
+    if (read.setup) settings_are(std::move(*read.setup));
+    discovery_ = read.discovery;
+    effects_.push_back(MoveEndpointWatch{std::move(read.discovery)});
+}
+
+// After the signal to stop. Guards against answers that wait for upstreams until the process is killed, where
+// clients wait for a short time only.
+Span Reducer::answers_for() const
+{
+    Span longest;
+    for (const Operation& op : setup_.settings.operations) longest = std::max(longest, op.client_timeout);
+    return std::min(max_client_wait, longest) + kill_delay - kill_margin;
+}
+
+// The module may wait longer than it is told by the margin of clocks.
+void Reducer::bound_by_stop(Request& request) const
+{
+    if (!stopped_) return;
+    const Span bound = *stopped_ + answers_for() - setup_.settings.left_margin - now_;
+    request.time_left = std::min(request.time_left, bound);
+}
+
+bool Reducer::turns_out(Point now) const
+{
+    if (stopped_)
+        return another_serves_ ||
+               now >= *stopped_ + std::max(front_notice_time, answers_for() - close_margin);
+    return drained_ && now >= *drained_ + front_notice_time;
+}
+
+}  // namespace firtide::net
--- /dev/null
+++ b/src/net/reducer_endpoints.cpp
@@ -0,0 +1,135 @@
+// The reducer's part that keeps the list of upstreams: their places, their states, and probes of them.
+#include <algorithm>
+
+#include "reducer.h"
+
+namespace firtide::net
+{
+namespace
+{
+
+constexpr Span probe_timeout = seconds(0.25);
+
+}  // namespace
+
+// A new upstream takes the place of one that has gone. Guards against growing with all that ever were; what
+// was forwarded to the old one still counts against it until it is over.
+UpstreamId Reducer::place_of(const std::string& uid)
+{
+    const auto [at, fresh] = upstream_of_.try_emplace(uid, static_cast<UpstreamId>(upstreams_.size()));
+    if (!fresh) return at->second;
+    const auto free = std::find_if(upstreams_.begin(), upstreams_.end(), [](const Upstream& u) {
+        return u.phase == EndpointPhase::gone && u.referred == 0;
+    });
+    if (free == upstreams_.end()) {
+        upstreams_.emplace_back();
+    } else {
+        at->second = static_cast<UpstreamId>(free - upstreams_.begin());
+        effects_.push_back(CloseIdle{at->second});
+        upstream_of_.erase(free->uid);
+        *free = {};
+    }
+    upstreams_[at->second].uid = uid;
+    return at->second;
+}
+
+std::vector<EndpointState> Reducer::listings(const std::vector<ListedEndpoint>& entries, bool all)
+{
+    std::vector<EndpointPhase> before;
+    for (Upstream& u : upstreams_) {
+        before.push_back(u.phase);
+        if (all) u.phase = EndpointPhase::gone;  // a whole list drops what it does not name
+    }
+    // Those that have a place come first. Guards against giving it to another one of the same list.
+    for (const ListedEndpoint& e : entries)
+        if (const auto at = upstream_of_.find(e.uid); at != upstream_of_.end())
+            upstreams_[at->second].phase = e.phase;
+    std::vector<EndpointState> listed;
+    for (const ListedEndpoint& e : entries) {
+        const UpstreamId at = place_of(e.uid);
+        before.resize(upstreams_.size(), EndpointPhase::gone);
+        Upstream& u = upstreams_[at];
+        if (!u.endpoint.empty() && u.endpoint != e.endpoint) effects_.push_back(CloseIdle{at});
+        u.endpoint = e.endpoint;
+        u.phase = e.phase;
+        listed.push_back({at, id_of(e.uid), e.phase, e.zone, e.cell, 1, e.started});
+        if (setup_.sizes_listed && e.size > 0) listed.back().size = e.size;
+    }
+    bool left = false;
+    for (UpstreamId t = 0; t < upstreams_.size(); ++t)
+        if (before[t] == EndpointPhase::ready && upstreams_[t].phase != EndpointPhase::ready)
+            effects_.push_back(CloseIdle{t}), left = true;
+    // Guards against a request that passed the gate before this list and leaves after it.
+    if (left)
+        for (const auto& [id, a] : attempts_)
+            if (upstreams_[a.upstream_id].phase != EndpointPhase::ready) effects_.push_back(CancelWrite{id});
+    listed_ = listed_ || !listed.empty();
+    return listed;
+}
+
+void Reducer::on(EndpointListUpdated& told)
+{
+    // Guards against a discovery that has lost its own past: no good list is thrown away for an empty one.
+    const bool empty =
+        recovery_ && told.all && told.entries.empty() && listed_ && !recovery_->accepts_empty_list(now_);
+    if (recovery_ && !told.entries.empty()) recovery_->on_valid_list();
+    list_told_ = list_told_ || !empty;
+    if (!empty) listed(listings(told.entries, told.all), told.all);
+    balancer_.list_answered(now_, true);
+}
+
+// Of a list from before the start, warmth is not believed: what came back with this one is cold.
+void Reducer::on(EndpointListRestored& told)
+{
+    if (recovery_)
+        for (ListedEndpoint& e : told.entries) e.started = now_;
+    listed(listings(told.entries, true), true);
+}
+
+void Reducer::listed(const std::vector<EndpointState>& listings, bool all)
+{
+    if (!view_) return all ? balancer_.list_is(now_, listings) : balancer_.list_changed(now_, listings);
+    if (all)
+        for (EndpointState& l : real_) l.phase = EndpointPhase::gone;
+    real_.resize(upstreams_.size());
+    for (const EndpointState& l : listings) real_[l.upstream_id] = l;
+    view_->set_endpoints(real_);
+    show();
+}
+
+void Reducer::on(EndpointListFetchFailed) { balancer_.list_answered(now_, false); }
+
+// Each upstream has its part, and its slice of the period, by its id: the same at every balancer.
+void Reducer::on(ProbesDue due)
+{
+    for (UpstreamId t = 0; t < upstreams_.size(); ++t) {
+        const uint64_t id = id_of(upstreams_[t].uid);
+        if (upstreams_[t].phase != EndpointPhase::ready || id % due.parts != due.part ||
+            id / due.parts % due.slices != due.slice)
+            continue;
+        ++upstreams_[t].referred;
+        dial(next_attempt_++,
+             {{}, 0, t, upstreams_[t].endpoint, now_, now_ + probe_timeout, false, due.stamp});
+    }
+}
+
+void Reducer::on(const ProbeReportReceived& heard)
+{
+    const auto at = upstream_of_.find(heard.uid);
+    if (at == upstream_of_.end() || upstreams_[at->second].phase == EndpointPhase::gone) return;
+    balancer_.probed(now_, at->second, heard.well ? AttemptResult::succeeded : AttemptResult::unreachable,
+                     heard.report.empty() ? LoadReport{} : decode_report(setup_, heard.report));
+}
+
+void Reducer::probe(UpstreamId upstream_id)
+{
+    if (view_ && !view_->take_from_budget(now_, {fleet::Budget::probes, 0})) return;
+    ++upstreams_[upstream_id].referred;
+    dial(next_attempt_++, {{}, 0, upstream_id, upstreams_[upstream_id].endpoint, now_, now_ + probe_timeout});
+}
+
+void Reducer::close_idle(UpstreamId upstream_id) { effects_.push_back(CloseIdle{upstream_id}); }
+
+void Reducer::watch_list() { effects_.push_back(WatchEndpointList{}); }
+
+}  // namespace firtide::net
--- /dev/null
+++ b/src/net/reducer_relay.cpp
@@ -0,0 +1,100 @@
+// The reducer's part for messages that are passed on in pieces: how much of each is on its way, and when its
+// reader is held.
+#include <algorithm>
+
+#include "reducer.h"
+
+namespace firtide::net
+{
+namespace
+{
+
+// Bytes of one message on its way before its reader is held: less where there are many such messages.
+constexpr size_t min_window_bytes = 16 * 1024, max_window_bytes = 64 * 1024;
+
+}  // namespace
+
+// More of a request that goes on while it comes. Until its last byte nothing has run; its time begins there.
+void Reducer::on(RequestChunkReceived& piece)
+{
+    const auto at = invocation_of_.find(piece.caller);
+    if (at == invocation_of_.end() || invocations_[at->second].over) return;
+    Invocation& i = invocations_[at->second];
+    if (!i.request.more) return;
+    i.request.body = {}, i.spent = true;
+    if (!i.goes_to) return;
+    i.on_way += piece.bytes.size();
+    i.request.more = !piece.last;
+    sending_ -= piece.last;
+    effects_.push_back(WriteUpstream{
+        *i.goes_to, encode_piece(std::move(piece.bytes), !i.request.length, piece.last), i.request.more});
+    if (i.request.more) {
+        if (i.on_way > most_on_way()) effects_.push_back(SetRequestReading{i.caller, false});
+        return;
+    }
+    i.request.time_left = std::max(Span{}, i.request.time_left - piece.waited);
+    bound_by_stop(i.request);
+    balancer_.sent(now_, at->second, i.request.time_left);
+}
+
+// Guards against memory that is used up by many large messages at once: their readers are held sooner.
+size_t Reducer::most_on_way() const
+{
+    return std::clamp(room_ / (relays_.size() + sending_ + 1), min_window_bytes, max_window_bytes);
+}
+
+// The caller is heard only while its bytes have somewhere to go.
+void Reducer::hear(const Invocation& i)
+{
+    if (i.request.more) effects_.push_back(SetRequestReading{i.caller, true});
+}
+
+void Reducer::on(ResponseDrained taken)
+{
+    const auto at = relay_of_.find(taken.caller);
+    if (at == relay_of_.end()) return;
+    const AttemptId id = at->second;
+    Relay& r = relays_[id];
+    r.on_way = 0;
+    if (r.all_came) return relayed(id, &OutcomeCounts::success);
+    if (std::exchange(r.held, false)) effects_.push_back(SetResponseReading{id, true});
+}
+
+// From here on this attempt is the answer.
+void Reducer::bind(AttemptId id)
+{
+    const auto at = attempts_.find(id);
+    if (at == attempts_.end() || !at->second.inv) return;
+    Invocation& i = invocations_[*at->second.inv];
+    if (i.over) return;
+    i.bound = true;
+    relay_of_[i.caller] = id;
+    relays_[id] = {i.caller, i.request.id, i.outcomes, 0, false, false};
+}
+
+void Reducer::on(ResponseChunkReceived& came)
+{
+    const auto at = relays_.find(came.attempt);
+    if (at == relays_.end()) return;
+    Relay& r = at->second;
+    r.on_way += came.bytes.size();
+    r.all_came = came.last;
+    effects_.push_back(SendResponseChunk{r.caller, std::move(came.bytes), came.last});
+    if (came.last || r.held || r.on_way <= most_on_way()) return;
+    r.held = true;
+    effects_.push_back(SetResponseReading{came.attempt, false});
+}
+
+// A relay is over, and counts as what it came to.
+void Reducer::relayed(AttemptId id, uint64_t OutcomeCounts::*as)
+{
+    const Relay r = std::move(relays_[id]);
+    if (as) ++(r.outcomes->*as);
+    open_ids_.erase(r.id);
+    relay_of_.erase(r.caller);
+    relays_.erase(id);
+}
+
+void Reducer::on(ProcessCountChanged shared) { room_ = all_room_ / std::max<size_t>(1, shared.processes); }
+
+}  // namespace firtide::net
--- a/src/net/service.cpp
+++ b/src/net/service.cpp
@@ -5,6 +5,7 @@
 #include <algorithm>
 #include <csignal>
 
+#include "fleet_command.h"
 #include "src/io/log.h"
 
 namespace firtide::net
@@ -111,7 +112,7 @@
         management_.emplace(base_.get(), *config_.management, [this](Event e) {
             const auto* ordered = std::get_if<AdminCommandReceived>(&e);
             if (fleet_ && ordered && ordered->order == AdminCommand::resume)
-                fleet_->notify(fleet::AdminRequest{0, "turn-over", "", ""});
+                fleet_->notify(fleet::AdminRequest{0, fleet::return_drain_permit, "", ""});
             post(std::move(e));
         });
     if (fleet) {
@@ -150,8 +151,8 @@
 {
     if (fleet_->config().deltas)
         return discovery_.tell_lines([this](uint64_t version, auto lines, auto uids) {
-            fleet_->notify(fleet::EndpointListFetched{text_of(config_.discovery), version, "", std::move(lines),
-                                                    std::move(uids)});
+            fleet_->notify(fleet::EndpointListFetched{text_of(config_.discovery), version, "",
+                                                      std::move(lines), std::move(uids)});
         });
     discovery_.tell_whole([this](uint64_t version, std::string text) {
         fleet_->notify(
@@ -178,7 +179,8 @@
     h.start_probes = [this](const fleet::StartProbes& now, const std::string& duty, fleet::Epoch epoch) {
         stamps_[next_stamp_] = {duty, epoch};
         while (stamps_.size() > most_stamps) stamps_.erase(stamps_.begin());
-        post(ProbesDue{now.part, fleet_->config().probe->parts, now.slice, fleet::probe_slices, next_stamp_++});
+        post(ProbesDue{now.part, fleet_->config().probe->parts, now.slice, fleet::probe_slices,
+                       next_stamp_++});
     };
     h.apply_fleet_state = [this](const fleet::ApplyFleetState& uses) { post(FleetStateUpdated{uses.state}); };
     h.apply_snapshot = [this](fleet::ApplySnapshot& uses) {
@@ -241,19 +243,12 @@
         fleet_->notify(fleet::ProbesCompleted{duty, found.first, fleet::pack(found.second)});
 }
 
-// False: it is no order that the fleet knows.
+// Returns false where it is no command about the fleet.
 bool Service::ordered(AdminConnectionId caller, const std::vector<std::string>& words)
 {
-    const auto word = [&](size_t i) { return i < words.size() ? words[i] : std::string(); };
-    const bool one = words.size() == 2;
-    if (one && word(0) == "drain" && word(1) == "turn")
-        fleet_->notify(fleet::AdminRequest{caller, "turn", "", ""});
-    else if ((words.size() == 1 && (word(0) == "show-fleet" || word(0) == "show-recovery")) ||
-             (word(0) == "hand-over" && (one || words.size() == 3)) ||
-             (one && (word(0) == "let-in" || word(0) == "put-out")))
-        fleet_->notify(fleet::AdminRequest{caller, word(0), word(1), word(2)});
-    else
-        return false;
+    auto request = decode_fleet_command(caller, words);
+    if (!request) return false;
+    fleet_->notify(std::move(*request));
     return true;
 }
 
--- a/tests/adding_up.cpp
+++ b/tests/adding_up.cpp
@@ -83,20 +83,20 @@
 
     SubsetSize w(seconds(10));
     Point now{1'000'000};
-    std::printf("-- width\nhalf is free: %s\n", w.look(now, 0.6, 0, false) ? "WIDER" : "as it was");
-    for (int i = 0; i < 3; ++i) w.look(now, 0, 0, false);
+    std::printf("-- width\nhalf is free: %s\n", w.adjust(now, 0.6, 0, false) ? "WIDER" : "as it was");
+    for (int i = 0; i < 3; ++i) (void)w.adjust(now, 0, 0, false);
     std::printf("nothing is free: at once %.0f times\n", w.widening());
-    w.look(now, 0, 0, true);
+    (void)w.adjust(now, 0, 0, true);
     std::printf("all there is: %.0f\n", w.widening());
     now = now + seconds(11);
-    w.look(now, 0.9, 0.6, false);
+    (void)w.adjust(now, 0.9, 0.6, false);
     std::printf("free, but not in the narrower: %.0f\n", w.widening());
     std::printf("free for a moment: %s\n",
-                w.look(now + seconds(1), 0.9, 0.9, false) ? "NARROWER" : "as it was");
+                w.adjust(now + seconds(1), 0.9, 0.9, false) ? "NARROWER" : "as it was");
     now = now + seconds(11);
-    const bool back = w.look(now, 0.9, 0.9, false);
+    const bool back = w.adjust(now, 0.9, 0.9, false);
     std::printf("free for long: %s, %.0f\n", back ? "narrower" : "AS IT WAS", w.widening());
-    std::printf("again at once: %s\n", w.look(now, 0.9, 0.9, false) ? "NARROWER" : "one step at a time");
+    std::printf("again at once: %s\n", w.adjust(now, 0.9, 0.9, false) ? "NARROWER" : "one step at a time");
 }
 
 struct Teller {
--- a/tests/recovery.cpp
+++ b/tests/recovery.cpp
@@ -118,7 +118,7 @@
     StartupSequencer s{StartupConfig{}};
     now = Point{1'000'000};
     s.start(now);
-    s.set_baseline(now, 100, 9, 10);
+    s.set_baseline({100, 10, 9});
     s.set_fleet_state({9, 9, true, 2, 2});
     for (const double warm : {1.0, 5.0, 9.6}) {
         size_t admitted_share = 0, least = 0;
@@ -133,7 +133,7 @@
     StartupSequencer t{StartupConfig{}};
     now = Point{1'000'000};
     t.start(now);
-    t.set_baseline(now, 100, 9, 10);
+    t.set_baseline({100, 10, 9});
     t.set_fleet_state({9, 3, true, 2, 2});
     size_t admitted_share = 0;
     for (int i = 0; i < 1000; ++i, now = now + seconds(0.01)) {
