--- a/Makefile
+++ b/Makefile
@@ -5,7 +5,7 @@
 SOURCES = $(patsubst ./%,%,$(sort $(shell find . -path './build*' -prune -o -name '*.cpp' -print -o -name '*.h' -print)))
 FOLDERS = $(sort $(foreach file,$(SOURCES),$(firstword $(subst /, ,$(file)))))
 
-.PHONY: build test lint capacity run clean
+.PHONY: build test lint tidy capacity run clean
 
 build:
 	cmake -B $(BUILD) -DCMAKE_BUILD_TYPE=Release
@@ -19,6 +19,13 @@
 	cppcheck -j4 --quiet --std=c++20 --language=c++ --library=googletest --enable=warning,performance,portability \
 	  --inline-suppr --suppress=missingIncludeSystem --error-exitcode=1 -I . $(FOLDERS)
 
+# clang-tidy, over the parts that are finished. Not yet: src/base, src/http, src/balance, src/modbus, src/net, src/main.cpp,
+# simulation, fault_injection, simulator_adapter, scale, tests.
+TIDY = $(wildcard src/fleet/*.cpp src/fleet/*/*.cpp src/io/*.cpp)
+tidy:
+	cmake -B $(BUILD) >/dev/null
+	printf '%s\n' $(TIDY) | xargs -P4 -n2 clang-tidy --quiet -p $(BUILD) --extra-arg=-Wno-unknown-warning-option
+
 # The tables of docs/CAPACITY.md, from the runs kept in docs/capacity.
 capacity:
 	python3 scale/capacity.py
--- a/fault_injection/client_call.cpp
+++ b/fault_injection/client_call.cpp
@@ -5,7 +5,6 @@
 namespace firtide::fault_injection
 {
 
-
 namespace
 {
 
@@ -31,8 +30,7 @@
 void call(event_base* base, sockaddr_in to, const std::string& bytes, Span wait,
           std::function<void(std::string)> then)
 {
-    auto* c =
-        new Call{Stream(bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE)), {}, std::move(then)};
+    auto* c = new Call{Stream(bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE)), {}, std::move(then)};
     bufferevent_setcb(c->stream.get(), nullptr, nullptr, Call::ended, c);
     const auto most = to_timeval(wait);
     bufferevent_set_timeouts(c->stream.get(), &most, &most);
--- a/fault_injection/fault_proxy.cpp
+++ b/fault_injection/fault_proxy.cpp
@@ -12,7 +12,6 @@
 namespace firtide::fault_injection
 {
 
-
 sockaddr_in loopback(uint16_t port)
 {
     sockaddr_in at{};
--- a/fault_injection/scenario.cpp
+++ b/fault_injection/scenario.cpp
@@ -21,8 +21,7 @@
 class Player
 {
   public:
-    Player(const Scenario& scenario, TestCluster& cluster)
-        : scenario_(scenario), cluster_(cluster)
+    Player(const Scenario& scenario, TestCluster& cluster) : scenario_(scenario), cluster_(cluster)
     {
         for (size_t i = 0; i < scenario.plan.duties; ++i) duties_.push_back("d" + std::to_string(i + 1));
     }
@@ -101,8 +100,7 @@
                 auto& f = *static_cast<Flood*>(self);
                 const auto due = static_cast<uint64_t>(f.rate * (monotonic_now() - f.from).seconds());
                 TestCluster& cluster = f.player->cluster_;
-                for (size_t tries = 0; f.sent < due && tries < due - f.sent + cluster.size();
-                     ++tries) {
+                for (size_t tries = 0; f.sent < due && tries < due - f.sent + cluster.size(); ++tries) {
                     const size_t i = f.at++ % cluster.size();
                     if (!cluster.up(i)) continue;
                     cluster.request_later(i, f.tenant);
@@ -438,7 +436,8 @@
         for (const size_t i : from)
             for (int n = 0; n < 6; ++n)
                 if (cluster_.request(i) != 200) throw Failed{TestCluster::id_of(i) + " does not serve"};
-        if (cluster_.upstream(upstream).served() != before) throw Failed{"some were served by " + words_.back()};
+        if (cluster_.upstream(upstream).served() != before)
+            throw Failed{"some were served by " + words_.back()};
     }
     // "spread LEAST MOST within T": so many duties a process
     void spread()
@@ -451,7 +450,8 @@
                 for (const auto& d : duties_)
                     if (const auto h = cluster_.checker.holder(d)) ++loads[*h];
                 for (size_t i = 0; i < cluster_.size(); ++i)
-                    if (const size_t n = loads[TestCluster::id_of(i)]; cluster_.up(i) && (n < least || n > most))
+                    if (const size_t n = loads[TestCluster::id_of(i)];
+                        cluster_.up(i) && (n < least || n > most))
                         return false;
                 return true;
             },
@@ -491,7 +491,8 @@
             return seen([&] { return cluster_.leader().has_value(); }, most, "there is no leader");
         if (what == "serves") {
             for (const size_t i : some())
-                seen([&] { return cluster_.request(i) == 200; }, most, TestCluster::id_of(i) + " does not serve");
+                seen([&] { return cluster_.request(i) == 200; }, most,
+                     TestCluster::id_of(i) + " does not serve");
             return;
         }
         if (what == "exit") {
@@ -685,8 +686,7 @@
             v.wrong.push_back("at '" + step + "': " + f.what);
             for (size_t i = 0; i < cluster.size(); ++i)
                 if (cluster.up(i))
-                    v.logs +=
-                        "-- shown by " + TestCluster::id_of(i) + "\n" + cluster.ask(i, "show-fleet");
+                    v.logs += "-- shown by " + TestCluster::id_of(i) + "\n" + cluster.ask(i, "show-fleet");
             break;
         } catch (const std::exception& e) {
             v.wrong.push_back("at '" + step + "': " + e.what());
--- a/fault_injection/standins.cpp
+++ b/fault_injection/standins.cpp
@@ -12,7 +12,6 @@
 namespace firtide::fault_injection
 {
 
-
 constexpr Span probe_takes = seconds(0.03), watch_lasts = seconds(2);
 constexpr size_t most_reached = 20000;
 
--- a/scale/hollow_process.cpp
+++ b/scale/hollow_process.cpp
@@ -70,7 +70,8 @@
         const auto& seen = host_->fleet();
         const auto alive = static_cast<uint32_t>(seen.membership().alive());
         uint32_t held = 0;
-        for (const auto& duty : file_.duties) held += seen.lease_client().table().entry(duty.name).holder != 0;
+        for (const auto& duty : file_.duties)
+            held += seen.lease_client().table().entry(duty.name).holder != 0;
         view.least_alive = view.members == 0 ? alive : std::min(view.least_alive, alive);
         view.duties_held = view.members == 0 ? held : std::min(view.duties_held, held);
         view.with_leader += seen.lease_client().leader().has_value();
--- a/simulation/service_simulation.cpp
+++ b/simulation/service_simulation.cpp
@@ -218,8 +218,7 @@
                 if (open == nodes_[b]->attempts.end()) return;
                 if (open->second.job) servers_[open->second.upstream]->called_off.insert(*open->second.job);
                 nodes_[b]->attempts.erase(open);
-                tell(b, net::AttemptFailed{
-                            id, {AttemptProgress::written, FailureCause::no_answer_in_time}});
+                tell(b, net::AttemptFailed{id, {AttemptProgress::written, FailureCause::no_answer_in_time}});
             });
         } else if (auto* w = std::get_if<net::WriteUpstream>(&e)) {
             const auto at = n.attempts.find(w->attempt);
@@ -242,7 +241,8 @@
             cluster_.schedule(wake->at - cluster_.now(), b,
                               [this, b, name = wake->name] { tell(b, net::TimerFired{name}); });
         } else if (auto* observed = std::get_if<net::LocalObservations>(&e)) {
-            count.widened += observed->widening > n.widening, count.narrowed += observed->widening < n.widening;
+            count.widened += observed->widening > n.widening,
+                count.narrowed += observed->widening < n.widening;
             n.shown = observed->shown, n.widening = observed->widening;
             for (const size_t u : n.liar_about) {
                 const uint64_t id = net::id_of("u" + std::to_string(u + 1));
--- a/simulation/simulated_cluster.cpp
+++ b/simulation/simulated_cluster.cpp
@@ -560,7 +560,8 @@
         } else if (auto* m = std::get_if<LogEvent>(&e)) {
             holders_changed(node, *m);
             note(n.file.id + " " + std::string(text_of(m->kind)) + " " + m->subject + " " + m->health +
-                 (m->number ? " " + std::to_string(m->number) : "") + (m->reason.empty() ? "" : ": " + m->reason));
+                 (m->number ? " " + std::to_string(m->number) : "") +
+                 (m->reason.empty() ? "" : ": " + m->reason));
         }
     }
 }
--- a/src/balance/peer_message.h
+++ b/src/balance/peer_message.h
@@ -14,14 +14,17 @@
 {
 
 constexpr size_t max_peer_message_bytes = 256;  // bytes
-constexpr size_t max_tenant_rates = 64;     // tenants past these are told nothing of
+constexpr size_t max_tenant_rates = 64;         // tenants past these are told nothing of
 
 struct PeerMessage {
     bool all = false;           // what is not named holds nothing; else: as before
     std::vector<double> rates;  // with all: what each tenant asks, in invocations a second
     std::vector<std::pair<uint16_t, uint8_t>> out;  // an upstream's name, and the sender's work out to it
 
-    bool has_room() const { return 5 + 2 * rates.size() + 3 * out.size() <= max_peer_message_bytes; }  // for one more
+    bool has_room() const
+    {
+        return 5 + 2 * rates.size() + 3 * out.size() <= max_peer_message_bytes;
+    }  // for one more
 };
 
 std::string encode_peer_message(const PeerMessage& told);
--- a/src/fleet/config.cpp
+++ b/src/fleet/config.cpp
@@ -56,59 +56,84 @@
               "3, 5 or 7 members vote, not " + std::to_string(voters));
 }
 
-void read_duties(const TomlTable& top, FleetConfig& file)
+void check_duty_name(const TomlTable& table, const std::string& name)
+{
+    for (const char* own : {"list", "probe", "drain", "parts"})
+        if (name == own || name.starts_with(std::string(own) + "."))
+            wrong(table.name("name"), table.line("name"),
+                  "'" + name + "' is a name of the balancer's own duties");
+}
+
+void read_named_duties(const TomlTable& top, FleetConfig& file)
 {
     std::set<std::string> names;
     top.each("duty", [&](const toml::table& one, const std::string& where) {
         const TomlTable table(one, where, {"name", "tell", "every"});
-        Duty d{word(table, "name"), DutyKind::other, "",
-               table.span("every", seconds(1), seconds(0.02), seconds(60)), table.place().line};
-        if (table.has("tell")) d.subscriber = table.endpoint("tell");
-        if (!names.insert(d.name).second)
-            wrong(table.name("name"), table.line("name"), "'" + d.name + "' is another duty's name too");
-        for (const char* own : {"list", "probe", "drain", "parts"})
-            if (d.name == own || d.name.starts_with(std::string(own) + "."))
-                wrong(table.name("name"), table.line("name"),
-                      "'" + d.name + "' is a name of the balancer's own duties");
-        file.duties.push_back(std::move(d));
+        Duty duty{word(table, "name"), DutyKind::other, "",
+                  table.span("every", seconds(1), seconds(0.02), seconds(60)), table.place().line};
+        if (table.has("tell")) duty.subscriber = table.endpoint("tell");
+        if (!names.insert(duty.name).second)
+            wrong(table.name("name"), table.line("name"), "'" + duty.name + "' is another duty's name too");
+        check_duty_name(table, duty.name);
+        file.duties.push_back(std::move(duty));
     });
     if (file.duties.size() > most_duties)
         wrong("duty", file.duties.back().line, "more than " + std::to_string(most_duties) + " duties");
-    if (const auto* t = top.table("list")) {
-        const TomlTable table(*t, "list", {"stale"});
-        EndpointListConfig list;
-        list.stale = table.span("stale", list.stale, seconds(0.5), seconds(300));
-        file.list = list;
-        file.duties.push_back({"list", DutyKind::list, "", {}, table.place().line});
-    }
-    if (const auto* t = top.table("deltas")) {
-        const TomlTable table(*t, "deltas", {"history", "repair", "chunk"});
-        if (!file.list) wrong("deltas", table.place().line, "says nothing without [list]");
-        EndpointDeltaConfig deltas;
-        deltas.history = table.count("history", deltas.history, 1, 1'000'000);
-        deltas.repair = table.span("repair", deltas.repair, seconds(0.05), seconds(60));
-        deltas.chunk = table.bytes("chunk", deltas.chunk, least_chunk, most_chunk);
-        file.deltas = deltas;
-    }
-    if (const auto* t = top.table("probe")) {
-        const TomlTable table(*t, "probe", {"every", "parts"});
-        ProbeConfig probe;
-        probe.every = table.span("every", probe.every, seconds(0.05), seconds(60));
-        probe.parts = table.count("parts", probe.parts, 1, 64);
-        for (uint32_t i = 0; i < probe.parts; ++i)
-            file.duties.push_back(
-                {"probe." + std::to_string(i), DutyKind::probe, "", {}, table.place().line});
-        file.probe = probe;
-    }
-    if (const auto* t = top.table("drain")) {
-        const TomlTable table(*t, "drain", {"most"});
-        DrainConfig drain;
-        drain.most = table.count("most", drain.most, 1, 64);
-        for (uint32_t i = 0; i < drain.most; ++i)
-            file.duties.push_back(
-                {"drain." + std::to_string(i), DutyKind::drain, "", {}, table.place().line});
-        file.drain = drain;
-    }
+}
+
+void add_numbered_duties(FleetConfig& file, const std::string& family, DutyKind kind, uint32_t count,
+                         uint32_t line)
+{
+    for (uint32_t i = 0; i < count; ++i)
+        file.duties.push_back({family + "." + std::to_string(i), kind, "", {}, line});
+}
+
+void read_list(const toml::table& list, FleetConfig& file)
+{
+    const TomlTable table(list, "list", {"stale"});
+    EndpointListConfig config;
+    config.stale = table.span("stale", config.stale, seconds(0.5), seconds(300));
+    file.list = config;
+    file.duties.push_back({"list", DutyKind::list, "", {}, table.place().line});
+}
+
+void read_deltas(const toml::table& deltas, FleetConfig& file)
+{
+    const TomlTable table(deltas, "deltas", {"history", "repair", "chunk"});
+    if (!file.list) wrong("deltas", table.place().line, "says nothing without [list]");
+    EndpointDeltaConfig config;
+    config.history = table.count("history", config.history, 1, 1'000'000);
+    config.repair = table.span("repair", config.repair, seconds(0.05), seconds(60));
+    config.chunk = table.bytes("chunk", config.chunk, least_chunk, most_chunk);
+    file.deltas = config;
+}
+
+void read_probe(const toml::table& probe, FleetConfig& file)
+{
+    const TomlTable table(probe, "probe", {"every", "parts"});
+    ProbeConfig config;
+    config.every = table.span("every", config.every, seconds(0.05), seconds(60));
+    config.parts = table.count("parts", config.parts, 1, 64);
+    add_numbered_duties(file, "probe", DutyKind::probe, config.parts, table.place().line);
+    file.probe = config;
+}
+
+void read_drain(const toml::table& drain, FleetConfig& file)
+{
+    const TomlTable table(drain, "drain", {"most"});
+    DrainConfig config;
+    config.most = table.count("most", config.most, 1, 64);
+    add_numbered_duties(file, "drain", DutyKind::drain, config.most, table.place().line);
+    file.drain = config;
+}
+
+void read_duties(const TomlTable& top, FleetConfig& file)
+{
+    read_named_duties(top, file);
+    if (const auto* list = top.table("list")) read_list(*list, file);
+    if (const auto* deltas = top.table("deltas")) read_deltas(*deltas, file);
+    if (const auto* probe = top.table("probe")) read_probe(*probe, file);
+    if (const auto* drain = top.table("drain")) read_drain(*drain, file);
 }
 
 // Guards against floors that are more than what is kept for them.
--- a/src/fleet/consensus/raft_environment.cpp
+++ b/src/fleet/consensus/raft_environment.cpp
@@ -122,7 +122,7 @@
                           raft_io_send_cb done)
 {
     if (auto bytes = encode_raft_message(*message))
-        of(io).effects_.push_back(SendRaft{message->server_id, std::move(*bytes), 0});
+        of(io).effects_.emplace_back(SendRaft{message->server_id, std::move(*bytes), 0});
     of(io).completions_.emplace_back([request, done] {
         if (done) done(request, 0);
     });
--- a/src/fleet/consensus/raft_library.cpp
+++ b/src/fleet/consensus/raft_library.cpp
@@ -1,5 +1,6 @@
 #include "raft_library.h"
 
+#include <algorithm>
 #include <cstring>
 
 namespace firtide::fleet::raft_library
@@ -22,7 +23,7 @@
     char* next = batch;
     for (size_t i = 0; i < entries.size(); ++i) {
         const std::string& text = entries[i].bytes;
-        if (!text.empty()) std::memcpy(next, text.data(), text.size());
+        std::copy(text.begin(), text.end(), next);
         copies[i].term = entries[i].term;
         copies[i].type = entries[i].kind;
         copies[i].buf = {next, text.size()};
--- a/src/fleet/consensus/voter.cpp
+++ b/src/fleet/consensus/voter.cpp
@@ -98,7 +98,7 @@
         *result = nullptr;
         const std::string bytes = raft_library::text_of(*entry);
         self.machine.apply(bytes);
-        self.effects.push_back(EntryCommitted{bytes});
+        self.effects.emplace_back(EntryCommitted{bytes});
         return 0;
     }
 
@@ -115,7 +115,7 @@
         auto& self = *static_cast<Core*>(fsm->data);
         const std::string bytes = raft_library::text_of(*buffer);
         self.machine.restore(bytes);
-        self.effects.push_back(StateRestored{bytes});
+        self.effects.emplace_back(StateRestored{bytes});
         raft_free(buffer->base);
         return 0;
     }
@@ -157,7 +157,7 @@
     void keep_or_fail(std::unique_ptr<PendingChange> request, int error)
     {
         if (error)
-            effects.push_back(ProposalResult{request->id, false, raft_errmsg(&library)});
+            effects.emplace_back(ProposalResult{request->id, false, raft_errmsg(&library)});
         else
             (void)request.release();
     }
@@ -178,7 +178,7 @@
     core.environment.run_completions();
     if (auto state = core.state(); state != core.reported) {
         core.reported = state;
-        core.effects.push_back(std::move(state));
+        core.effects.emplace_back(std::move(state));
     }
     // What is sent rests on what was written meanwhile.
     if (!core.store.sync())
@@ -227,7 +227,7 @@
         };
         if (const int error = raft_apply(&core_->library, &request->request, &buffer, 1, complete)) {
             raft_free(buffer.base);
-            core_->effects.push_back(ProposalResult{id, false, raft_strerror(error)});
+            core_->effects.emplace_back(ProposalResult{id, false, raft_strerror(error)});
             return;
         }
         (void)request.release();  // the library's until it completes
@@ -264,7 +264,9 @@
         if (raft_state(library) != RAFT_LEADER || library->transfer) return;
         constexpr raft_id any_voter = 0;
         auto request = std::make_unique<struct raft_transfer>();
-        const auto complete = [](struct raft_transfer* transferred) { delete transferred; };
+        const auto complete = [](struct raft_transfer* transferred) {
+            const std::unique_ptr<struct raft_transfer> completed(transferred);
+        };
         if (raft_transfer(library, request.get(), any_voter, complete) == 0) (void)request.release();
     });
 }
--- a/src/fleet/consensus/voter_agent.cpp
+++ b/src/fleet/consensus/voter_agent.cpp
@@ -231,7 +231,7 @@
     if (stage_ == VoterStage::voting && !store_->failed())
         take(voter_->propose(now, proposal.id, pack(proposal.commands)));
     else
-        effects_.push_back(ProposalResult{proposal.id, false, "it does not vote"});
+        effects_.emplace_back(ProposalResult{proposal.id, false, "it does not vote"});
     return true;
 }
 
@@ -250,7 +250,7 @@
     const auto heard = index ? peer_reports_.find(*index) : peer_reports_.end();
     const bool is_recent = heard != peer_reports_.end() && now - heard->second.received <= report_validity;
     if (stage_ != VoterStage::voting || !is_recent) {
-        effects_.push_back(ProposalResult{id, false, "nothing has been heard of its disk lately"});
+        effects_.emplace_back(ProposalResult{id, false, "nothing has been heard of its disk lately"});
         return;
     }
     const VoterConfig voter{heard->second.report.disk, member, true};
@@ -258,7 +258,7 @@
     const auto known = std::find_if(voters.begin(), voters.end(),
                                     [&](const VoterConfig& each) { return each.disk == voter.disk; });
     if (known != voters.end() && known->votes) {
-        effects_.push_back(ProposalResult{id, true, "it votes already"});
+        effects_.emplace_back(ProposalResult{id, true, "it votes already"});
         return;
     }
     const auto step = known != voters.end() ? Promotion::Step::promote : Promotion::Step::add;
@@ -273,7 +273,7 @@
                                     [&](const VoterConfig& each) { return each.member == member; });
     if (stage_ == VoterStage::voting && known != voters.end())
         return take(voter_->remove_voter(now, id, known->disk));
-    effects_.push_back(ProposalResult{id, false, "it has no vote"});
+    effects_.emplace_back(ProposalResult{id, false, "it has no vote"});
 }
 
 // ---- effects ----
@@ -282,15 +282,15 @@
 {
     for (VoterEffect& effect : effects) {
         if (auto* send = std::get_if<SendRaft>(&effect)) {
-            effects_.push_back(std::move(*send));
+            effects_.emplace_back(std::move(*send));
         } else if (auto* state = std::get_if<VoterState>(&effect)) {
             raft_state_ = std::move(*state);
         } else if (auto* result = std::get_if<ProposalResult>(&effect)) {
-            effects_.push_back(std::move(*result));
+            effects_.emplace_back(std::move(*result));
         } else if (leases_->table().version() != reported_table_) {
             // Reported before the result of the proposal that has changed it.
             reported_table_ = leases_->table().version();
-            effects_.push_back(TableUpdated{leases_->table()});
+            effects_.emplace_back(TableUpdated{leases_->table()});
         }
     }
 }
@@ -303,14 +303,14 @@
     report.stage = static_cast<uint8_t>(stage_);
     report.writes = store_->synced_writes();
     for (const auto& [disk, writes] : seen_writes_) report.seen_disks.push_back({disk, writes});
-    effects_.push_back(BroadcastDiskReport{std::move(report)});
+    effects_.emplace_back(BroadcastDiskReport{std::move(report)});
     // Until the log has grown beyond its first entry, there may be voters that have not received that.
     const PersistentState& state = store_->state();
     const bool only_bootstrapped = state.last_index() == 1 && !state.snapshot.index;
     if (stage_ != VoterStage::voting || !bootstraps() || !only_bootstrapped) return;
     BootstrapConfig config;
     for (const VoterConfig& voter : raft_state_.voters) config.voters.push_back({voter.member, voter.disk});
-    if (!config.voters.empty()) effects_.push_back(BroadcastBootstrapConfig{std::move(config)});
+    if (!config.voters.empty()) effects_.emplace_back(BroadcastBootstrapConfig{std::move(config)});
 }
 
 // Goes on with the next step of each promotion whose last one has succeeded.
@@ -360,7 +360,7 @@
     if (reported_status_ == status) return;
     const bool stage_changed = !reported_status_ || reported_status_->stage != stage_;
     reported_status_ = status;
-    effects_.push_back(std::move(status));
+    effects_.emplace_back(std::move(status));
     if (stage_changed) send_reports(now);
 }
 
--- a/src/fleet/endpoints/endpoint_distribution.cpp
+++ b/src/fleet/endpoints/endpoint_distribution.cpp
@@ -218,7 +218,7 @@
     if (chunk.version.older_than(replica_.version())) return {};
     const bool known = assembly_ && assembly_->from == from && assembly_->snapshot.revision == chunk.revision;
     if (chunk.index == 0 && !known) {
-        assembly_.emplace();
+        assembly_ = Assembly{};
         assembly_->from = from;
         assembly_->count = chunk.count;
         assembly_->snapshot = {chunk.revision, chunk.version, chunk.digest, chunk.partial, {}};
--- a/src/fleet/fleet_events.h
+++ b/src/fleet/fleet_events.h
@@ -38,8 +38,8 @@
 inline constexpr const char* request_drain_permit = "drain-permit";
 inline constexpr const char* return_drain_permit = "return-drain-permit";
 
-// From the admin address: one of those above, or hand-over, let-in and put-out, which go to the leader under these
-// names (see decode_fleet_command for what operators write).
+// From the admin address: one of those above, or hand-over, let-in and put-out, which go to the leader under
+// these names (see decode_fleet_command for what operators write).
 struct AdminRequest {
     uint64_t caller = 0;
     std::string name, first, second;
--- a/src/fleet/membership/roster.cpp
+++ b/src/fleet/membership/roster.cpp
@@ -18,6 +18,8 @@
     Rings rings;
 
     Data() = default;
+    ~Data() = default;
+    Data& operator=(const Data&) = delete;
     // Without the rings, which change with every member that is added.
     Data(const Data& other) : members(other.members), by_key(other.by_key), voters(other.voters) {}
 
--- a/src/fleet/startup/snapshot_service.cpp
+++ b/src/fleet/startup/snapshot_service.cpp
@@ -23,7 +23,10 @@
 {
     if (const auto* error = std::get_if<SnapshotError>(&loaded.snapshot)) return refuse(*error);
     auto* snapshot = std::get_if<MemberSnapshot>(&loaded.snapshot);
-    if (!snapshot) return history_.push_back("no snapshot");
+    if (!snapshot) {
+        history_.emplace_back("no snapshot");
+        return;
+    }
     if (const auto error = check_owner(*snapshot, context_.config.name, context_.config.id))
         return refuse(*error);
     trust(std::move(*snapshot), loaded.age);
--- a/src/fleet/transport/peers.cpp
+++ b/src/fleet/transport/peers.cpp
@@ -17,15 +17,17 @@
 namespace
 {
 
-constexpr size_t most_waiting =
-    1 << 20;  // bytes for one member; one larger message fits where nothing else waits
-constexpr size_t most_handed_over =
-    64 << 10;                           // to the system at a time: what is not is still in order of urgency
-constexpr Span waits_for = seconds(2);  // what is older is of no use to its receiver
-constexpr Span connects_within = seconds(1), greets_within = seconds(3);
-constexpr Span first_pause = seconds(0.05), longest_pause = seconds(1);
-constexpr Span idle_for = seconds(30);
-constexpr int unheard_ms = 2000;  // sent and not acknowledged: the connection is given up
+constexpr size_t max_queued_bytes = 1
+                                    << 20;  // for one member; a larger message fits where nothing else waits
+constexpr size_t max_buffered_bytes =
+    64 << 10;  // given to the system at a time: the rest stays in order of urgency
+constexpr Span queue_timeout = seconds(2);  // what is older is of no use to its receiver
+constexpr Span connect_timeout = seconds(1), greeting_timeout = seconds(3);
+constexpr Span min_reconnect_delay = seconds(0.05), max_reconnect_delay = seconds(1);
+constexpr Span idle_timeout = seconds(30);  // three times as long at the receiver: the sender closes first
+constexpr int unacknowledged_ms = 2000;     // sent and not acknowledged: the connection is given up
+constexpr int listen_backlog = 128;
+constexpr size_t inbound_per_member = 2, spare_inbound = 16;
 
 sockaddr_in address_of(const std::string& text)
 {
@@ -40,264 +42,307 @@
 }  // namespace
 
 // Lives as long as a connection that another member, or a stranger, has opened.
-struct Peers::In {
+struct Peers::Inbound {
     Peers* owner = nullptr;
-    Place self;
+    InboundPlace self;
     Stream stream;
     FrameReader reader;
     std::optional<MemberIndex> from;  // once it has greeted
 };
 
 // Lives as long as this process.
-struct Peers::Out {
+struct Peers::Outbound {
     Peers* owner = nullptr;
     MemberIndex to = 0;
     sockaddr_in address{};
     Stream stream;
     bool connected = false;
-    uint32_t frames = 0;
-    std::array<std::deque<Waiting>, 3> waiting;  // by urgency
-    size_t bytes = 0;
-    Span pause = first_pause;
-    Point used;
-    Timer timer;
-    bool pausing = false;
+    uint32_t frames = 0;                              // sent on this connection
+    std::array<std::deque<QueuedMessage>, 3> queues;  // by urgency
+    size_t queued_bytes = 0;
+    Span reconnect_delay = min_reconnect_delay;
+    Point last_write;
+    Timer timer;  // of the connect, or until the next one
+    bool waits_to_reconnect = false;
 };
 
-Peers::Peers(event_base* base, const FleetConfig& file, InstanceId instance, uint64_t seed,
-             std::function<void(MemberIndex, Message)> heard)
+Peers::Peers(event_base* base, const FleetConfig& config, InstanceId instance, uint64_t seed,
+             std::function<void(MemberIndex, Message)> on_message)
     : base_(base),
-      file_(file),
+      config_(config),
       instance_(instance),
-      chance_(static_cast<uint32_t>(seed ^ seed >> 32)),
-      heard_(std::move(heard)),
+      random_(static_cast<uint32_t>(seed ^ seed >> 32)),
+      on_message_(std::move(on_message)),
       listener_(nullptr, evconnlistener_free)
 {
-    auto at = address_of(file.listen);
+    listen();
+    for (MemberIndex member = 0; member < config.members.size(); ++member)
+        if (member != config.self) (void)address_of(config.members[member].address);
+}
+
+Peers::~Peers() = default;
+
+// ---- inbound ----
+
+void Peers::listen()
+{
+    auto address = address_of(config_.listen);
+    const auto on_accept = [](evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
+        static_cast<Peers*>(self)->accept(fd);
+    };
     listener_.reset(evconnlistener_new_bind(
-        base,
-        [](evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
-            static_cast<Peers*>(self)->accept(fd);
-        },
-        this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC, 128,
-        reinterpret_cast<sockaddr*>(&at), sizeof at));
+        base_, on_accept, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC,
+        listen_backlog, reinterpret_cast<sockaddr*>(&address), sizeof address));
     if (!listener_)
-        throw std::runtime_error("cannot listen on " + file.listen + ": " +
+        throw std::runtime_error("cannot listen on " + config_.listen + ": " +
                                  evutil_socket_error_to_string(EVUTIL_SOCKET_ERROR()));
-    for (MemberIndex m = 0; m < file.members.size(); ++m)
-        if (m != file.self) (void)address_of(file.members[m].address);
 }
 
-Peers::~Peers() = default;
-
 void Peers::accept(evutil_socket_t fd)
 {
-    // Guards against strangers that connect and say nothing: the longest silent goes first.
-    if (in_.size() >= file_.members.size() * 2 + 16) {
-        const auto silent = std::find_if(in_.begin(), in_.end(), [](const In& i) { return !i.from; });
-        if (silent == in_.end()) return (void)evutil_closesocket(fd);
-        in_.erase(silent);
+    // Of strangers that connect and say nothing, the longest silent goes first.
+    if (inbound_.size() >= config_.members.size() * inbound_per_member + spare_inbound) {
+        const auto silent = std::find_if(inbound_.begin(), inbound_.end(),
+                                         [](const Inbound& inbound) { return !inbound.from; });
+        if (silent == inbound_.end()) {
+            evutil_closesocket(fd);
+            return;
+        }
+        inbound_.erase(silent);
     }
     evutil_make_socket_nonblocking(fd);
-    in_.emplace_back();
-    const Place at = std::prev(in_.end());
-    at->owner = this;
-    at->self = at;
-    at->stream.reset(bufferevent_socket_new(base_, fd, BEV_OPT_CLOSE_ON_FREE));
-    bufferevent_setcb(
-        at->stream.get(),
-        [](bufferevent*, void* arg) {
-            auto* in = static_cast<In*>(arg);
-            in->owner->readable(in->self);
-        },
-        nullptr,
-        [](bufferevent*, short, void* arg) {
-            auto* in = static_cast<In*>(arg);
-            in->owner->in_.erase(in->self);
-        },
-        &*at);
-    const auto wait = to_timeval(greets_within);
-    bufferevent_set_timeouts(at->stream.get(), &wait, nullptr);
-    bufferevent_enable(at->stream.get(), EV_READ);
+    inbound_.emplace_back();
+    const auto inbound = std::prev(inbound_.end());
+    inbound->owner = this;
+    inbound->self = inbound;
+    inbound->stream.reset(bufferevent_socket_new(base_, fd, BEV_OPT_CLOSE_ON_FREE));
+    const auto on_read = [](bufferevent*, void* arg) {
+        auto* self = static_cast<Inbound*>(arg);
+        self->owner->on_readable(self->self);
+    };
+    const auto on_event = [](bufferevent*, short, void* arg) {
+        auto* self = static_cast<Inbound*>(arg);
+        self->owner->inbound_.erase(self->self);
+    };
+    bufferevent_setcb(inbound->stream.get(), on_read, nullptr, on_event, &*inbound);
+    const auto timeout = to_timeval(greeting_timeout);
+    bufferevent_set_timeouts(inbound->stream.get(), &timeout, nullptr);
+    bufferevent_enable(inbound->stream.get(), EV_READ);
 }
 
-// The first message says who speaks, and to whom.
-bool Peers::greeted(In& in, const Message& message)
+// Null where the first message names a member of this fleet that means this one.
+const char* Peers::refusal_of(Inbound& inbound, const Message& message) const
 {
     const auto* hello = std::get_if<Hello>(&message);
-    const char* why = nullptr;
-    if (!hello)
-        why = "it said something before greeting";
-    else if (hello->fleet != file_.name)
-        why = "it is of another fleet";
-    else if (hello->version != wire_version)
-        why = "it speaks another version";
-    else if (hello->to != file_.members[file_.self].key)
-        why = "it looks for another member here";
-    else if (in.from = file_.member_of(hello->from); !in.from)
-        why = "nobody knows it";
-    else if (*in.from == file_.self)
-        why = "it says that it is this member", in.from.reset();
-    if (why) {
+    if (!hello) return "it said something before greeting";
+    if (hello->fleet != config_.name) return "it is of another fleet";
+    if (hello->version != wire_version) return "it speaks another version";
+    if (hello->to != config_.members[config_.self].key) return "it looks for another member here";
+    const auto from = config_.member_of(hello->from);
+    if (!from) return "nobody knows it";
+    if (*from == config_.self) return "it says that it is this member";
+    inbound.from = from;
+    return nullptr;
+}
+
+bool Peers::greet(Inbound& inbound, const Message& message)
+{
+    if (const char* refusal = refusal_of(inbound, message)) {
         ++counts_.strangers;
-        spdlog::warn("fleet: a connection is refused: {}", why);
+        spdlog::warn("fleet: a connection is refused: {}", refusal);
         return false;
     }
-    // Silence is members' affair; a connection that is done is closed by who opened it.
-    const auto idle = to_timeval(idle_for * 3);
-    bufferevent_set_timeouts(in.stream.get(), &idle, nullptr);
+    // Silence is the membership's affair; a connection that is done is closed by who opened it.
+    const auto timeout = to_timeval(idle_timeout * 3);
+    bufferevent_set_timeouts(inbound.stream.get(), &timeout, nullptr);
     return true;
 }
 
-void Peers::readable(Place at)
+void Peers::on_readable(InboundPlace inbound)
 {
-    auto* input = bufferevent_get_input(at->stream.get());
+    auto* input = bufferevent_get_input(inbound->stream.get());
     const size_t size = evbuffer_get_length(input);
     if (size == 0) return;
     counts_.bytes_in += size;
-    at->reader.take({reinterpret_cast<const char*>(evbuffer_pullup(input, -1)), size});
+    inbound->reader.take({reinterpret_cast<const char*>(evbuffer_pullup(input, -1)), size});
     evbuffer_drain(input, size);
+    read_messages(inbound);
+}
+
+void Peers::read_messages(InboundPlace inbound)
+{
     for (;;) {
-        const auto state = at->reader.next();
+        const auto state = inbound->reader.next();
         if (state == FrameReader::State::more) return;
         if (state == FrameReader::State::broken) {
             ++counts_.garbage;
             spdlog::warn("fleet: a connection of {} is ended: {}",
-                         at->from ? file_.members[*at->from].id : "a stranger", at->reader.why());
-            in_.erase(at);
+                         inbound->from ? config_.members[*inbound->from].id : "a stranger",
+                         inbound->reader.why());
+            inbound_.erase(inbound);
             return;
         }
-        if (!at->from) {
-            if (!greeted(*at, at->reader.message())) return (void)in_.erase(at);
-            continue;
+        if (inbound->from) {
+            ++counts_.messages_in;
+            on_message_(*inbound->from, std::move(inbound->reader.message()));
+        } else if (!greet(*inbound, inbound->reader.message())) {
+            inbound_.erase(inbound);
+            return;
         }
-        ++counts_.messages_in;
-        heard_(*at->from, std::move(at->reader.message()));
     }
 }
 
-// Made at the first message. Most members never speak to each other: in a large fleet the memory of queues
-// to all of them is the larger part of a member's own.
-Peers::Out& Peers::out_of(MemberIndex to)
+// ---- outbound ----
+
+// Made at the first message. Most members never speak to each other: in a large fleet the memory of queues to
+// all of them is the larger part of a member's own.
+Peers::Outbound& Peers::outbound_to(MemberIndex member)
 {
-    const auto [at, made] = out_.try_emplace(to);
-    Out& out = at->second;
-    if (!made) return out;
-    out.owner = this;
-    out.to = to;
-    out.address = address_of(file_.members[to].address);
-    out.timer.reset(evtimer_new(
-        base_,
-        [](evutil_socket_t, short, void* arg) {
-            auto* o = static_cast<Out*>(arg);
-            o->pausing = false;
-            if (o->stream && !o->connected) return o->owner->ended(*o);
-            o->owner->flush(*o);
-        },
-        &out));
-    return out;
+    const auto [entry, is_new] = outbound_.try_emplace(member);
+    Outbound& outbound = entry->second;
+    if (!is_new) return outbound;
+    outbound.owner = this;
+    outbound.to = member;
+    outbound.address = address_of(config_.members[member].address);
+    const auto on_timeout = [](evutil_socket_t, short, void* arg) {
+        auto* self = static_cast<Outbound*>(arg);
+        self->owner->on_timer(*self);
+    };
+    outbound.timer.reset(evtimer_new(base_, on_timeout, &outbound));
+    return outbound;
 }
 
-// Where there is no room, the least urgent goes first, and of these the oldest.
 void Peers::send(MemberIndex to, const Message& message)
 {
-    if (to == file_.self || to >= file_.members.size()) return;
-    Out& out = out_of(to);
-    Waiting w{monotonic_now(), static_cast<uint16_t>(message.index()), encode_payload(message)};
-    auto& own = out.waiting[static_cast<size_t>(urgency_of(message))];
-    out.bytes += w.payload.size();
-    own.push_back(std::move(w));
-    for (size_t u = out.waiting.size(); u-- > 0 && out.bytes > most_waiting;)
-        while (out.bytes > most_waiting && !out.waiting[u].empty()) {
-            if (out.waiting[u].size() == 1 && out.bytes == out.waiting[u].front().payload.size())
-                return flush(out);
-            out.bytes -= out.waiting[u].front().payload.size();
-            out.waiting[u].pop_front();
+    if (to == config_.self || to >= config_.members.size()) return;
+    Outbound& outbound = outbound_to(to);
+    QueuedMessage queued{monotonic_now(), static_cast<uint16_t>(message.index()), encode_payload(message)};
+    outbound.queued_bytes += queued.payload.size();
+    outbound.queues[static_cast<size_t>(urgency_of(message))].push_back(std::move(queued));
+    drop_excess(outbound);
+    flush(outbound);
+}
+
+void Peers::drop_excess(Outbound& outbound)
+{
+    for (size_t urgency = outbound.queues.size(); urgency-- > 0;) {
+        auto& queue = outbound.queues[urgency];
+        while (outbound.queued_bytes > max_queued_bytes && !queue.empty()) {
+            const size_t bytes = queue.front().payload.size();
+            const bool is_only_message = queue.size() == 1 && outbound.queued_bytes == bytes;
+            if (is_only_message) return;
+            outbound.queued_bytes -= bytes;
+            queue.pop_front();
             ++counts_.dropped;
         }
-    flush(out);
+    }
 }
 
-void Peers::connect(Out& out)
+void Peers::connect(Outbound& outbound)
 {
-    out.connected = false;
-    out.frames = 0;
-    out.stream.reset(bufferevent_socket_new(base_, -1, BEV_OPT_CLOSE_ON_FREE));
-    bufferevent_setcb(
-        out.stream.get(), nullptr,
-        [](bufferevent*, void* arg) {
-            auto* o = static_cast<Out*>(arg);
-            if (o->connected) o->owner->flush(*o);
-        },
-        [](bufferevent* stream, short what, void* arg) {
-            auto* o = static_cast<Out*>(arg);
-            if (!(what & BEV_EVENT_CONNECTED)) return o->owner->ended(*o);
-            const int on = 1;
-            setsockopt(bufferevent_getfd(stream), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-            setsockopt(bufferevent_getfd(stream), IPPROTO_TCP, TCP_USER_TIMEOUT, &unheard_ms,
-                       sizeof unheard_ms);
-            event_del(o->timer.get());
-            o->connected = true;
-            o->pause = first_pause;
-            Peers& p = *o->owner;
-            const Hello hello{p.file_.name, wire_version, p.file_.members[p.file_.self].key,
-                              p.file_.members[o->to].key, p.instance_};
-            const auto bytes = encode_frame(hello, o->frames++);
-            bufferevent_write(stream, bytes.data(), bytes.size());
-            p.flush(*o);
-        },
-        &out);
-    bufferevent_enable(out.stream.get(), EV_READ | EV_WRITE);
-    const auto wait = to_timeval(connects_within);
-    event_add(out.timer.get(), &wait);
-    bufferevent_socket_connect(out.stream.get(), reinterpret_cast<sockaddr*>(&out.address),
-                               sizeof out.address);
+    outbound.connected = false;
+    outbound.frames = 0;
+    outbound.stream.reset(bufferevent_socket_new(base_, -1, BEV_OPT_CLOSE_ON_FREE));
+    const auto on_write = [](bufferevent*, void* arg) {
+        auto* self = static_cast<Outbound*>(arg);
+        if (self->connected) self->owner->flush(*self);
+    };
+    const auto on_event = [](bufferevent*, short what, void* arg) {
+        auto* self = static_cast<Outbound*>(arg);
+        if (what & BEV_EVENT_CONNECTED)
+            self->owner->on_connected(*self);
+        else
+            self->owner->on_ended(*self);
+    };
+    bufferevent_setcb(outbound.stream.get(), nullptr, on_write, on_event, &outbound);
+    bufferevent_enable(outbound.stream.get(), EV_READ | EV_WRITE);
+    const auto timeout = to_timeval(connect_timeout);
+    event_add(outbound.timer.get(), &timeout);
+    bufferevent_socket_connect(outbound.stream.get(), reinterpret_cast<sockaddr*>(&outbound.address),
+                               sizeof outbound.address);
+}
+
+void Peers::on_connected(Outbound& outbound)
+{
+    const int on = 1;
+    const int fd = bufferevent_getfd(outbound.stream.get());
+    setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+    setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &unacknowledged_ms, sizeof unacknowledged_ms);
+    event_del(outbound.timer.get());
+    outbound.connected = true;
+    outbound.reconnect_delay = min_reconnect_delay;
+    const Hello hello{config_.name, wire_version, config_.members[config_.self].key,
+                      config_.members[outbound.to].key, instance_};
+    const auto bytes = encode_frame(hello, outbound.frames++);
+    bufferevent_write(outbound.stream.get(), bytes.data(), bytes.size());
+    flush(outbound);
 }
 
 // Whatever was handed over and has not arrived is lost: nobody counts on any message.
-void Peers::ended(Out& out)
+void Peers::on_ended(Outbound& outbound)
 {
-    out.stream.reset();
-    out.connected = false;
-    again(out);
+    outbound.stream.reset();
+    outbound.connected = false;
+    reconnect_later(outbound);
 }
 
-// Spread by chance. Guards against hundreds that come back in step to a member that has just started.
-void Peers::again(Out& out)
+void Peers::on_timer(Outbound& outbound)
 {
-    out.pausing = true;
-    const auto wait = to_timeval(out.pause * (0.5 + std::uniform_real_distribution<>(0, 1)(chance_)));
-    out.pause = std::min(longest_pause, out.pause * 2);
-    event_add(out.timer.get(), &wait);
+    outbound.waits_to_reconnect = false;
+    const bool connect_timed_out = outbound.stream && !outbound.connected;
+    if (connect_timed_out) return on_ended(outbound);
+    flush(outbound);
 }
 
-void Peers::flush(Out& out)
+// With jitter: hundreds must not come back in step to a member that has just started.
+void Peers::reconnect_later(Outbound& outbound)
 {
-    const Point now = monotonic_now();
-    for (auto& queue : out.waiting)
-        while (!queue.empty() && now - queue.front().since > waits_for) {
-            out.bytes -= queue.front().payload.size();
+    outbound.waits_to_reconnect = true;
+    const double jitter = 0.5 + std::uniform_real_distribution<>(0, 1)(random_);
+    const auto delay = to_timeval(outbound.reconnect_delay * jitter);
+    outbound.reconnect_delay = std::min(max_reconnect_delay, outbound.reconnect_delay * 2);
+    event_add(outbound.timer.get(), &delay);
+}
+
+void Peers::drop_expired(Outbound& outbound, Point now)
+{
+    for (auto& queue : outbound.queues)
+        while (!queue.empty() && now - queue.front().since > queue_timeout) {
+            outbound.queued_bytes -= queue.front().payload.size();
             queue.pop_front();
             ++counts_.dropped;
         }
-    if (out.pausing) return;
-    if (!out.stream) {
-        if (out.bytes > 0) connect(out);
+}
+
+void Peers::flush(Outbound& outbound)
+{
+    const Point now = monotonic_now();
+    drop_expired(outbound, now);
+    if (outbound.waits_to_reconnect) return;
+    if (!outbound.stream) {
+        if (outbound.queued_bytes > 0) connect(outbound);
         return;
     }
-    if (!out.connected) return;
-    auto* output = bufferevent_get_output(out.stream.get());
-    for (auto& queue : out.waiting)
-        while (!queue.empty() && evbuffer_get_length(output) < most_handed_over) {
-            const auto bytes = frame(queue.front().kind, queue.front().payload, out.frames++);
-            out.bytes -= queue.front().payload.size();
+    if (!outbound.connected) return;
+    write_queued(outbound, now);
+    if (now - outbound.last_write <= idle_timeout) return;
+    outbound.stream.reset();
+    outbound.connected = false;
+}
+
+void Peers::write_queued(Outbound& outbound, Point now)
+{
+    auto* output = bufferevent_get_output(outbound.stream.get());
+    for (auto& queue : outbound.queues)
+        while (!queue.empty() && evbuffer_get_length(output) < max_buffered_bytes) {
+            const auto bytes = frame(queue.front().kind, queue.front().payload, outbound.frames++);
+            outbound.queued_bytes -= queue.front().payload.size();
             queue.pop_front();
-            bufferevent_write(out.stream.get(), bytes.data(), bytes.size());
+            bufferevent_write(outbound.stream.get(), bytes.data(), bytes.size());
             ++counts_.messages_out;
             counts_.bytes_out += bytes.size();
-            out.used = now;
+            outbound.last_write = now;
         }
-    if (now - out.used > idle_for) out.stream.reset(), out.connected = false;
 }
 
 }  // namespace firtide::fleet
--- a/src/fleet/transport/peers.h
+++ b/src/fleet/transport/peers.h
@@ -1,6 +1,6 @@
-// Connections to the other members, on libevent: one way each. What this member says goes over connections
-// that it opens; what it hears comes over those that others open. Nothing here blocks, and no queue grows
-// without end.
+// Connections to the other members, on libevent: one way each. Messages are sent over connections that this
+// member opens, and received over those that others open. Nothing here blocks, and no queue grows without
+// end.
 #pragma once
 
 #include <array>
@@ -22,41 +22,55 @@
 class Peers
 {
   public:
-    // Throws std::runtime_error where the address cannot be listened on.
-    Peers(event_base* base, const FleetConfig& file, InstanceId instance, uint64_t seed,
-          std::function<void(MemberIndex, Message)> heard);
+    // `on_message` is called for each message, on the loop. Throws std::runtime_error where the address can't
+    // be listened on.
+    Peers(event_base* base, const FleetConfig& config, InstanceId instance, uint64_t seed,
+          std::function<void(MemberIndex, Message)> on_message);
     ~Peers();
+    Peers(const Peers&) = delete;
+    Peers& operator=(const Peers&) = delete;
 
+    // Queues a message; it may be lost. Where there is no room, the least urgent goes first, and of these the
+    // oldest.
     void send(MemberIndex to, const Message& message);
-    const TrafficCounts& counts() const { return counts_; }
+    [[nodiscard]] const TrafficCounts& counts() const { return counts_; }
 
   private:
-    struct In;
-    struct Out;
-    struct Waiting {
+    struct Inbound;
+    struct Outbound;
+    struct QueuedMessage {
         Point since;
         uint16_t kind = 0;
         std::string payload;
     };
-    using Place = std::list<In>::iterator;
+    using InboundPlace = std::list<Inbound>::iterator;
 
+    void listen();
     void accept(evutil_socket_t fd);
-    void readable(Place at);
-    bool greeted(In& in, const Message& message);
-    Out& out_of(MemberIndex to);
-    void connect(Out& out);
-    void ended(Out& out);
-    void flush(Out& out);
-    void again(Out& out);
+    void on_readable(InboundPlace inbound);
+    void read_messages(InboundPlace inbound);
+    bool greet(Inbound& inbound, const Message& message);
+    const char* refusal_of(Inbound& inbound, const Message& message) const;
+
+    Outbound& outbound_to(MemberIndex member);
+    void drop_excess(Outbound& outbound);
+    void drop_expired(Outbound& outbound, Point now);
+    void connect(Outbound& outbound);
+    void on_connected(Outbound& outbound);
+    void on_ended(Outbound& outbound);
+    void on_timer(Outbound& outbound);
+    void reconnect_later(Outbound& outbound);
+    void flush(Outbound& outbound);
+    void write_queued(Outbound& outbound, Point now);
 
     event_base* base_;
-    const FleetConfig& file_;
+    const FleetConfig& config_;
     const InstanceId instance_;
-    std::ranlux24_base chance_;
-    std::function<void(MemberIndex, Message)> heard_;
+    std::ranlux24_base random_;
+    std::function<void(MemberIndex, Message)> on_message_;
     std::unique_ptr<evconnlistener, void (*)(evconnlistener*)> listener_;
-    std::list<In> in_;
-    std::map<MemberIndex, Out> out_;  // those that anything was ever sent to
+    std::list<Inbound> inbound_;
+    std::map<MemberIndex, Outbound> outbound_;  // to members that anything was ever sent to
     TrafficCounts counts_;
 };
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -55,8 +55,7 @@
             firtide::net::check_passed_socket(config);
             return std::puts("the configuration is well-formed") < 0;
         }
-        if (!firtide::start_log(config.name, level))
-            throw std::runtime_error("--log-level: no such level");
+        if (!firtide::start_log(config.name, level)) throw std::runtime_error("--log-level: no such level");
         std::optional<std::pair<firtide::fleet::FleetConfig, std::string>> member;
         if (!fleet_path.empty()) member.emplace(firtide::fleet::read_fleet_config(fleet_path), fleet_path);
         firtide::net::Service(
--- a/tests/list_replica.cpp
+++ b/tests/list_replica.cpp
@@ -364,7 +364,8 @@
     Pair pair{EndpointDeltaConfig{3, seconds(1), 1024}};
     for (uint64_t number = 1; number <= 10; ++number)
         pair.holder.publish(epoch, version(number), lines_of(100 + number), {});
-    pair.member.on_peer_revision(start, first, pair.holder.replica().revision(), pair.holder.replica().digest());
+    pair.member.on_peer_revision(start, first, pair.holder.replica().revision(),
+                                 pair.holder.replica().digest());
     for (int chunk = 0; chunk < 2; ++chunk) {
         for (Send& send : pair.member.take_sends()) pair.hear(start, pair.holder, second, send.message);
         for (Send& send : pair.holder.take_sends()) pair.hear(start, pair.member, first, send.message);
@@ -383,7 +384,7 @@
     pair.ping(start);
     pair.member.replica().corrupt("u1", line("u1", 9));
     pair.holder.on_peer_revision(start, second, pair.member.replica().revision(),
-                              pair.member.replica().digest());
+                                 pair.member.replica().digest());
     EXPECT_FALSE(pair.holder.behind());
     pair.ping(start + seconds(2));
     expect_same(pair.member.replica(), pair.holder.replica());
--- a/tests/recovery.cpp
+++ b/tests/recovery.cpp
@@ -41,7 +41,8 @@
     }
     std::printf("cut at every byte: %s refused; every bit flipped: %s refused\n",
                 cut == whole.size() ? "all" : "NOT ALL", flipped == whole.size() * 8 ? "all" : "NOT ALL");
-    std::printf("more behind it: %s\n", std::get<SnapshotError>(decode_member_snapshot(whole + "x")).text.c_str());
+    std::printf("more behind it: %s\n",
+                std::get<SnapshotError>(decode_member_snapshot(whole + "x")).text.c_str());
     std::printf("another fleet's: %s; another member's: %s; its own: '%s'\n",
                 check_owner(back, "core", "a")->text.c_str(), check_owner(back, "edge", "b")->text.c_str(),
                 check_owner(back, "edge", "a").value_or(SnapshotError{}).text.c_str());
