--- a/tests/message.cpp
+++ b/tests/message.cpp
@@ -1,254 +1,451 @@
-// Messages: what is taken from callers and from upstreams, and in what pieces.
+// HTTP messages, the configuration and lists of upstreams: what is accepted, what is refused, and how it is
+// passed on.
 #include "src/http/message.h"
 
+#include <gtest/gtest.h>
+
+#include "balancer_host.h"
 #include "src/net/config.h"
 #include "src/net/discovery.h"
-#include "trace.h"
-
-using namespace firtide;
-using namespace firtide::net;
 
+namespace firtide::net
+{
 namespace
 {
 
-ServiceConfig setup()
+const std::string ok = "HTTP/1.1 200 OK\r\n";
+const std::string four_bytes = "Content-Length: 4\r\n\r\nbody";
+const std::string post = "POST /op/a HTTP/1.1\r\nReq-Id: 7\r\n";
+
+ServiceConfig service_config()
 {
-    ServiceConfig s;
-    s.operations = {"op"};
-    s.settings = Stage::settings(Stage::op(Idempotency::non_idempotent));
-    s.tenants = {"one", "two"};
-    s.zones = {"x", "y"};
-    s.report_names = {"queue", "util"};
-    s.report = {&LoadReport::queue, &LoadReport::utilisation};
-    return s;
+    ServiceConfig config;
+    config.operations = {"op"};
+    config.settings = BalancerHost::settings(BalancerHost::op(Idempotency::non_idempotent));
+    config.tenants = {"one", "two"};
+    config.zones = {"x", "y"};
+    config.report_names = {"queue", "util"};
+    config.report = {&LoadReport::queue, &LoadReport::utilisation};
+    return config;
 }
 
-void request(const char* what, const std::string& target, Headers headers)
+// ---- requests that are forwarded ----
+
+// How a request is refused, or by which tenant and with how much time it is accepted and what is sent to the
+// upstream.
+std::string forwarded(const std::string& target, Headers headers)
 {
-    Request r{"POST", target, "", 0, 0, {}, {}, "body"};
-    const auto bad = decode_request(setup(), std::move(headers), r);
-    if (bad) return (void)std::printf("%s: %d %s\n", what, bad->status, bad->why);
-    std::printf("%s: tenant %u, %.3f s; on it goes:\n%s\n", what, r.tenant, r.time_left.seconds(),
-                encode_request(r, "host:1", seconds(0.4567)).c_str());
+    Request request{"POST", target, "", 0, 0, {}, {}, "body"};
+    const auto refused = decode_request(service_config(), std::move(headers), request);
+    if (refused) return std::to_string(refused->status) + " " + refused->why;
+    return "tenant " + std::to_string(request.tenant) + ", " + std::to_string(request.time_left.us / 1000) +
+           " ms\n" + encode_request(request, "host:1", seconds(0.4567));
 }
 
+std::string sent(const std::string& first_line, const std::string& headers)
+{
+    return first_line + " HTTP/1.1\r\nHost: host:1\r\nreq-id: 1\r\n" + headers +
+           "Req-Deadline-Ms: 456\r\nContent-Length: 4\r\n\r\nbody";
+}
+
+const std::pair<std::string, std::string> id{"req-id", "1"};
+
+TEST(ForwardedRequest, KeepsHeadersOfTheRequestAndDropsThoseOfTheConnection)
+{
+    const Headers headers{id, {"Req-Deadline-Ms", "480"}, {"X", "y"}, {"Connection", "close"}};
+    EXPECT_EQ(forwarded("/op/a?b=c", headers), "tenant 2, 480 ms\n" + sent("POST /op/a?b=c", "X: y\r\n"));
+}
+
+TEST(ForwardedRequest, HasTheTenantThatTheSettingsName)
+{
+    EXPECT_EQ(forwarded("/op", {id, {"Req-Owner", "two"}}),
+              "tenant 1, 2000 ms\n" + sent("POST /op", "Req-Owner: two\r\n"));
+    EXPECT_EQ(forwarded("/op", {id, {"Req-Owner", "three"}}),
+              "tenant 2, 2000 ms\n" + sent("POST /op", "Req-Owner: three\r\n"));
+}
+
+TEST(ForwardedRequest, HasNoMoreTimeThanItsOperation)
+{
+    EXPECT_EQ(forwarded("/op", {id, {"Req-Deadline-Ms", "99999"}}),
+              "tenant 2, 2000 ms\n" + sent("POST /op", ""));
+}
+
+TEST(ForwardedRequest, IsRefusedForAnUnknownOperation)
+{
+    EXPECT_EQ(forwarded("/other/op", {id}), "404 no such operation");
+}
+
+TEST(ForwardedRequest, IsRefusedForATargetOrIdThatCannotBeRead)
+{
+    EXPECT_EQ(forwarded("/op", {}), "400 Req-Id is missing");
+    EXPECT_EQ(forwarded("op", {id}), "400 unreadable target");
+    EXPECT_EQ(forwarded("/op/a b", {id}), "400 unreadable target");
+}
+
+TEST(ForwardedRequest, IsRefusedForHeadersThatCannotBeRead)
+{
+    EXPECT_EQ(forwarded("/op", {id, {"Req-Deadline-Ms", "12x"}}), "400 unreadable Req-Deadline-Ms");
+    EXPECT_EQ(forwarded("/op", {id, {"Req-Deadline-Ms", "-1"}}), "400 unreadable Req-Deadline-Ms");
+    EXPECT_EQ(forwarded("/op", {id, {"X", "a\rReq-Id: 2"}}), "400 unreadable header");
+}
+
+// ---- readers ----
+
+struct Taken {
+    MessageReader::State state = MessageReader::State::more;
+    size_t used = 0;
+};
+
 // How a reader ends that gets the bytes in two pieces, and how many of them it used.
 template <class Reader>
-std::pair<MessageReader::State, size_t> take_in_two(Reader& reader, const std::string& bytes, size_t cut)
+Taken take_in_two(Reader& reader, const std::string& bytes, size_t cut)
 {
     auto state = reader.take(bytes.substr(0, cut));
     size_t before = 0;
-    if (state == MessageReader::State::more && cut < bytes.size())
-        state = reader.take(bytes.substr(cut)), before = cut;
+    if (state == MessageReader::State::more && cut < bytes.size()) {
+        state = reader.take(bytes.substr(cut));
+        before = cut;
+    }
     return {state, before + reader.used()};
 }
 
-// The same bytes whole and cut at every place must read the same.
-void answer(const char* what, const std::string& bytes, size_t last_cut = 400)
-{
-    const auto s = setup();
-    const auto read = [&](size_t cut) {
-        ResponseReader reader(s);
-        const auto [state, used] = take_in_two(reader, bytes, cut);
-        const Response& r = reader.response();
-        std::string text = state == ResponseReader::State::malformed ? "malformed"
-                           : state == ResponseReader::State::more    ? "not whole"
-                                                                     : "whole";
-        if (state == ResponseReader::State::whole) {
-            text += " " + std::to_string(r.status) + (r.declined ? " declined" : "") + " '" +
-                    (r.body.size() > 40 ? std::to_string(r.body.size()) + " bytes" : r.body) + "'" +
-                    (reader.keeps_connection() && used == bytes.size() ? "" : ", connection over");
-            if (r.report.queue) text += ", queue " + std::to_string(*r.report.queue);
-            for (const auto& [name, value] : r.passed_on) text += ", " + name;
-        }
-        return text;
-    };
-    const auto whole = read(bytes.size());
-    bool alike = true;
-    for (size_t cut = 0; cut < std::min(bytes.size(), last_cut); ++cut) alike = alike && read(cut) == whole;
-    std::printf("%s: %s%s\n", what, whole.c_str(), alike ? "" : " (but not in pieces)");
-}
-
-// The same of a caller's request.
-void asked(const char* what, const std::string& bytes)
-{
-    const auto s = setup();
-    const auto read = [&](size_t cut) {
-        RequestReader reader(s);
-        const auto [state, used] = take_in_two(reader, bytes, cut);
-        if (state == RequestReader::State::malformed)
-            return std::to_string(reader.why().status) + " " + reader.why().why;
-        if (state == RequestReader::State::more) return std::string("not whole");
-        const Request& r = reader.request();
-        return r.method + " " + r.target + " id " + r.id + " '" + r.body + "'" +
-               (reader.old() ? ", old" : "") + (reader.keeps_connection() ? "" : ", closes") +
-               (used < bytes.size() ? ", more behind it" : "");
-    };
-    const auto whole = read(bytes.size());
-    bool alike = true;
+std::string read_response(const std::string& bytes, size_t cut)
+{
+    const auto config = service_config();
+    ResponseReader reader(config);
+    const Taken taken = take_in_two(reader, bytes, cut);
+    if (taken.state == ResponseReader::State::malformed) return "malformed";
+    if (taken.state == ResponseReader::State::more) return "not whole";
+    const Response& response = reader.response();
+    const bool is_long = response.body.size() > 40;
+    const std::string body = is_long ? std::to_string(response.body.size()) + " bytes" : response.body;
+    std::string text = "whole " + std::to_string(response.status) + (response.declined ? " declined" : "");
+    text += " '" + body + "'";
+    if (!reader.keeps_connection() || taken.used != bytes.size()) text += ", connection over";
+    if (response.report.queue) text += ", queue " + std::to_string(*response.report.queue);
+    for (const auto& [name, value] : response.passed_on) text += ", " + name;
+    return text;
+}
+
+// The same bytes whole, and cut at every place up to the last one, must read the same.
+void expect_response(const std::string& expected, const std::string& bytes, size_t last_cut = 400)
+{
+    EXPECT_EQ(read_response(bytes, bytes.size()), expected);
+    for (size_t cut = 0; cut < std::min(bytes.size(), last_cut); ++cut)
+        ASSERT_EQ(read_response(bytes, cut), expected) << "cut at " << cut;
+}
+
+std::string read_request(const std::string& bytes, size_t cut)
+{
+    const auto config = service_config();
+    RequestReader reader(config);
+    const Taken taken = take_in_two(reader, bytes, cut);
+    if (taken.state == RequestReader::State::malformed)
+        return std::to_string(reader.why().status) + " " + reader.why().why;
+    if (taken.state == RequestReader::State::more) return "not whole";
+    const Request& request = reader.request();
+    return request.method + " " + request.target + " id " + request.id + " '" + request.body + "'" +
+           (reader.old() ? ", old" : "") + (reader.keeps_connection() ? "" : ", closes") +
+           (taken.used < bytes.size() ? ", more behind it" : "");
+}
+
+void expect_request(const std::string& expected, const std::string& bytes)
+{
+    EXPECT_EQ(read_request(bytes, bytes.size()), expected);
     for (size_t cut = 0; cut < bytes.size(); ++cut) {
-        const auto in_two = read(cut);
+        const auto in_two = read_request(bytes, cut);
         // What comes behind a request that is whole may not have come yet.
-        alike = alike && (in_two == whole || in_two + ", more behind it" == whole);
+        if (in_two + ", more behind it" == expected) continue;
+        ASSERT_EQ(in_two, expected) << "cut at " << cut;
     }
-    std::printf("%s: %s%s\n", what, whole.c_str(), alike ? "" : " (but not in pieces)");
-}
-
-// A body too large to be taken in whole, cut in pieces of every size: what is taken away is all there is.
-void in_pieces(const char* what, const std::string& head, const std::string& body, const std::string& framed)
-{
-    const auto s = setup();
-    bool alike = true;
-    for (const size_t size : {1u, 7u, 4096u, 50000u}) {
-        ResponseReader reader(s);
-        std::string got;
-        auto state = ResponseReader::State::more;
-        const auto bytes = head + framed;
-        for (size_t at = 0; at < bytes.size() && state == ResponseReader::State::more; at += size) {
-            state = reader.take(bytes.substr(at, size));
-            if (reader.large()) got += reader.take_piece();
-        }
-        alike = alike && state == ResponseReader::State::whole && got == body;
+}
+
+TEST(ResponseReader, TakesHeadersAndALoadReport)
+{
+    expect_response("whole 200 'body', queue 2.000000, X-A",
+                    ok + "Srv-Load: queue=2,util=0.5,other=1\r\nX-A: b\r\n" + four_bytes);
+    expect_response("whole 200 'body'", ok + "Srv-Load: queue=nan,=,util\r\n" + four_bytes);
+}
+
+TEST(ResponseReader, TakesADeclinedRequest)
+{
+    expect_response("whole 503 declined ''",
+                    "HTTP/1.1 503 no\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n");
+}
+
+TEST(ResponseReader, TellsWhenTheConnectionIsOver)
+{
+    expect_response("whole 200 'body', connection over", ok + "Connection: close\r\n" + four_bytes);
+    expect_response("whole 200 'body', connection over", "HTTP/1.0 200 OK\r\n" + four_bytes);
+    expect_response("whole 200 'body', connection over", ok + four_bytes + "rest", 20);
+}
+
+TEST(ResponseReader, TakesAllFormsOfTheProtocol)
+{
+    expect_response("whole 200 'x'", "HTTP/1.1 200 OK\nContent-Length: 1\n\nx");
+    expect_response("whole 200 'abcd'",
+                    ok + "Transfer-Encoding: chunked\r\n\r\n3;e=1\r\nabc\r\n1\r\nd\r\n0\r\nT: x\r\n\r\n");
+    expect_response("whole 200 'body'", "HTTP/1.1 100 Continue\r\n\r\n" + ok + four_bytes);
+}
+
+TEST(ResponseReader, WaitsForTheRestOfAMessageThatIsCutShort)
+{
+    expect_response("not whole", ok + "Content-Length: 9\r\n\r\nbody");
+    expect_response("not whole", ok + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
+    expect_response("not whole", ok + "Connection: close\r\n\r\nbody");
+}
+
+TEST(ResponseReader, RefusesWhatCanBeReadInTwoWays)
+{
+    expect_response("malformed", ok + "X: a\r\n b\r\n" + four_bytes);
+    expect_response("malformed", ok + "\r\nbody");
+    expect_response("malformed", ok + "Content-Length: 5\r\n" + four_bytes);
+    expect_response("malformed", ok + "Content-Length: -4\r\n\r\nbody");
+}
+
+TEST(ResponseReader, RefusesWhatIsNoResponse)
+{
+    expect_response("malformed", ok + std::string(20000, 'x'));
+    expect_response("malformed", "hello\r\n\r\n");
+    expect_response("malformed", ok + "hello\r\n\r\n");
+}
+
+TEST(ResponseReader, TakesBodiesOf64KiBAndMore)
+{
+    expect_response("whole 200 '65536 bytes'",
+                    ok + "Content-Length: 65536\r\n\r\n" + std::string(65536, 'x'));
+    expect_response("whole 200 '65537 bytes'",
+                    ok + "Content-Length: 65537\r\n\r\n" + std::string(65537, 'x'));
+    expect_response("whole 200 '65537 bytes'", ok + "Transfer-Encoding: chunked\r\n\r\nffff\r\n" +
+                                                   std::string(65535, 'x') + "\r\n2\r\nxx\r\n0\r\n\r\n");
+}
+
+TEST(RequestReader, TakesAllFormsOfTheProtocol)
+{
+    expect_request("POST /op/a id 7 'abcd'",
+                   post + "Transfer-Encoding: chunked\r\n\r\n3;e=1\r\nabc\r\n1\r\nd\r\n0\r\nT: x\r\n\r\n");
+    expect_request("GET /op/b?c id 7 ''", "\r\n\r\nGET http://a/op/b?c HTTP/1.1\r\nReq-Id: 7\r\n\r\n");
+    expect_request("POST /op id 7 'ab', old, closes",
+                   "POST /op HTTP/1.0\r\nReq-Id: 7\r\nContent-Length: 2\r\n\r\nab");
+    expect_request("POST /op/a id 7 'a', closes", post + "Connection: close\r\nContent-Length: 1\r\n\r\na");
+}
+
+TEST(RequestReader, LeavesASecondRequestUnread)
+{
+    const std::string second = post + "Content-Length: 1\r\n\r\nb";
+    expect_request("POST /op/a id 7 'a', more behind it", post + "Content-Length: 1\r\n\r\na" + second);
+}
+
+TEST(RequestReader, RefusesBadChunksAndTooMuch)
+{
+    const std::string chunked = post + "Transfer-Encoding: chunked\r\n\r\n";
+    expect_request("400 unreadable request", chunked + "-1\r\nabc\r\n");
+    expect_request("400 unreadable request", chunked + "ffffffffffffffffff\r\n");
+    const std::string too_much = post + "Content-Length: 50000000\r\n\r\n";
+    expect_request("413 too much", too_much);
+}
+
+TEST(RequestReader, WaitsForTheRestOfAMessageThatIsCutShort)
+{
+    expect_request("not whole", post + "Content-Length: 5\r\n\r\nabcd");
+}
+
+// ---- large bodies ----
+
+// Too large to be taken in whole, and cut in pieces of a size: what is taken away is all there is, in order.
+void expect_in_pieces(const std::string& bytes, const std::string& body, size_t piece_size)
+{
+    const auto config = service_config();
+    ResponseReader reader(config);
+    std::string taken;
+    auto state = ResponseReader::State::more;
+    for (size_t at = 0; at < bytes.size() && state == ResponseReader::State::more; at += piece_size) {
+        state = reader.take(bytes.substr(at, piece_size));
+        if (reader.large()) taken += reader.take_piece();
     }
-    std::printf("%s: %s\n", what, alike ? "all of it, in order" : "SOMETHING ELSE");
+    EXPECT_EQ(state, ResponseReader::State::whole);
+    EXPECT_TRUE(taken == body) << taken.size() << " of " << body.size() << " bytes";
 }
 
-void config(const char* what, const std::string& text)
+struct LargeBody {
+    std::string plain, chunks;
+};
+
+LargeBody large_body()
 {
-    try {
-        const auto c = decode_config(text);
-        std::printf("%s: well-formed, %s, %zu operations\n", what, c.name.c_str(), c.setup.operations.size());
-    } catch (const ConfigException& bad) {
-        std::printf("%s: %s\n", what, bad.what());
+    LargeBody body;
+    for (int i = 0; i < 5000; ++i) {
+        const auto part = std::to_string(i) + " of a large body;";
+        char size[16];
+        std::snprintf(size, sizeof size, "%zx\r\n", part.size());
+        body.plain += part;
+        body.chunks += size + part + "\r\n";
     }
+    body.chunks += "0\r\n\r\n";
+    return body;
 }
 
-void list(const char* what, const std::string& text)
+TEST(LargeBody, OfAStatedLengthComesInPieces)
 {
-    const auto l = decode_list(setup(), text, Point{-1'000'000});
-    if (!l) return (void)std::printf("%s: no list\n", what);
-    std::printf("%s: version %llu, %s\n", what, static_cast<unsigned long long>(l->version),
-                l->told.all ? "all" : "changes");
-    for (const auto& e : l->told.entries)
-        std::printf("  %s %s presence %d zone %u cell %u started %.3f\n", e.uid.c_str(), e.endpoint.c_str(),
-                    static_cast<int>(e.phase), e.zone, e.cell,
-                    e.started ? static_cast<double>(e.started->us) * 1e-6 : -1);
+    const LargeBody body = large_body();
+    const auto head = ok + "Content-Length: " + std::to_string(body.plain.size()) + "\r\n\r\n";
+    for (const size_t size : {1u, 7u, 4096u, 50000u}) expect_in_pieces(head + body.plain, body.plain, size);
 }
 
-}  // namespace
+TEST(LargeBody, InChunksComesInPieces)
+{
+    const LargeBody body = large_body();
+    const auto head = ok + "Transfer-Encoding: chunked\r\n\r\n";
+    for (const size_t size : {1u, 7u, 4096u, 50000u}) expect_in_pieces(head + body.chunks, body.plain, size);
+}
+
+TEST(LargeBody, IsFramedAsChunksWhereItsLengthIsNotStated)
+{
+    EXPECT_EQ(encode_piece("ab", true, false), "2\r\nab\r\n");
+    EXPECT_EQ(encode_piece("", true, true), "0\r\n\r\n");
+    EXPECT_EQ(encode_piece("c", false, true), "c");
+}
+
+// ---- the configuration ----
 
-int main()
-{
-    const std::pair<std::string, std::string> id{"req-id", "1"};
-    request("plain", "/op/a?b=c", {id, {"Req-Deadline-Ms", "480"}, {"X", "y"}, {"Connection", "close"}});
-    request("a tenant, no deadline", "/op", {id, {"Req-Owner", "two"}});
-    request("a tenant that the settings do not name", "/op", {id, {"Req-Owner", "three"}});
-    request("a longer deadline than the operation's", "/op", {id, {"Req-Deadline-Ms", "99999"}});
-    request("unknown operation", "/other/op", {id});
-    request("no id", "/op", {});
-    request("no target", "op", {id});
-    request("a target with a space", "/op/a b", {id});
-    request("unreadable deadline", "/op", {id, {"Req-Deadline-Ms", "12x"}});
-    request("negative deadline", "/op", {id, {"Req-Deadline-Ms", "-1"}});
-    request("a stray carriage return", "/op", {id, {"X", "a\rReq-Id: 2"}});
-
-    const std::string ok = "HTTP/1.1 200 OK\r\n", length = "Content-Length: 4\r\n\r\nbody";
-    answer("plain", ok + "Srv-Load: queue=2,util=0.5,other=1\r\nX-A: b\r\n" + length);
-    answer("a report that cannot be read", ok + "Srv-Load: queue=nan,=,util\r\n" + length);
-    answer("declined", "HTTP/1.1 503 no\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n");
-    answer("closing", ok + "Connection: close\r\n" + length);
-    answer("old", "HTTP/1.0 200 OK\r\n" + length);
-    answer("lines without carriage returns", "HTTP/1.1 200 OK\nContent-Length: 1\n\nx");
-    answer("in chunks", ok + "Transfer-Encoding: chunked\r\n\r\n3;e=1\r\nabc\r\n1\r\nd\r\n0\r\nT: x\r\n\r\n");
-    answer("an interim answer first", "HTTP/1.1 100 Continue\r\n\r\n" + ok + length);
-    answer("a header in two lines", ok + "X: a\r\n b\r\n" + length);
-    answer("cut short", ok + "Content-Length: 9\r\n\r\nbody");
-    answer("chunks cut short", ok + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
-    answer("until its announced end", ok + "Connection: close\r\n\r\nbody");
-    answer("no length and no end announced", ok + "\r\nbody");
-    answer("two lengths", ok + "Content-Length: 5\r\n" + length);
-    answer("a negative length", ok + "Content-Length: -4\r\n\r\nbody");
-    answer("64 KiB", ok + "Content-Length: 65536\r\n\r\n" + std::string(65536, 'x'));
-    answer("more", ok + "Content-Length: 65537\r\n\r\n" + std::string(65537, 'x'));
-    answer("chunks of more", ok + "Transfer-Encoding: chunked\r\n\r\nffff\r\n" + std::string(65535, 'x') +
-                                 "\r\n2\r\nxx\r\n0\r\n\r\n");
-    answer("a head without end", ok + std::string(20000, 'x'));
-    answer("more bytes than the answer", ok + length + "rest", 20);
-    answer("no HTTP", "hello\r\n\r\n");
-    answer("a header without colon", ok + "hello\r\n\r\n");
-
-    const std::string post = "POST /op/a HTTP/1.1\r\nReq-Id: 7\r\n";
-    asked("in chunks, with extensions and trailers",
-          post + "Transfer-Encoding: chunked\r\n\r\n3;e=1\r\nabc\r\n1\r\nd\r\n0\r\nT: x\r\n\r\n");
-    asked("behind empty lines, with a host in its target",
-          "\r\n\r\nGET http://a/op/b?c HTTP/1.1\r\nReq-Id: 7\r\n\r\n");
-    asked("old", "POST /op HTTP/1.0\r\nReq-Id: 7\r\nContent-Length: 2\r\n\r\nab");
-    asked("closing", post + "Connection: close\r\nContent-Length: 1\r\n\r\na");
-    asked("two at once", post + "Content-Length: 1\r\n\r\na" + post + "Content-Length: 1\r\n\r\nb");
-    asked("a bad chunk", post + "Transfer-Encoding: chunked\r\n\r\n-1\r\nabc\r\n");
-    asked("a chunk that overflows", post + "Transfer-Encoding: chunked\r\n\r\nffffffffffffffffff\r\n");
-    asked("over 40 MiB", post + "Content-Length: 50000000\r\n\r\n");
-    asked("cut short", post + "Content-Length: 5\r\n\r\nabcd");
-    {
-        std::string body, framed;
-        for (int i = 0; i < 5000; ++i) {
-            const auto part = std::to_string(i) + " of a large body;";
-            char size[16];
-            std::snprintf(size, sizeof size, "%zx\r\n", part.size());
-            body += part, framed += size + part + "\r\n";
-        }
-        const auto stated = ok + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n";
-        in_pieces("a large body of a stated length", stated, body, body);
-        // Only from the size on at which an answer is passed on.
-        std::printf("pieces are framed as chunks: '%s' '%s' '%s'\n", encode_piece("ab", true, false).c_str(),
-                    encode_piece("", true, true).c_str(), encode_piece("c", false, true).c_str());
-        in_pieces("a large body in chunks", ok + "Transfer-Encoding: chunked\r\n\r\n", body,
-                  framed + "0\r\n\r\n");
+const std::string config_head = R"({"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"ff")";
+const std::string operation = R"({"name":"op","repeat":"free"})";
+
+std::string config_error(const std::string& text)
+{
+    try {
+        (void)decode_config(text);
+    } catch (const ConfigException& error) {
+        return error.what();
     }
-    const std::string head = R"({"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"ff")";
-    const std::string op = R"({"name":"op","repeat":"free"})";
-    config("configuration", head + R"(,"name":"n1","settings":{"operations":[)" + op + "]}}");
-    config("no JSON", "{");
-    config("no settings", head + "}");
-    config("no operations", head + R"(,"settings":{}})");
-    config("a bad choice", head + R"(,"settings":{"operations":[{"name":"op","repeat":"maybe"}]}})");
-    config("a bad number", head + R"(,"settings":{"contract":{"cold_us":"x"},"operations":[)" + op + "]}}");
-    for (const char* bad :
-         {R"({"contract":{"left_margin_us":-1},)", R"({"contract":{"ready_margin_us":"1s"},)",
-          R"({"policy_limits":{"reply_slots":0},)", R"({"policy_limits":{"reply_slots":2.5},)"})
-        config("a bad margin or count", head + R"(,"settings":)" + bad + R"("operations":[)" + op + "]}}");
-    config("a bad address", R"({"listen":"here","discovery":"127.0.0.1:2","seed":"ff","settings":{}})");
-    config("a bad seed", R"({"listen":"a:1","discovery":"a:2","seed":"xyz","settings":{}})");
-    config("a bad limit", head + R"(,"limits":{"sockets":3},"settings":{}})");
-    std::printf(
-        "flat and nested settings say the same: %s\n",
-        [] {
-            const auto flat =
-                decode_settings(split_lines("operations.count=1\noperations.0.name=op\noperations.0.repeat="
-                                            "guarded\noperations.0.group=zone\n"
-                                            "contract.cold_share=0.25\ntelemetry.fields=depth,tps\npolicy_"
-                                            "limits.cancel=true\ndcs=x,y\ntier=1"));
-            const auto nested =
-                decode_config(
-                    R"({"listen":"a:1","discovery":"a:2","seed":"1","settings":{"dcs":["x","y"],"tier":1,
+    return "";
+}
+
+TEST(Configuration, IsTakenWhole)
+{
+    const auto config =
+        decode_config(config_head + R"(,"name":"n1","settings":{"operations":[)" + operation + "]}}");
+    EXPECT_EQ(config.name, "n1");
+    EXPECT_EQ(config.setup.operations.size(), 1u);
+}
+
+TEST(Configuration, IsRefusedWhereAPartIsMissing)
+{
+    EXPECT_EQ(config_error("{"), "the configuration is not a JSON object");
+    EXPECT_EQ(config_error(config_head + "}"), "settings: an object is expected");
+    EXPECT_EQ(config_error(config_head + R"(,"settings":{}})"),
+              "settings.operations: at least one is expected");
+}
+
+TEST(Configuration, IsRefusedForAValueThatCannotBeRead)
+{
+    const auto with = [](const std::string& settings) {
+        return config_head + R"(,"settings":)" + settings + R"("operations":[)" + operation + "]}}";
+    };
+    EXPECT_EQ(config_error(config_head + R"(,"settings":{"operations":[{"name":"op","repeat":"maybe"}]}})"),
+              "settings: unreadable setting operations.0.repeat=maybe");
+    EXPECT_EQ(config_error(with(R"({"contract":{"cold_us":"x"},)")),
+              "settings: unreadable setting contract.cold_us=x");
+    EXPECT_EQ(config_error(with(R"({"contract":{"left_margin_us":-1},)")),
+              "settings: unreadable setting contract.left_margin_us=-1");
+    EXPECT_EQ(config_error(with(R"({"contract":{"ready_margin_us":"1s"},)")),
+              "settings: unreadable setting contract.ready_margin_us=1s");
+    const std::string bad_count =
+        "settings: policy_limits.reply_slots: a whole number of 1 or more is expected";
+    EXPECT_EQ(config_error(with(R"({"policy_limits":{"reply_slots":0},)")), bad_count);
+    EXPECT_EQ(config_error(with(R"({"policy_limits":{"reply_slots":2.5},)")), bad_count);
+}
+
+TEST(Configuration, IsRefusedForABadAddressSeedOrLimit)
+{
+    EXPECT_EQ(config_error(R"({"listen":"here","discovery":"127.0.0.1:2","seed":"ff","settings":{}})"),
+              "listen: address:port is expected, not 'here'");
+    EXPECT_EQ(config_error(R"({"listen":"a:1","discovery":"a:2","seed":"xyz","settings":{}})"),
+              "seed: a hexadecimal number of up to 16 digits is expected, not 'xyz'");
+    EXPECT_EQ(config_error(config_head + R"(,"limits":{"sockets":3},"settings":{}})"),
+              "limits.sockets: a number of 64 or more is expected");
+}
+
+TEST(Configuration, SaysTheSameFlatAndNested)
+{
+    const auto flat = decode_settings(split_lines(
+        "operations.count=1\noperations.0.name=op\noperations.0.repeat=guarded\noperations.0.group=zone\n"
+        "contract.cold_share=0.25\ntelemetry.fields=depth,tps\npolicy_limits.cancel=true\ndcs=x,y\n"
+        "tier=1"));
+    const auto nested =
+        decode_config(
+            R"({"listen":"a:1","discovery":"a:2","seed":"1","settings":{"dcs":["x","y"],"tier":1,
                 "operations":[{"name":"op","repeat":"guarded","group":"zone"}],"contract":{"cold_share":0.25},
                 "telemetry":{"fields":["depth","tps"]},"policy_limits":{"cancel":true}}})")
-                    .setup;
-            const auto &a = flat.settings, &b = nested.settings;
-            return flat.operations == nested.operations && flat.zones == nested.zones &&
-                   flat.report == nested.report && flat.report_names == nested.report_names &&
-                   a.cold_share == b.cold_share && a.tier == b.tier &&
-                   a.operations[0].repeat == b.operations[0].repeat && a.may_cancel && b.may_cancel &&
-                   a.operations[0].group == DeduplicationScope::zone &&
-                   b.operations[0].group == DeduplicationScope::zone && a.tier == 1;
-        }()
-            ? "yes"
-            : "no");
-
-    list("list", R"({"rev":7,"all":true,"targets":[{"uid":"a","endpoint":"1.2.3.4:5","az":"y","pod_group":3,
+            .setup;
+    EXPECT_EQ(flat.operations, nested.operations);
+    EXPECT_EQ(flat.zones, nested.zones);
+    EXPECT_TRUE(flat.report == nested.report);
+    EXPECT_EQ(flat.report_names, nested.report_names);
+    EXPECT_EQ(flat.settings.cold_share, nested.settings.cold_share);
+    EXPECT_EQ(flat.settings.tier, 1u);
+    EXPECT_EQ(nested.settings.tier, 1u);
+    EXPECT_EQ(flat.settings.operations[0].repeat, nested.settings.operations[0].repeat);
+    EXPECT_TRUE(flat.settings.may_cancel);
+    EXPECT_TRUE(nested.settings.may_cancel);
+    EXPECT_EQ(flat.settings.operations[0].group, DeduplicationScope::zone);
+    EXPECT_EQ(nested.settings.operations[0].group, DeduplicationScope::zone);
+}
+
+// ---- lists of upstreams ----
+
+std::optional<List> decoded(const std::string& text)
+{
+    return decode_list(service_config(), text, Point{-1'000'000});
+}
+
+void expect_entry(const ListedEndpoint& entry, const std::string& uid, const std::string& endpoint,
+                  EndpointPhase phase, uint32_t zone, uint32_t cell, std::optional<Point> started)
+{
+    EXPECT_EQ(entry.uid, uid);
+    EXPECT_EQ(entry.endpoint, endpoint);
+    EXPECT_EQ(entry.phase, phase);
+    EXPECT_EQ(entry.zone, zone);
+    EXPECT_EQ(entry.cell, cell);
+    EXPECT_EQ(entry.started, started);
+}
+
+TEST(EndpointList, HasAllFieldsOfItsEntries)
+{
+    const auto list =
+        decoded(R"({"rev":7,"all":true,"targets":[{"uid":"a","endpoint":"1.2.3.4:5","az":"y","pod_group":3,
         "state":"ready","boot_ms":2500},{"uid":"b","endpoint":"e","az":"?","state":"draining","boot_ms":0}]})");
-    list("changes", R"({"rev":8,"all":false,"targets":[{"uid":"a","state":"gone"}]})");
-    list("an unknown state", R"({"rev":8,"all":false,"targets":[{"uid":"a","state":"odd"}]})");
-    list("no targets", R"({"rev":8})");
-    list("no JSON", "rev 8");
+    ASSERT_TRUE(list);
+    EXPECT_EQ(list->version, 7u);
+    EXPECT_TRUE(list->told.all);
+    ASSERT_EQ(list->told.entries.size(), 2u);
+    expect_entry(list->told.entries[0], "a", "1.2.3.4:5", EndpointPhase::ready, 1, 3, Point{1'500'000});
+    expect_entry(list->told.entries[1], "b", "e", EndpointPhase::draining, 2, 0, std::nullopt);
+}
+
+TEST(EndpointList, HasChanges)
+{
+    const auto gone = decoded(R"({"rev":8,"all":false,"targets":[{"uid":"a","state":"gone"}]})");
+    ASSERT_TRUE(gone && gone->told.entries.size() == 1);
+    EXPECT_EQ(gone->version, 8u);
+    EXPECT_FALSE(gone->told.all);
+    expect_entry(gone->told.entries[0], "a", "", EndpointPhase::gone, 2, 0, std::nullopt);
 }
+
+TEST(EndpointList, TakesAnUnknownStateForDraining)
+{
+    const auto odd = decoded(R"({"rev":8,"all":false,"targets":[{"uid":"a","state":"odd"}]})");
+    ASSERT_TRUE(odd && odd->told.entries.size() == 1);
+    EXPECT_EQ(odd->version, 8u);
+    EXPECT_FALSE(odd->told.all);
+    expect_entry(odd->told.entries[0], "a", "", EndpointPhase::draining, 2, 0, std::nullopt);
+}
+
+TEST(EndpointList, IsNoneWithoutTargetsOrJson)
+{
+    EXPECT_FALSE(decoded(R"({"rev":8})"));
+    EXPECT_FALSE(decoded("rev 8"));
+}
+
+}  // namespace
+}  // namespace firtide::net
