--- a/tests/reducer.cpp
+++ b/tests/reducer.cpp
@@ -1,388 +1,969 @@
-// What the reducer asks for, event by event: no sockets.
+// What the reducer asks for, event by event: no sockets. Each case states all effects and the statistics at
+// its end.
 #include "src/net/reducer.h"
 
-#include "trace.h"
+#include <gtest/gtest.h>
 
-using namespace firtide;
-using namespace firtide::net;
+#include "balancer_host.h"
 
+namespace firtide::net
+{
 namespace
 {
 
-ServiceConfig setup(Idempotency repeat)
+using Lines = std::vector<std::string>;
+
+ServiceConfig service_config(Idempotency repeat)
 {
-    ServiceConfig s;
-    s.settings = Stage::settings(Stage::op(repeat));
-    s.operations = {"op"};
-    s.report_names = {"q"};
-    s.report = {&LoadReport::queue};
-    return s;
+    ServiceConfig config;
+    config.settings = BalancerHost::settings(BalancerHost::op(repeat));
+    config.operations = {"op"};
+    config.report_names = {"q"};
+    config.report = {&LoadReport::queue};
+    return config;
 }
 
-class Play
+ListedEndpoint endpoint_a(EndpointPhase phase, const char* address = "1.1.1.1:1")
+{
+    return {"a", address, phase, 0, 0, 1, {}};
+}
+
+ListedEndpoint endpoint_b(EndpointPhase phase = EndpointPhase::ready)
+{
+    return {"b", "2.2.2.2:2", phase, 0, 0, 1, {}};
+}
+
+std::string two_decimals(Span span)
+{
+    char text[32];
+    std::snprintf(text, sizeof text, "%.2f", span.seconds());
+    return text;
+}
+
+// Writes each effect as a line.
+class EffectWriter
 {
   public:
-    Play(const char* what, Idempotency repeat, bool probes = false, Span client_timeout = seconds(2))
-        : setup_(setup(repeat))
-    {
-        setup_.settings.operations[0].client_timeout = client_timeout;
-        std::printf("-- %s\n", what);
-        setup_.settings.may_probe = setup_.settings.reports_by_probe = probes;
-        reducer = std::make_unique<Reducer>(setup_, 1, "here:1");
-        tell(ServiceStarted{});
-        list(true, {{"a", "1.1.1.1:1", EndpointPhase::ready, 0, 0, 1, {}}});
-    }
-    ~Play() { figures(); }
-    void list(bool all, std::vector<ListedEndpoint> entries)
-    {
-        tell(EndpointListUpdated{all, std::move(entries)});
-    }
-    void arrive(RequestId caller = 1, const char* id = nullptr, Span left = seconds(2))
+    explicit EffectWriter(Lines& lines) : lines_(lines) {}
+
+    void operator()(const SendResponse& effect)
     {
-        const std::string name = id ? id : "id" + std::to_string(caller);
-        tell(RequestReceived{caller,
-                             {"POST", "/op/x?y", name, 0, 0, left, {{"Req-Id", name}}, "body", edition}});
+        add("answer caller " + std::to_string(effect.caller) + ": " + std::to_string(effect.response.status) +
+            (effect.response.passed_on.empty() ? "" : ", come back later") +
+            (effect.last_on_connection ? ", the last on its connection" : ""));
     }
-    void answered(int status, bool declined = false, LoadReport report = {})
+    void operator()(const ConnectUpstream& effect)
     {
-        tell(ResponseReceived{last, {status, declined, report, {}, "an answer"}});
+        add("dial " + effect.endpoint + " for attempt " + std::to_string(effect.attempt) + " within " +
+            two_decimals(effect.limit) + " s");
     }
-    void failed(AttemptProgress progress, FailureCause cause)
+    void operator()(const WriteUpstream& effect)
     {
-        tell(AttemptFailed{last, {progress, cause}});
+        const auto end = effect.bytes.find('\r');
+        const std::string what = end == std::string::npos ? std::to_string(effect.bytes.size()) + " bytes"
+                                                          : effect.bytes.substr(0, end);
+        add("write " + what + (effect.more ? ", more follows" : ""));
     }
-    void tell(Event event)
+    void operator()(const SetResponseReading& effect)
     {
-        now = now + seconds(0.01);
-        for (const Effect& e : reducer->reduce(now, std::move(event))) {
-            if (const auto* d = std::get_if<ConnectUpstream>(&e)) last = d->attempt;
-            if (quiet) continue;
-            if (const auto* a = std::get_if<SendResponse>(&e))
-                std::printf("answer caller %llu: %d%s%s\n", static_cast<unsigned long long>(a->caller),
-                            a->response.status, a->response.passed_on.empty() ? "" : ", come back later",
-                            a->last_on_connection ? ", the last on its connection" : "");
-            if (const auto* d = std::get_if<ConnectUpstream>(&e)) {
-                std::printf("dial %s for attempt %llu within %.2f s\n", d->endpoint.c_str(),
-                            static_cast<unsigned long long>(d->attempt), d->limit.seconds());
-            }
-            if (const auto* w = std::get_if<WriteUpstream>(&e))
-                std::printf("write %s%s\n",
-                            w->bytes.find('\r') == std::string::npos
-                                ? (std::to_string(w->bytes.size()) + " bytes").c_str()
-                                : first_line(w->bytes).c_str(),
-                            w->more ? ", more follows" : "");
-            if (const auto* r = std::get_if<SetResponseReading>(&e))
-                std::printf("%s\n", r->more ? "read on from the upstream" : "hold the upstream");
-            if (const auto* h = std::get_if<SetRequestReading>(&e))
-                std::printf("%s\n", h->more ? "read on from the caller" : "hold the caller");
-            if (const auto* c = std::get_if<SendResponseChunk>(&e))
-                std::printf("pass %zu bytes%s\n", c->bytes.size(), c->last ? ", the last" : "");
-            if (std::get_if<AbortResponse>(&e)) std::printf("cut the answer\n");
-            if (const auto* l = std::get_if<SetAttemptTimeout>(&e))
-                std::printf("within %.2f s\n", l->limit.seconds());
-            if (const auto* o = std::get_if<AdminCommandResult>(&e))
-                std::printf("%s, %d\n", o->success ? "obeyed" : "not obeyed",
-                            static_cast<int>(o->serving_state));
-            if (const auto* m = std::get_if<MoveEndpointWatch>(&e))
-                std::printf("move the watch to %s\n", m->discovery.c_str());
-            if (std::get_if<CloseUpstream>(&e)) std::printf("hang up\n");
-            if (const auto* w = std::get_if<CancelWrite>(&e))
-                std::printf("withdraw attempt %llu\n", static_cast<unsigned long long>(w->attempt));
-            if (const auto* c = std::get_if<CloseIdle>(&e))
-                std::printf("close idle connections of u%u\n", c->upstream_id);
-            if (const auto* w = std::get_if<StartTimer>(&e)) woken_ = w->name;
-        }
+        add(effect.more ? "read on from the upstream" : "hold the upstream");
     }
-    void wake() { tell(TimerFired{woken_}); }
-    void bring(RequestId caller, size_t bytes, bool whole)
+    void operator()(const SetRequestReading& effect)
     {
-        tell(RequestChunkReceived{caller, std::string(bytes, 'x'), whole});
+        add(effect.more ? "read on from the caller" : "hold the caller");
     }
-    void begin(RequestId caller)  // a request that is too large to come whole
+    void operator()(const SendResponseChunk& effect)
     {
-        Request r{"POST", "/op/x", "id" + std::to_string(caller), 0, 0, seconds(2), {}, "begun", edition};
-        r.more = true, r.length = 300000;
-        tell(RequestReceived{caller, std::move(r)});
+        add("pass " + std::to_string(effect.bytes.size()) + " bytes" + (effect.last ? ", the last" : ""));
     }
-    void begins_answer(int status = 200)
+    void operator()(const AbortResponse&) { add("cut the answer"); }
+    void operator()(const SetAttemptTimeout& effect) { add("within " + two_decimals(effect.limit) + " s"); }
+    void operator()(const AdminCommandResult& effect)
     {
-        Response r{status, false, {}, {}, "begun"};
-        r.more = true, r.length = 300000;
-        tell(ResponseReceived{last, std::move(r)});
+        add((effect.success ? "obeyed, " : "not obeyed, ") +
+            std::to_string(static_cast<int>(effect.serving_state)));
     }
-    void comes(size_t bytes, bool whole)
+    void operator()(const MoveEndpointWatch& effect) { add("move the watch to " + effect.discovery); }
+    void operator()(const CloseUpstream&) { add("hang up"); }
+    void operator()(const CancelWrite& effect) { add("withdraw attempt " + std::to_string(effect.attempt)); }
+    void operator()(const CloseIdle& effect)
     {
-        tell(ResponseChunkReceived{last, std::string(bytes, 'x'), whole});
+        add("close idle connections of u" + std::to_string(effect.upstream_id));
     }
-    // Whatever happened: what was taken is answered, in flight or left.
-    void figures() const
+    template <class Other>
+    void operator()(const Other&)
     {
-        const auto f = reducer->figures();
-        uint64_t answered = 0;
-        for (const auto& [name, n] : f.of_operation) {
-            answered += n.success + n.busy + n.failure;
-            std::printf("%s: %d succeeded, %d throttled, %d errored; ", name.c_str(),
-                        static_cast<int>(n.success), static_cast<int>(n.busy), static_cast<int>(n.failure));
-        }
-        std::printf("%d written, %zu in flight, %zu listed, %zu avoided%s\n",
-                    static_cast<int>(f.backend_calls), f.inflight, f.hosts_listed, f.hosts_down,
-                    f.taken == answered + f.inflight + f.left ? "" : "; TAKEN IS ANOTHER SUM");
-    }
-    void connected() { tell(UpstreamConnected{last}); }
-    void margin(Span by)  // of clocks, by new settings
-    {
-        setup_.settings.left_margin = by;
-        tell(ConfigReloaded{"here:1", setup_});
-        ++edition;
-    }
-    static ListedEndpoint b(EndpointPhase p = EndpointPhase::ready)
-    {
-        return {"b", "2.2.2.2:2", p, 0, 0, 1, {}};
-    }
-    static ListedEndpoint a(EndpointPhase p, const char* endpoint = "1.1.1.1:1")
-    {
-        return {"a", endpoint, p, 0, 0, 1, {}};
     }
 
-    std::unique_ptr<Reducer> reducer;
-    Point now{1'000'000'000};
-    AttemptId last = 0;
-    bool quiet = false;
-    uint32_t edition = 0;  // of the settings that requests are decoded with
-
   private:
-    ServiceConfig setup_;
-    uint64_t woken_ = 0;
-};
+    void add(std::string line) { lines_.push_back(std::move(line)); }
 
-}  // namespace
+    Lines& lines_;
+};
 
-int main()
+// Plays a host of the reducer, with one upstream "a" at first.
+class Play
 {
+  public:
+    explicit Play(Idempotency repeat, bool probes = false, Span client_timeout = seconds(2))
+        : config_(service_config(repeat))
     {
-        Play p("served; a late word of the same attempt is nothing", Idempotency::idempotent);
-        p.arrive(), p.connected(), p.answered(200), p.answered(200),
-            p.failed(AttemptProgress::written, FailureCause::broken);
-    }
-    for (const bool safe : {true, false}) {
-        const auto repeat = safe ? Idempotency::idempotent : Idempotency::non_idempotent;
-        const std::string of = safe ? ", idempotent" : ", non-idempotent";
-        const auto play = [&](const char* what, auto how) {
-            Play p((what + of).c_str(), repeat);
-            p.arrive(), p.connected(), how(p);
-        };
-        play("a bare 503 proves nothing", [](Play& p) { p.answered(503); });
-        play("declined: it never ran", [](Play& p) { p.answered(503, true); });
-        play("a 400 finds fault with the request", [](Play& p) { p.answered(400); });
-        play("a 500 may have run", [](Play& p) { p.answered(500); });
-        play("broken after the last byte",
-             [](Play& p) { p.failed(AttemptProgress::written, FailureCause::broken); });
-        play("broken within the answer",
-             [](Play& p) { p.failed(AttemptProgress::answering, FailureCause::broken); });
-        play("an unreadable answer",
-             [](Play& p) { p.failed(AttemptProgress::answering, FailureCause::malformed); });
-        play("broken before the last byte",
-             [](Play& p) { p.failed(AttemptProgress::partly_written, FailureCause::broken); });
-        play("time is up before the last byte",
-             [](Play& p) { p.failed(AttemptProgress::partly_written, FailureCause::no_answer_in_time); });
-        play("time is up after it",
-             [](Play& p) { p.failed(AttemptProgress::written, FailureCause::no_answer_in_time); });
-        play("no descriptor left",
-             [](Play& p) { p.failed(AttemptProgress::not_connected, FailureCause::no_descriptor); });
-    }
-    {
-        Play p("drained while the connection was being made: not a byte goes out",
-               Idempotency::non_idempotent);
-        p.arrive(), p.list(false, {Play::a(EndpointPhase::draining), Play::b()}), p.connected(),
-            p.connected();
-    }
-    {
-        Play p("a whole list without it: the same", Idempotency::non_idempotent);
-        p.arrive(), p.list(true, {Play::b()}), p.connected();
-    }
-    {
-        Play p("moved while the connection was being made", Idempotency::non_idempotent);
-        p.arrive(), p.list(false, {Play::a(EndpointPhase::ready, "3.3.3.3:3")}), p.connected(), p.connected();
-    }
-    {
-        Play p("the caller leaves while the connection is being made", Idempotency::idempotent);
-        p.arrive(), p.tell(DownstreamDisconnected{1}), p.connected(), p.tell(DownstreamDisconnected{1});
-        std::printf("%zu in flight\n", p.reducer->in_flight());
-    }
-    {
-        Play p("the caller leaves, and the answer comes all the same", Idempotency::non_idempotent);
-        p.arrive(), p.connected(), p.tell(DownstreamDisconnected{1}), p.answered(200);
-        std::printf("%zu in flight\n", p.reducer->in_flight());
-    }
-    {
-        Play p("time is up before the connection is there", Idempotency::non_idempotent);
-        p.arrive(), p.now = p.now + seconds(3), p.connected();
-    }
-    {
-        // What is out goes on; nothing begins later, for it may have gone.
-        Play p("a caller closes its sending side, and its forward fails later", Idempotency::idempotent);
-        p.list(false, {Play::b()});
-        p.arrive(), p.connected(), p.tell(DownstreamHalfClosed{1}), p.now = p.now + seconds(0.1);
-        p.answered(503, true);
-    }
-    {
-        Play p("a caller closes its sending side, and the connection comes late", Idempotency::idempotent);
-        p.arrive(), p.tell(DownstreamHalfClosed{1}), p.now = p.now + seconds(0.1), p.connected();
-    }
-    {
-        Play p("a list tells of a drain while the request waits to leave", Idempotency::non_idempotent);
-        p.list(false, {Play::b()});
-        p.arrive(), p.connected();
-        p.list(false, {Play::a(EndpointPhase::draining), Play::b(EndpointPhase::draining)});
-        p.failed(AttemptProgress::partly_written, FailureCause::withdrawn);
-    }
-    for (const double late : {0.1, 2.5}) {
-        // Recognised as a repeat for 2 s: the gate looks again when the connection is there.
-        Play p(
-            late < 1 ? "a second forward within the window" : "its connection comes when the window is over",
-            Idempotency::deduplicated);
-        p.list(false, {Play::b()});
-        p.arrive(1, nullptr, seconds(6)), p.connected(),
-            p.failed(AttemptProgress::written, FailureCause::broken);
-        p.now = p.now + seconds(late), p.connected();
-    }
-    for (const auto waits : {seconds(0.5), seconds(2), seconds(8)}) {
-        Play p("stopping, by how long clients wait", Idempotency::idempotent, false, waits);
-        p.margin(seconds(0.2));
-        std::printf("%.1f s: answers for %.1f s\n", waits.seconds(), p.reducer->answers_for().seconds());
-        p.tell(ShutdownStarted{});
-        for (const double after : {0.3, 0.7, 1.9})
-            std::printf("%.1f s after: callers are %s\n", after,
-                        p.reducer->turns_out(p.now + seconds(after)) ? "turned out" : "served");
-        p.now = p.now + seconds(0.5), p.arrive(1, nullptr, seconds(8));
-    }
-    {
-        Play p("stopping", Idempotency::idempotent);
-        p.arrive(), p.connected(), p.tell(ShutdownStarted{}), p.answered(200);
-        // Served on for a while, in time before the process may be killed; then each answer is the last.
-        p.now = p.now + seconds(1.9), p.arrive(2), p.now = p.now + seconds(0.2), p.connected(),
-        p.answered(200);
-        std::printf("%s\n", p.reducer->ready() ? "ready" : "not ready");
-    }
-    {
-        Play p("probes of what is in use", Idempotency::idempotent, true);
-        p.arrive(), p.connected(), p.answered(200), p.wake(), p.connected(), p.answered(200);
-    }
-    {
-        // Guards against a restarted watch where nothing moved, and against losing the list where it does.
-        Play p("the configuration is read again, the second time with another discovery",
-               Idempotency::idempotent);
-        p.tell(ConfigReloaded{"here:1", {}}), p.tell(ConfigReloaded{"there:1", {}}), p.arrive(),
-            p.connected(), p.answered(200);
-    }
-    {
-        // Guards against a request that was read under other settings being taken for another operation.
-        Play p("new settings: its operation has another place, then none", Idempotency::non_idempotent);
-        ServiceConfig next = setup(Idempotency::non_idempotent);
-        next.operations = {"other", "op"};
-        next.settings.operations.insert(next.settings.operations.begin(), Stage::op(Idempotency::idempotent));
-        p.arrive(1), p.connected(), p.tell(ConfigReloaded{"here:1", next}), p.arrive(2), p.connected();
-        p.failed(AttemptProgress::written, FailureCause::broken);
-        next.operations = {"other", "third"};
-        p.tell(ConfigReloaded{"here:1", next}), p.arrive(3);
-    }
-    {
-        // Guards against an id that is taken twice: only once it is answered, or its caller gone, is it free.
-        Play p("the id of a request that is open", Idempotency::non_idempotent);
-        p.arrive(1, "x"), p.connected(), p.arrive(2, "x"), p.answered(200), p.arrive(3, "x"), p.connected();
-        p.tell(DownstreamDisconnected{3}), p.arrive(4, "x");
+        config_.settings.operations[0].client_timeout = client_timeout;
+        config_.settings.may_probe = config_.settings.reports_by_probe = probes;
+        reducer = std::make_unique<Reducer>(config_, 1, "here:1");
+        tell(ServiceStarted{});
+        list(true, {endpoint_a(EndpointPhase::ready)});
     }
+
+    void tell(Event event)
     {
-        // Guards against growing with every upstream that ever was, and against a place that is given away
-        // while an invocation still counts on what was in it.
-        Play p("a thousand upstreams, one after the other; an invocation stays open at the first",
-               Idempotency::non_idempotent);
-        p.arrive(1), p.connected();
-        std::fflush(stdout);
-        p.quiet = true;
-        for (int i = 0; i < 1000; ++i) {
-            const auto name = [](int n) { return n < 0 ? "a" : "u" + std::to_string(n); };
-            p.list(false, {{name(i - 1), "x", EndpointPhase::gone, 0, 0, 1, {}},
-                           {name(i), "1.1.1.1:" + std::to_string(i), EndpointPhase::ready, 0, 0, 1, {}}});
-            p.arrive(2), p.connected(), p.answered(200);
+        now = now + seconds(0.01);
+        for (const Effect& effect : reducer->reduce(now, std::move(event))) {
+            if (const auto* connect = std::get_if<ConnectUpstream>(&effect)) last = connect->attempt;
+            if (const auto* timer = std::get_if<StartTimer>(&effect)) last_timer_ = timer->name;
+            if (!quiet) std::visit(EffectWriter(lines), effect);
         }
-        p.quiet = false;
-        std::printf("%zu places\n", p.reducer->places());
-        p.arrive(3), p.connected(), p.answered(200);
-    }
-    {
-        Play p("a whole list with a new upstream before a known one: nothing is closed",
-               Idempotency::idempotent);
-        p.list(true, {Play::b(), Play::a(EndpointPhase::ready)});
-        std::printf("%zu places\n", p.reducer->places());
     }
+    void pass(double time) { now = now + seconds(time); }
+    void list(bool all, std::vector<ListedEndpoint> entries)
     {
-        Play p("the lifecycle: drain twice, resume, resume again, and once it stops",
-               Idempotency::idempotent);
-        AdminConnectionId id = 0;
-        for (const auto order :
-             {AdminCommand::ready, AdminCommand::drain, AdminCommand::drain, AdminCommand::ready,
-              AdminCommand::resume, AdminCommand::resume, AdminCommand::ready, AdminCommand::drain})
-            p.tell(AdminCommandReceived{++id, order});
-        // Read again while drained: still drained.
-        p.tell(ConfigReloaded{"there:1", {}}), p.tell(AdminCommandReceived{++id, AdminCommand::ready});
-        p.arrive(1), p.connected(), p.answered(200);
-        p.now = p.now + seconds(0.5), p.arrive(2), p.connected(), p.answered(200);
-        p.tell(ShutdownStarted{}), p.tell(AdminCommandReceived{++id, AdminCommand::resume}),
-            p.tell(AdminCommandReceived{++id, AdminCommand::ready});
+        tell(EndpointListUpdated{all, std::move(entries)});
     }
+    void arrive(RequestId caller = 1, const char* id = nullptr, Span left = seconds(2))
     {
-        Play p("a large answer: its upstream is held while the caller takes nothing",
-               Idempotency::non_idempotent);
-        p.arrive(), p.connected(), p.begins_answer(), p.figures();
-        for (int i = 0; i < 5; ++i) p.comes(20000, false);
-        p.tell(ResponseDrained{1}), p.comes(20000, true), p.figures(), p.tell(ResponseDrained{1});
+        const std::string name = id ? id : "id" + std::to_string(caller);
+        tell(RequestReceived{caller,
+                             {"POST", "/op/x?y", name, 0, 0, left, {{"Req-Id", name}}, "body", edition}});
     }
+    void connected() { tell(UpstreamConnected{last}); }
+    void written() { tell(RequestWritten{last}); }
+    void answered(int status, bool declined = false)
     {
-        Play p("it breaks in the middle: nothing else follows", Idempotency::idempotent);
-        p.arrive(), p.connected(), p.begins_answer(),
-            p.failed(AttemptProgress::answering, FailureCause::broken);
-        p.answered(200);
+        tell(ResponseReceived{last, {status, declined, {}, {}, "an answer"}});
     }
+    void failed(AttemptProgress progress, FailureCause cause)
     {
-        Play p("its caller leaves in the middle", Idempotency::idempotent);
-        p.arrive(), p.connected(), p.begins_answer(), p.tell(DownstreamDisconnected{1}), p.comes(10, true);
+        tell(AttemptFailed{last, {progress, cause}});
     }
+    void leaves(RequestId caller) { tell(DownstreamDisconnected{caller}); }
+    void half_closes(RequestId caller) { tell(DownstreamHalfClosed{caller}); }
+    void command(AdminCommand command) { tell(AdminCommandReceived{++last_command_, command}); }
+    void fire_timer() { tell(TimerFired{last_timer_}); }
+    // A request that is too large to come whole.
+    void begin(RequestId caller)
     {
-        Play p("a large error, and a large answer to a caller who has left", Idempotency::non_idempotent);
-        p.arrive(), p.connected(), p.begins_answer(500);
-        p.arrive(2), p.connected(), p.tell(DownstreamDisconnected{2}), p.begins_answer();
+        Request request{"POST",  "/op/x", "id" + std::to_string(caller), 0, 0, seconds(2), {},
+                        "begun", edition};
+        request.more = true;
+        request.length = 300000;
+        tell(RequestReceived{caller, std::move(request)});
     }
+    void bring(RequestId caller, size_t bytes, bool last_chunk)
     {
-        Play p("a large request: its time begins with its last byte", Idempotency::non_idempotent);
-        p.begin(1), p.connected(), p.tell(RequestWritten{p.last}), p.now = p.now + seconds(30);
-        p.bring(1, 40000, false), p.bring(1, 40000, false), p.tell(RequestWritten{p.last});
-        p.bring(1, 10, true), p.tell(RequestWritten{p.last}), p.figures(), p.answered(200);
+        tell(RequestChunkReceived{caller, std::string(bytes, 'x'), last_chunk});
     }
+    // An answer that is too large to come whole.
+    void begins_answer(int status = 200)
     {
-        Play p("it breaks while all that has gone is held: forwarded again", Idempotency::non_idempotent);
-        p.begin(1), p.connected(), p.failed(AttemptProgress::partly_written, FailureCause::broken),
-            p.connected();
-        p.tell(RequestWritten{p.last}), p.bring(1, 10, true), p.answered(200);
+        Response response{status, false, {}, {}, "begun"};
+        response.more = true;
+        response.length = 300000;
+        tell(ResponseReceived{last, std::move(response)});
     }
+    void comes(size_t bytes, bool last_chunk)
     {
-        Play p("it breaks later: nothing ran, and a retry is safe", Idempotency::non_idempotent);
-        p.begin(1), p.connected(), p.tell(RequestWritten{p.last}), p.bring(1, 10, false);
-        p.failed(AttemptProgress::partly_written, FailureCause::broken);
+        tell(ResponseChunkReceived{last, std::string(bytes, 'x'), last_chunk});
     }
+    // New settings with another margin of clocks.
+    void set_margin(Span margin)
     {
-        Play p("it was sent whole, and breaks: it may have run, and cannot be sent again",
-               Idempotency::idempotent);
-        p.begin(1), p.connected(), p.tell(RequestWritten{p.last}), p.bring(1, 10, true);
-        p.failed(AttemptProgress::written, FailureCause::broken);
+        config_.settings.left_margin = margin;
+        tell(ConfigReloaded{"here:1", config_});
+        ++edition;
     }
+    void note(std::string line) { lines.push_back(std::move(line)); }
+
+    // Whatever happened: what was taken is answered, in flight or left.
+    void write_statistics()
     {
-        Play p("its caller stops half way", Idempotency::non_idempotent);
-        p.begin(1), p.connected(), p.tell(RequestWritten{p.last}), p.bring(1, 10, false),
-            p.tell(DownstreamDisconnected{1});
+        const auto figures = reducer->figures();
+        uint64_t answered = 0;
+        std::string line;
+        for (const auto& [name, count] : figures.of_operation) {
+            answered += count.success + count.busy + count.failure;
+            line += name + ": " + std::to_string(count.success) + " succeeded, " +
+                    std::to_string(count.busy) + " throttled, " + std::to_string(count.failure) +
+                    " errored; ";
+        }
+        line += std::to_string(figures.backend_calls) + " written, " + std::to_string(figures.inflight) +
+                " in flight, " + std::to_string(figures.hosts_listed) + " listed, " +
+                std::to_string(figures.hosts_down) + " avoided";
+        EXPECT_EQ(figures.taken, answered + figures.inflight + figures.left);
+        note(line);
     }
+    Lines finish()
     {
-        Play p("no upstream at all", Idempotency::idempotent);
-        p.list(true, {}), p.arrive();
+        write_statistics();
+        return lines;
     }
+
+    std::unique_ptr<Reducer> reducer;
+    Point now{1'000'000'000};
+    AttemptId last = 0;
+    bool quiet = false;
+    uint32_t edition = 0;  // of the settings that requests are decoded with
+    Lines lines;
+
+  private:
+    ServiceConfig config_;
+    uint64_t last_timer_ = 0;
+    AdminConnectionId last_command_ = 0;
+};
+
+// ---- what the end of an attempt proves ----
+
+template <class End>
+void expect_end(Idempotency repeat, End end, const Lines& expected)
+{
+    Play play(repeat);
+    play.arrive();
+    play.connected();
+    end(play);
+    EXPECT_EQ(play.finish(), expected);
+}
+
+TEST(AttemptEnd, ABare503ProvesNothing)
+{
+    const auto end = [](Play& play) { play.answered(503); };
+    expect_end(Idempotency::idempotent, end,
+               {"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+                "dial 1.1.1.1:1 for attempt 2 within 0.98 s",
+                "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 avoided"});
+    expect_end(
+        Idempotency::non_idempotent, end,
+        {"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1", "answer caller 1: 502",
+         "op: 0 succeeded, 0 throttled, 1 errored; 1 written, 0 in flight, 1 listed, 0 avoided"});
+}
+
+TEST(AttemptEnd, ADeclinedRequestNeverRan)
+{
+    const auto end = [](Play& play) { play.answered(503, true); };
+    expect_end(Idempotency::idempotent, end,
+               {"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+                "dial 1.1.1.1:1 for attempt 2 within 0.98 s",
+                "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 avoided"});
+    expect_end(Idempotency::non_idempotent, end,
+               {"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1",
+                "dial 1.1.1.1:1 for attempt 2 within 1.98 s",
+                "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 avoided"});
+}
+
+TEST(AttemptEnd, A400FindsFaultWithTheRequest)
+{
+    const auto end = [](Play& play) { play.answered(400); };
+    expect_end(
+        Idempotency::idempotent, end,
+        {"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1", "answer caller 1: 502",
+         "op: 0 succeeded, 0 throttled, 1 errored; 1 written, 0 in flight, 1 listed, 0 avoided"});
+    expect_end(
+        Idempotency::non_idempotent, end,
+        {"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1", "answer caller 1: 502",
+         "op: 0 succeeded, 0 throttled, 1 errored; 1 written, 0 in flight, 1 listed, 0 avoided"});
 }
+
+TEST(AttemptEnd, A500MayHaveRun)
+{
+    const auto end = [](Play& play) { play.answered(500); };
+    expect_end(Idempotency::idempotent, end,
+               {"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+                "dial 1.1.1.1:1 for attempt 2 within 0.98 s",
+                "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 avoided"});
+    expect_end(
+        Idempotency::non_idempotent, end,
+        {"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1", "answer caller 1: 502",
+         "op: 0 succeeded, 0 throttled, 1 errored; 1 written, 0 in flight, 1 listed, 0 avoided"});
+}
+
+TEST(AttemptEnd, BrokenAfterTheLastByteMayHaveRun)
+{
+    const auto end = [](Play& play) { play.failed(AttemptProgress::written, FailureCause::broken); };
+    expect_end(Idempotency::idempotent, end,
+               {"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+                "dial 1.1.1.1:1 for attempt 2 within 0.98 s",
+                "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 avoided"});
+    expect_end(
+        Idempotency::non_idempotent, end,
+        {"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1", "answer caller 1: 502",
+         "op: 0 succeeded, 0 throttled, 1 errored; 1 written, 0 in flight, 1 listed, 0 avoided"});
+}
+
+TEST(AttemptEnd, BrokenWithinTheAnswerMayHaveRun)
+{
+    const auto end = [](Play& play) { play.failed(AttemptProgress::answering, FailureCause::broken); };
+    expect_end(Idempotency::idempotent, end,
+               {"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+                "dial 1.1.1.1:1 for attempt 2 within 0.98 s",
+                "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 avoided"});
+    expect_end(
+        Idempotency::non_idempotent, end,
+        {"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1", "answer caller 1: 502",
+         "op: 0 succeeded, 0 throttled, 1 errored; 1 written, 0 in flight, 1 listed, 0 avoided"});
+}
+
+TEST(AttemptEnd, AnUnreadableAnswerMayHaveRun)
+{
+    const auto end = [](Play& play) { play.failed(AttemptProgress::answering, FailureCause::malformed); };
+    expect_end(Idempotency::idempotent, end,
+               {"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+                "dial 1.1.1.1:1 for attempt 2 within 0.98 s",
+                "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 avoided"});
+    expect_end(
+        Idempotency::non_idempotent, end,
+        {"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1", "answer caller 1: 502",
+         "op: 0 succeeded, 0 throttled, 1 errored; 1 written, 0 in flight, 1 listed, 0 avoided"});
+}
+
+TEST(AttemptEnd, BrokenBeforeTheLastByteNeverRan)
+{
+    const auto end = [](Play& play) { play.failed(AttemptProgress::partly_written, FailureCause::broken); };
+    expect_end(Idempotency::idempotent, end,
+               {"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+                "dial 1.1.1.1:1 for attempt 2 within 0.98 s",
+                "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 1 in flight, 1 listed, 1 avoided"});
+    expect_end(Idempotency::non_idempotent, end,
+               {"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1",
+                "dial 1.1.1.1:1 for attempt 2 within 1.98 s",
+                "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 1 in flight, 1 listed, 1 avoided"});
+}
+
+TEST(AttemptEnd, TimeUpBeforeTheLastByteNeverRan)
+{
+    const auto end = [](Play& play) {
+        play.failed(AttemptProgress::partly_written, FailureCause::no_answer_in_time);
+    };
+    expect_end(Idempotency::idempotent, end,
+               {"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+                "dial 1.1.1.1:1 for attempt 2 within 0.98 s",
+                "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 1 in flight, 1 listed, 1 avoided"});
+    expect_end(Idempotency::non_idempotent, end,
+               {"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1",
+                "dial 1.1.1.1:1 for attempt 2 within 1.98 s",
+                "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 1 in flight, 1 listed, 1 avoided"});
+}
+
+TEST(AttemptEnd, TimeUpAfterTheLastByteMayHaveRun)
+{
+    const auto end = [](Play& play) {
+        play.failed(AttemptProgress::written, FailureCause::no_answer_in_time);
+    };
+    expect_end(Idempotency::idempotent, end,
+               {"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+                "dial 1.1.1.1:1 for attempt 2 within 0.98 s",
+                "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 avoided"});
+    expect_end(
+        Idempotency::non_idempotent, end,
+        {"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1", "answer caller 1: 502",
+         "op: 0 succeeded, 0 throttled, 1 errored; 1 written, 0 in flight, 1 listed, 0 avoided"});
+}
+
+TEST(AttemptEnd, WithoutADescriptorNothingWasSent)
+{
+    const auto end = [](Play& play) {
+        play.failed(AttemptProgress::not_connected, FailureCause::no_descriptor);
+    };
+    expect_end(Idempotency::idempotent, end,
+               {"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+                "answer caller 1: 503, come back later",
+                "op: 0 succeeded, 1 throttled, 0 errored; 0 written, 0 in flight, 1 listed, 0 avoided"});
+    expect_end(Idempotency::non_idempotent, end,
+               {"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1",
+                "answer caller 1: 503, come back later",
+                "op: 0 succeeded, 1 throttled, 0 errored; 0 written, 0 in flight, 1 listed, 0 avoided"});
+}
+
+TEST(Request, IsAnsweredOnce)
+{
+    Play play(Idempotency::idempotent);
+    play.arrive();
+    play.connected();
+    play.answered(200);
+    play.answered(200);
+    play.failed(AttemptProgress::written, FailureCause::broken);
+    EXPECT_EQ(
+        play.finish(),
+        (Lines{"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+               "answer caller 1: 200",
+               "op: 1 succeeded, 0 throttled, 0 errored; 1 written, 0 in flight, 1 listed, 0 avoided"}));
+}
+
+// ---- what changes while a connection is being made ----
+
+TEST(Connecting, ToADrainedUpstreamWritesNothing)
+{
+    Play play(Idempotency::non_idempotent);
+    play.arrive();
+    play.list(false, {endpoint_a(EndpointPhase::draining), endpoint_b()});
+    play.connected();
+    play.connected();
+    EXPECT_EQ(
+        play.finish(),
+        (Lines{"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "close idle connections of u0",
+               "withdraw attempt 1", "hang up", "dial 2.2.2.2:2 for attempt 2 within 1.98 s",
+               "write POST /op/x?y HTTP/1.1",
+               "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 1 in flight, 2 listed, 1 avoided"}));
+}
+
+TEST(Connecting, ToAnUpstreamThatAWholeListOmitsWritesNothing)
+{
+    Play play(Idempotency::non_idempotent);
+    play.arrive();
+    play.list(true, {endpoint_b()});
+    play.connected();
+    EXPECT_EQ(
+        play.finish(),
+        (Lines{"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "close idle connections of u0",
+               "withdraw attempt 1", "hang up", "dial 2.2.2.2:2 for attempt 2 within 1.98 s",
+               "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 1 in flight, 1 listed, 0 avoided"}));
+}
+
+TEST(Connecting, ToAnUpstreamThatHasMovedWritesNothing)
+{
+    Play play(Idempotency::non_idempotent);
+    play.arrive();
+    play.list(false, {endpoint_a(EndpointPhase::ready, "3.3.3.3:3")});
+    play.connected();
+    play.connected();
+    EXPECT_EQ(
+        play.finish(),
+        (Lines{"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "close idle connections of u0", "hang up",
+               "dial 3.3.3.3:3 for attempt 2 within 1.98 s", "write POST /op/x?y HTTP/1.1",
+               "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 1 in flight, 1 listed, 1 avoided"}));
+}
+
+TEST(Connecting, ForAClientThatHasLeftWritesNothing)
+{
+    Play play(Idempotency::idempotent);
+    play.arrive();
+    play.leaves(1);
+    play.connected();
+    play.leaves(1);
+    play.note(std::to_string(play.reducer->in_flight()) + " in flight");
+    EXPECT_EQ(
+        play.finish(),
+        (Lines{"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "hang up", "0 in flight",
+               "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 0 in flight, 1 listed, 0 avoided"}));
+}
+
+TEST(Connecting, TakesLongerThanThereIsTime)
+{
+    Play play(Idempotency::non_idempotent);
+    play.arrive();
+    play.pass(3);
+    play.connected();
+    EXPECT_EQ(
+        play.finish(),
+        (Lines{"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "hang up",
+               "answer caller 1: 503, come back later",
+               "op: 0 succeeded, 1 throttled, 0 errored; 0 written, 0 in flight, 1 listed, 1 avoided"}));
+}
+
+TEST(Connecting, EndsForAHalfClosedClient)
+{
+    Play play(Idempotency::idempotent);
+    play.arrive();
+    play.half_closes(1);
+    play.pass(0.1);
+    play.connected();
+    EXPECT_EQ(
+        play.finish(),
+        (Lines{"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "hang up",
+               "answer caller 1: 503, come back later",
+               "op: 0 succeeded, 1 throttled, 0 errored; 0 written, 0 in flight, 1 listed, 1 avoided"}));
+}
+
+TEST(Request, OfAClientThatHasLeftTakesNoAnswer)
+{
+    Play play(Idempotency::non_idempotent);
+    play.arrive();
+    play.connected();
+    play.leaves(1);
+    play.answered(200);
+    play.note(std::to_string(play.reducer->in_flight()) + " in flight");
+    EXPECT_EQ(
+        play.finish(),
+        (Lines{"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1", "hang up",
+               "0 in flight",
+               "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 0 in flight, 1 listed, 0 avoided"}));
+}
+
+TEST(Request, OfAHalfClosedClientIsNotForwardedAgain)
+{
+    Play play(Idempotency::idempotent);
+    play.list(false, {endpoint_b()});
+    play.arrive();
+    play.connected();
+    play.half_closes(1);
+    play.pass(0.1);
+    play.answered(503, true);
+    EXPECT_EQ(
+        play.finish(),
+        (Lines{"dial 2.2.2.2:2 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+               "answer caller 1: 503, come back later",
+               "op: 0 succeeded, 1 throttled, 0 errored; 1 written, 0 in flight, 2 listed, 0 avoided"}));
+}
+
+TEST(Request, IsWithdrawnFromAnUpstreamThatDrains)
+{
+    Play play(Idempotency::non_idempotent);
+    play.list(false, {endpoint_b()});
+    play.arrive();
+    play.connected();
+    play.list(false, {endpoint_a(EndpointPhase::draining), endpoint_b(EndpointPhase::draining)});
+    play.failed(AttemptProgress::partly_written, FailureCause::withdrawn);
+    EXPECT_EQ(
+        play.finish(),
+        (Lines{"dial 2.2.2.2:2 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1",
+               "close idle connections of u0", "close idle connections of u1", "withdraw attempt 1",
+               "answer caller 1: 503, come back later",
+               "op: 0 succeeded, 1 throttled, 0 errored; 0 written, 0 in flight, 2 listed, 2 avoided"}));
+}
+
+TEST(Request, IsRepeatedWithinTheWindow)
+{
+    Play play(Idempotency::deduplicated);
+    play.list(false, {endpoint_b()});
+    play.arrive(1, nullptr, seconds(6));
+    play.connected();
+    play.failed(AttemptProgress::written, FailureCause::broken);
+    play.pass(0.1);
+    play.connected();
+    EXPECT_EQ(
+        play.finish(),
+        (Lines{"dial 2.2.2.2:2 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+               "dial 1.1.1.1:1 for attempt 2 within 0.98 s", "write POST /op/x?y HTTP/1.1",
+               "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 2 listed, 0 avoided"}));
+}
+
+TEST(Request, IsNotRepeatedOnceTheWindowIsOver)
+{
+    Play play(Idempotency::deduplicated);
+    play.list(false, {endpoint_b()});
+    play.arrive(1, nullptr, seconds(6));
+    play.connected();
+    play.failed(AttemptProgress::written, FailureCause::broken);
+    play.pass(2.5);
+    play.connected();
+    EXPECT_EQ(
+        play.finish(),
+        (Lines{"dial 2.2.2.2:2 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+               "dial 1.1.1.1:1 for attempt 2 within 0.98 s", "hang up",
+               "answer caller 1: 503, come back later",
+               "op: 0 succeeded, 1 throttled, 0 errored; 1 written, 0 in flight, 2 listed, 1 avoided"}));
+}
+
+TEST(Request, WithAnOpenIdIsRefused)
+{
+    Play play(Idempotency::non_idempotent);
+    play.arrive(1, "x");
+    play.connected();
+    play.arrive(2, "x");
+    play.answered(200);
+    play.arrive(3, "x");
+    play.connected();
+    play.leaves(3);
+    play.arrive(4, "x");
+    EXPECT_EQ(
+        play.finish(),
+        (Lines{"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1",
+               "answer caller 2: 409, the last on its connection", "answer caller 1: 200",
+               "dial 1.1.1.1:1 for attempt 2 within 2.00 s", "write POST /op/x?y HTTP/1.1", "hang up",
+               "dial 1.1.1.1:1 for attempt 3 within 2.00 s",
+               "op: 1 succeeded, 0 throttled, 1 errored; 1 written, 1 in flight, 1 listed, 0 avoided"}));
+}
+
+TEST(Request, WithoutAnUpstreamIsThrottled)
+{
+    Play play(Idempotency::idempotent);
+    play.list(true, {});
+    play.arrive();
+    EXPECT_EQ(
+        play.finish(),
+        (Lines{"close idle connections of u0", "answer caller 1: 503, come back later",
+               "op: 0 succeeded, 1 throttled, 0 errored; 0 written, 0 in flight, 0 listed, 0 avoided"}));
+}
+
+// ---- the shutdown ----
+
+void shut_down(Play& play, Span client_timeout)
+{
+    play.set_margin(seconds(0.2));
+    char line[64];
+    std::snprintf(line, sizeof line, "%.1f s: answers for %.1f s", client_timeout.seconds(),
+                  play.reducer->answers_for().seconds());
+    play.note(line);
+    play.tell(ShutdownStarted{});
+    for (const double after : {0.3, 0.7, 1.9}) {
+        const bool turned_out = play.reducer->turns_out(play.now + seconds(after));
+        std::snprintf(line, sizeof line, "%.1f s after: callers are %s", after,
+                      turned_out ? "turned out" : "served");
+        play.note(line);
+    }
+    play.pass(0.5);
+    play.arrive(1, nullptr, seconds(8));
+}
+
+TEST(Shutdown, WhereClientsWaitForHalfASecond)
+{
+    Play play(Idempotency::idempotent, false, seconds(0.5));
+    shut_down(play, seconds(0.5));
+    EXPECT_EQ(
+        play.finish(),
+        (Lines{"move the watch to here:1", "0.5 s: answers for 0.9 s", "0.3 s after: callers are served",
+               "0.7 s after: callers are turned out", "1.9 s after: callers are turned out",
+               "dial 1.1.1.1:1 for attempt 1 within 0.39 s",
+               "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 1 in flight, 1 listed, 0 avoided"}));
+}
+
+TEST(Shutdown, WhereClientsWaitForTwoSeconds)
+{
+    Play play(Idempotency::idempotent, false, seconds(2));
+    shut_down(play, seconds(2));
+    EXPECT_EQ(
+        play.finish(),
+        (Lines{"move the watch to here:1", "2.0 s: answers for 2.4 s", "0.3 s after: callers are served",
+               "0.7 s after: callers are served", "1.9 s after: callers are turned out",
+               "dial 1.1.1.1:1 for attempt 1 within 1.00 s",
+               "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 1 in flight, 1 listed, 0 avoided"}));
+}
+
+TEST(Shutdown, WhereClientsWaitForEightSeconds)
+{
+    Play play(Idempotency::idempotent, false, seconds(8));
+    shut_down(play, seconds(8));
+    EXPECT_EQ(
+        play.finish(),
+        (Lines{"move the watch to here:1", "8.0 s: answers for 3.4 s", "0.3 s after: callers are served",
+               "0.7 s after: callers are served", "1.9 s after: callers are served",
+               "dial 1.1.1.1:1 for attempt 1 within 1.00 s",
+               "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 1 in flight, 1 listed, 0 avoided"}));
+}
+
+TEST(Shutdown, AnswersWhatComesForAWhile)
+{
+    Play play(Idempotency::idempotent);
+    play.arrive();
+    play.connected();
+    play.tell(ShutdownStarted{});
+    play.answered(200);
+    // Served on for a while, in time before the process may be killed; then each answer is the last.
+    play.pass(1.9);
+    play.arrive(2);
+    play.pass(0.2);
+    play.connected();
+    play.answered(200);
+    play.note(play.reducer->ready() ? "ready" : "not ready");
+    EXPECT_EQ(
+        play.finish(),
+        (Lines{"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+               "answer caller 1: 200", "dial 1.1.1.1:1 for attempt 2 within 0.48 s",
+               "write POST /op/x?y HTTP/1.1", "answer caller 2: 200, the last on its connection", "not ready",
+               "op: 2 succeeded, 0 throttled, 0 errored; 2 written, 0 in flight, 1 listed, 0 avoided"}));
+}
+
+TEST(Lifecycle, DrainsTwiceResumesTwiceAndStops)
+{
+    Play play(Idempotency::idempotent);
+    for (const auto command :
+         {AdminCommand::ready, AdminCommand::drain, AdminCommand::drain, AdminCommand::ready,
+          AdminCommand::resume, AdminCommand::resume, AdminCommand::ready, AdminCommand::drain})
+        play.command(command);
+    // Read again while drained: still drained.
+    play.tell(ConfigReloaded{"there:1", {}});
+    play.command(AdminCommand::ready);
+    play.arrive(1);
+    play.connected();
+    play.answered(200);
+    play.pass(0.5);
+    play.arrive(2);
+    play.connected();
+    play.answered(200);
+    play.tell(ShutdownStarted{});
+    play.command(AdminCommand::resume);
+    play.command(AdminCommand::ready);
+    EXPECT_EQ(
+        play.finish(),
+        (Lines{"obeyed, 1", "obeyed, 2", "obeyed, 2", "not obeyed, 2", "obeyed, 1", "obeyed, 1", "obeyed, 1",
+               "obeyed, 2", "move the watch to there:1", "not obeyed, 2",
+               "dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+               "answer caller 1: 200", "dial 1.1.1.1:1 for attempt 2 within 1.00 s",
+               "write POST /op/x?y HTTP/1.1", "answer caller 2: 200, the last on its connection",
+               "not obeyed, 3", "not obeyed, 3",
+               "op: 2 succeeded, 0 throttled, 0 errored; 2 written, 0 in flight, 1 listed, 0 avoided"}));
+}
+
+// ---- probes, settings and places ----
+
+TEST(Probes, GoToWhatIsInUse)
+{
+    Play play(Idempotency::idempotent, true);
+    play.arrive();
+    play.connected();
+    play.answered(200);
+    play.fire_timer();
+    play.connected();
+    play.answered(200);
+    EXPECT_EQ(
+        play.finish(),
+        (Lines{"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+               "answer caller 1: 200", "dial 1.1.1.1:1 for attempt 2 within 0.25 s",
+               "write GET /-/load HTTP/1.1",
+               "op: 1 succeeded, 0 throttled, 0 errored; 1 written, 0 in flight, 1 listed, 0 avoided"}));
+}
+
+TEST(Configuration, ThatIsReadAgainMovesTheWatchOnlyToAnotherAddress)
+{
+    Play play(Idempotency::idempotent);
+    play.tell(ConfigReloaded{"here:1", {}});
+    play.tell(ConfigReloaded{"there:1", {}});
+    play.arrive();
+    play.connected();
+    play.answered(200);
+    EXPECT_EQ(
+        play.finish(),
+        (Lines{"move the watch to there:1", "dial 1.1.1.1:1 for attempt 1 within 1.00 s",
+               "write POST /op/x?y HTTP/1.1", "answer caller 1: 200",
+               "op: 1 succeeded, 0 throttled, 0 errored; 1 written, 0 in flight, 1 listed, 0 avoided"}));
+}
+
+TEST(Configuration, KeepsARequestWithItsOperation)
+{
+    Play play(Idempotency::non_idempotent);
+    ServiceConfig next = service_config(Idempotency::non_idempotent);
+    next.operations = {"other", "op"};
+    next.settings.operations.insert(next.settings.operations.begin(),
+                                    BalancerHost::op(Idempotency::idempotent));
+    play.arrive(1);
+    play.connected();
+    play.tell(ConfigReloaded{"here:1", next});
+    play.arrive(2);
+    play.connected();
+    play.failed(AttemptProgress::written, FailureCause::broken);
+    next.operations = {"other", "third"};
+    play.tell(ConfigReloaded{"here:1", next});
+    play.arrive(3);
+    EXPECT_EQ(
+        play.finish(),
+        (Lines{"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1",
+               "move the watch to here:1", "dial 1.1.1.1:1 for attempt 2 within 2.00 s",
+               "write POST /op/x?y HTTP/1.1", "answer caller 2: 502", "move the watch to here:1",
+               "answer caller 3: 404, the last on its connection",
+               "op: 0 succeeded, 0 throttled, 1 errored; other: 0 succeeded, 0 throttled, 0 errored; third: "
+               "0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 avoided"}));
+}
+
+TEST(Places, AreUsedAgainButNotUnderAnOpenInvocation)
+{
+    Play play(Idempotency::non_idempotent);
+    play.arrive(1);
+    play.connected();
+    play.quiet = true;
+    for (int i = 0; i < 1000; ++i) {
+        const auto name = [](int n) { return n < 0 ? "a" : "u" + std::to_string(n); };
+        play.list(false, {{name(i - 1), "x", EndpointPhase::gone, 0, 0, 1, {}},
+                          {name(i), "1.1.1.1:" + std::to_string(i), EndpointPhase::ready, 0, 0, 1, {}}});
+        play.arrive(2);
+        play.connected();
+        play.answered(200);
+    }
+    play.quiet = false;
+    play.note(std::to_string(play.reducer->places()) + " places");
+    play.arrive(3);
+    play.connected();
+    play.answered(200);
+    EXPECT_EQ(
+        play.finish(),
+        (Lines{
+            "dial 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1", "2 places",
+            "dial 1.1.1.1:999 for attempt 1002 within 2.00 s", "write POST /op/x?y HTTP/1.1",
+            "answer caller 3: 200",
+            "op: 1001 succeeded, 0 throttled, 0 errored; 1001 written, 1 in flight, 1 listed, 0 avoided"}));
+}
+
+TEST(Places, OfKnownUpstreamsStayInAWholeList)
+{
+    Play play(Idempotency::idempotent);
+    play.list(true, {endpoint_b(), endpoint_a(EndpointPhase::ready)});
+    play.note(std::to_string(play.reducer->places()) + " places");
+    EXPECT_EQ(
+        play.finish(),
+        (Lines{"2 places",
+               "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 0 in flight, 2 listed, 0 avoided"}));
+}
+
+// ---- messages in pieces ----
+
+TEST(LargeAnswer, HoldsItsUpstreamWhileTheClientTakesNothing)
+{
+    Play play(Idempotency::non_idempotent);
+    play.arrive();
+    play.connected();
+    play.begins_answer();
+    play.write_statistics();
+    for (int i = 0; i < 5; ++i) play.comes(20000, false);
+    play.tell(ResponseDrained{1});
+    play.comes(20000, true);
+    play.write_statistics();
+    play.tell(ResponseDrained{1});
+    EXPECT_EQ(
+        play.finish(),
+        (Lines{"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1",
+               "answer caller 1: 200",
+               "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 avoided",
+               "pass 20000 bytes", "pass 20000 bytes", "pass 20000 bytes", "pass 20000 bytes",
+               "hold the upstream", "pass 20000 bytes", "read on from the upstream",
+               "pass 20000 bytes, the last",
+               "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 avoided",
+               "op: 1 succeeded, 0 throttled, 0 errored; 1 written, 0 in flight, 1 listed, 0 avoided"}));
+}
+
+TEST(LargeAnswer, ThatBreaksIsCut)
+{
+    Play play(Idempotency::idempotent);
+    play.arrive();
+    play.connected();
+    play.begins_answer();
+    play.failed(AttemptProgress::answering, FailureCause::broken);
+    play.answered(200);
+    EXPECT_EQ(
+        play.finish(),
+        (Lines{"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+               "answer caller 1: 200", "cut the answer",
+               "op: 0 succeeded, 0 throttled, 1 errored; 1 written, 0 in flight, 1 listed, 0 avoided"}));
+}
+
+TEST(LargeAnswer, EndsWithItsClient)
+{
+    Play play(Idempotency::idempotent);
+    play.arrive();
+    play.connected();
+    play.begins_answer();
+    play.leaves(1);
+    play.comes(10, true);
+    EXPECT_EQ(
+        play.finish(),
+        (Lines{"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+               "answer caller 1: 200", "hang up",
+               "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 0 in flight, 1 listed, 0 avoided"}));
+}
+
+TEST(LargeAnswer, ThatIsAnErrorOrForNobodyIsNotPassedOn)
+{
+    Play play(Idempotency::non_idempotent);
+    play.arrive();
+    play.connected();
+    play.begins_answer(500);
+    play.arrive(2);
+    play.connected();
+    play.leaves(2);
+    play.begins_answer();
+    EXPECT_EQ(
+        play.finish(),
+        (Lines{"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1", "hang up",
+               "answer caller 1: 502", "dial 1.1.1.1:1 for attempt 2 within 2.00 s",
+               "write POST /op/x?y HTTP/1.1", "hang up", "hang up",
+               "op: 0 succeeded, 0 throttled, 1 errored; 1 written, 0 in flight, 1 listed, 0 avoided"}));
+}
+
+TEST(LargeRequest, HasItsTimeFromItsLastByte)
+{
+    Play play(Idempotency::non_idempotent);
+    play.begin(1);
+    play.connected();
+    play.written();
+    play.pass(30);
+    play.bring(1, 40000, false);
+    play.bring(1, 40000, false);
+    play.written();
+    play.bring(1, 10, true);
+    play.written();
+    play.write_statistics();
+    play.answered(200);
+    EXPECT_EQ(
+        play.finish(),
+        (Lines{"dial 1.1.1.1:1 for attempt 1 within 3600.00 s", "write POST /op/x HTTP/1.1, more follows",
+               "read on from the caller", "write 40000 bytes, more follows",
+               "write 40000 bytes, more follows", "hold the caller", "read on from the caller",
+               "write 10 bytes", "within 2.00 s",
+               "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 avoided",
+               "answer caller 1: 200",
+               "op: 1 succeeded, 0 throttled, 0 errored; 1 written, 0 in flight, 1 listed, 0 avoided"}));
+}
+
+TEST(LargeRequest, IsForwardedAgainWhileAllOfItIsHeld)
+{
+    Play play(Idempotency::non_idempotent);
+    play.begin(1);
+    play.connected();
+    play.failed(AttemptProgress::partly_written, FailureCause::broken);
+    play.connected();
+    play.written();
+    play.bring(1, 10, true);
+    play.answered(200);
+    EXPECT_EQ(
+        play.finish(),
+        (Lines{"dial 1.1.1.1:1 for attempt 1 within 3600.00 s", "write POST /op/x HTTP/1.1, more follows",
+               "hold the caller", "dial 1.1.1.1:1 for attempt 2 within 3599.98 s",
+               "write POST /op/x HTTP/1.1, more follows", "read on from the caller", "write 10 bytes",
+               "within 2.00 s", "answer caller 1: 200",
+               "op: 1 succeeded, 0 throttled, 0 errored; 1 written, 0 in flight, 1 listed, 1 avoided"}));
+}
+
+TEST(LargeRequest, ThatBreaksLaterIsThrottled)
+{
+    Play play(Idempotency::non_idempotent);
+    play.begin(1);
+    play.connected();
+    play.written();
+    play.bring(1, 10, false);
+    play.failed(AttemptProgress::partly_written, FailureCause::broken);
+    EXPECT_EQ(
+        play.finish(),
+        (Lines{"dial 1.1.1.1:1 for attempt 1 within 3600.00 s", "write POST /op/x HTTP/1.1, more follows",
+               "read on from the caller", "write 10 bytes, more follows", "hold the caller",
+               "answer caller 1: 503, come back later",
+               "op: 0 succeeded, 1 throttled, 0 errored; 0 written, 0 in flight, 1 listed, 1 avoided"}));
+}
+
+TEST(LargeRequest, ThatWasSentWholeCannotBeSentAgain)
+{
+    Play play(Idempotency::idempotent);
+    play.begin(1);
+    play.connected();
+    play.written();
+    play.bring(1, 10, true);
+    play.failed(AttemptProgress::written, FailureCause::broken);
+    EXPECT_EQ(
+        play.finish(),
+        (Lines{"dial 1.1.1.1:1 for attempt 1 within 3600.00 s", "write POST /op/x HTTP/1.1, more follows",
+               "read on from the caller", "write 10 bytes", "within 1.00 s",
+               "answer caller 1: 503, come back later",
+               "op: 0 succeeded, 1 throttled, 0 errored; 1 written, 0 in flight, 1 listed, 0 avoided"}));
+}
+
+TEST(LargeRequest, EndsWithItsClient)
+{
+    Play play(Idempotency::non_idempotent);
+    play.begin(1);
+    play.connected();
+    play.written();
+    play.bring(1, 10, false);
+    play.leaves(1);
+    EXPECT_EQ(
+        play.finish(),
+        (Lines{"dial 1.1.1.1:1 for attempt 1 within 3600.00 s", "write POST /op/x HTTP/1.1, more follows",
+               "read on from the caller", "write 10 bytes, more follows", "hang up",
+               "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 0 in flight, 1 listed, 0 avoided"}));
+}
+
+}  // namespace
+}  // namespace firtide::net
