--- a/fault_injection/main.cpp
+++ b/fault_injection/main.cpp
@@ -102,7 +102,7 @@
             waitpid(job.pid, &status, 0);
             --running;
             std::fputs(job.text.c_str(), stdout);
-            if (!WIFEXITED(status)) std::printf("%s: the rig itself broke\n", job.file.c_str());
+            if (!WIFEXITED(status)) std::printf("%s: the test cluster itself failed\n", job.file.c_str());
             worst = std::max(worst, WIFEXITED(status) ? WEXITSTATUS(status) : 2);
             break;
         }
--- a/scale/run.cpp
+++ b/scale/run.cpp
@@ -257,7 +257,7 @@
     return failed;
 }
 
-// A real member without another office, where there is one: what the list costs is told apart.
+// A real member without another duty, where there is one: what the list costs is told apart.
 uint32_t Run::list_member() const
 {
     if (options_.real > options_.voters) return options_.voters;
--- a/simulator_adapter/frames.h
+++ b/simulator_adapter/frames.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <type_traits>
 
-namespace firtide::drill
+namespace firtide::simulator_adapter
 {
 
 struct Malformed : std::runtime_error {
@@ -74,4 +74,4 @@
     uint32_t records_ = 0;
 };
 
-}  // namespace firtide::drill
+}  // namespace firtide::simulator_adapter
--- a/simulator_adapter/instance.cpp
+++ b/simulator_adapter/instance.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace firtide::drill
+namespace firtide::simulator_adapter
 {
 namespace
 {
@@ -174,4 +174,4 @@
     for (const char c : message) w.put(c);
 }
 
-}  // namespace firtide::drill
+}  // namespace firtide::simulator_adapter
--- a/simulator_adapter/instance.h
+++ b/simulator_adapter/instance.h
@@ -10,7 +10,7 @@
 #include "frames.h"
 #include "src/balance/decode_settings.h"
 
-namespace firtide::drill
+namespace firtide::simulator_adapter
 {
 
 struct Entry {
@@ -71,4 +71,4 @@
     Balancer balancer_;
 };
 
-}  // namespace firtide::drill
+}  // namespace firtide::simulator_adapter
--- a/simulator_adapter/main.cpp
+++ b/simulator_adapter/main.cpp
@@ -7,7 +7,7 @@
 
 #include "instance.h"
 
-namespace firtide::drill
+namespace firtide::simulator_adapter
 {
 namespace
 {
@@ -119,12 +119,12 @@
 }
 
 }  // namespace
-}  // namespace firtide::drill
+}  // namespace firtide::simulator_adapter
 
 int main()
 {
     try {
-        return firtide::drill::run();
+        return firtide::simulator_adapter::run();
     } catch (const std::exception& e) {
         std::fprintf(stderr, "firtide-simulator-adapter: %s\n", e.what());
         return 1;
--- a/src/fleet/endpoints/endpoint_distribution.h
+++ b/src/fleet/endpoints/endpoint_distribution.h
@@ -1,6 +1,6 @@
-// How a member takes part in distributing the list of upstreams: it applies deltas and passes them on,
-// repairs its replica from its neighbours and theirs from its own, and says what its balancer has to use. No
-// I/O, no clock.
+// A member's part in distributing the list of upstreams: it applies deltas and passes them on, repairs its
+// replica from its peers' and theirs from its own, and returns what its balancer has to use. No I/O, no clock
+// of its own.
 #pragma once
 
 #include <map>
@@ -27,7 +27,7 @@
   public:
     explicit EndpointDistribution(const EndpointDeltaConfig& config) : config_(config), replica_(config) {}
 
-    // What to do about a message that was heard.
+    // What to do about a message that was received.
     struct Reaction {
         bool pass_on = false;    // to the successors
         bool confirmed = false;  // the list in use is as new as the sender's
@@ -119,7 +119,7 @@
     std::optional<Offer> offer_;
     std::vector<Send> sends_;
 
-    // Of what the balancer was told.
+    // What the balancer has.
     bool reported_ = false, unreported_ = false;
     std::set<std::string> changed_uids_;
 };
--- a/tests/history_checker.cpp
+++ b/tests/history_checker.cpp
@@ -1,4 +1,4 @@
-// The rig's checker catches what it is there for; and what a process has with a fleet file and without.
+// The history checker catches what it is there for; and what a process has with a fleet file and without.
 #include <cstdio>
 #include <filesystem>
 #include <fstream>
