--- a/tests/compatibility.cpp
+++ b/tests/compatibility.cpp
@@ -1,12 +1,16 @@
 // What an earlier version has stored or sent, read by this one: a mixed fleet understands itself, and an
 // upgrade keeps its disks. The data is described in tests/data/README.md.
 #include <gtest/gtest.h>
+#include <stdlib.h>
 
+#include <filesystem>
 #include <fstream>
 #include <sstream>
 
 #include "simulation/simulated_cluster.h"
+#include "src/fleet/consensus/raft_wire.h"
 #include "src/fleet/consensus/voter_agent.h"
+#include "src/fleet/host/member_directory.h"
 #include "src/fleet/startup/member_snapshot.h"
 
 namespace firtide::fleet
@@ -247,5 +251,53 @@
     EXPECT_EQ(again, recorded);
 }
 
+// The other messages between voters follow one message of each kind.
+TEST(RecordedFrames, HoldMessagesBetweenVoters)
+{
+    using namespace raft_wire;
+    std::vector<std::string> recorded;
+    FrameReader reader;
+    reader.take(read_data("frames.bin"));
+    while (reader.next() == FrameReader::State::message)
+        if (const auto* message = std::get_if<RaftMessage>(&reader.message()))
+            recorded.push_back(message->bytes);
+    const auto encoded = [](uint16_t kind, const auto& body) { return pack(Envelope{kind, pack(body)}); };
+    ASSERT_EQ(recorded.size(), 6u);
+    EXPECT_EQ(recorded[0], encoded(3, VoteRequest{51, 52, 53, 54, true, true}));
+    EXPECT_EQ(recorded[1], encoded(4, VoteResponse{221, true, 2}));
+    EXPECT_EQ(recorded[2], encoded(1, AppendRequest{231, 232, 233, 234, {{235, 1, "entry"}, {236, 2, ""}}}));
+    EXPECT_EQ(recorded[3], encoded(2, AppendResponse{241, 242, 243}));
+    EXPECT_EQ(recorded[4], encoded(5, InstallSnapshot{251, 252, 253, {{254, "m-1/254", 1}}, 255, "table"}));
+    EXPECT_EQ(recorded[5], encoded(6, TimeoutNow{261, 262, 263}));
+}
+
+// A directory of this test alone.
+class StoredIncarnation : public ::testing::Test
+{
+  protected:
+    void SetUp() override
+    {
+        std::string pattern = ::testing::TempDir() + "firtide-member-XXXXXX";
+        ASSERT_NE(mkdtemp(pattern.data()), nullptr);
+        config_ = recorded_fleet();
+        config_.data = pattern;
+        std::ofstream(pattern + "/member", std::ios::binary) << read_data("member");
+    }
+    void TearDown() override { std::filesystem::remove_all(config_.data); }
+
+    FleetConfig config_;
+};
+
+TEST_F(StoredIncarnation, IsFollowedByTheNextOne)
+{
+    EXPECT_EQ(MemberDirectory(config_, "fleet.toml").next_incarnation(), 13u);
+}
+
+TEST_F(StoredIncarnation, OfAnotherMemberIsRefused)
+{
+    config_.id = "m-2";
+    EXPECT_THROW(MemberDirectory(config_, "fleet.toml"), CannotStart);
+}
+
 }  // namespace
 }  // namespace firtide::fleet
