--- a/fault_injection/checker.cpp
+++ b/fault_injection/checker.cpp
@@ -5,18 +5,18 @@
 namespace firtide::fault_injection
 {
 
-void Checker::gained(Point at, const std::string& member, const std::string& duty, uint64_t epoch)
+void Checker::gained(TimePoint at, const std::string& member, const std::string& duty, uint64_t epoch)
 {
     held_[duty].push_back({member, epoch, at, {}});
 }
 
-void Checker::lost(Point until, const std::string& member, const std::string& duty, uint64_t epoch)
+void Checker::lost(TimePoint until, const std::string& member, const std::string& duty, uint64_t epoch)
 {
     for (Held& h : held_[duty])
         if (h.member == member && h.epoch == epoch && !h.until) h.until = until;
 }
 
-void Checker::ended(Point at, const std::string& member)
+void Checker::ended(TimePoint at, const std::string& member)
 {
     for (auto& [duty, all] : held_)
         for (Held& h : all)
@@ -40,7 +40,7 @@
     if (at_once > 1) wrong_.push_back(std::to_string(at_once) + " probes at once at " + upstream);
 }
 
-std::vector<std::string> Checker::wrong(Point end) const
+std::vector<std::string> Checker::wrong(TimePoint end) const
 {
     auto out = wrong_;
     for (const auto& [duty, all] : held_) {
@@ -63,9 +63,9 @@
     return out;
 }
 
-std::vector<Span> Checker::gaps() const
+std::vector<Duration> Checker::gaps() const
 {
-    std::vector<Span> out;
+    std::vector<Duration> out;
     for (const auto& [duty, all] : held_) {
         auto sorted = all;
         std::sort(sorted.begin(), sorted.end(), [](const Held& a, const Held& b) { return a.from < b.from; });
--- a/fault_injection/checker.h
+++ b/fault_injection/checker.h
@@ -17,9 +17,9 @@
 {
   public:
     // What holders logged. until: it was not held any more from then on, whenever that was written.
-    void gained(Point at, const std::string& member, const std::string& duty, uint64_t epoch);
-    void lost(Point until, const std::string& member, const std::string& duty, uint64_t epoch);
-    void ended(Point at, const std::string& member);  // its process: it holds nothing any more
+    void gained(TimePoint at, const std::string& member, const std::string& duty, uint64_t epoch);
+    void lost(TimePoint until, const std::string& member, const std::string& duty, uint64_t epoch);
+    void ended(TimePoint at, const std::string& member);  // its process: it holds nothing any more
     // What a receiver took.
     void took(const std::string& receiver, const std::string& duty, uint64_t epoch, uint64_t number);
     void probed(const std::string& upstream, size_t at_once);
@@ -27,9 +27,9 @@
     bool overlap_allowed = false;  // a clock beyond the drift: receivers' epochs alone have to hold
 
     // In the order of time: what is wrong, a line each.
-    std::vector<std::string> wrong(Point end) const;
+    std::vector<std::string> wrong(TimePoint end) const;
     // Times that a duty was held by nobody, between two holders.
-    std::vector<Span> gaps() const;
+    std::vector<Duration> gaps() const;
     size_t accepted() const { return accepted_; }
     std::optional<std::string> holder(const std::string& duty) const;
 
@@ -37,8 +37,8 @@
     struct Held {
         std::string member;
         uint64_t epoch = 0;
-        Point from;
-        std::optional<Point> until;
+        TimePoint from;
+        std::optional<TimePoint> until;
     };
     std::map<std::string, std::vector<Held>> held_;
     std::map<std::pair<std::string, std::string>, uint64_t> newest_;
--- a/fault_injection/client_call.cpp
+++ b/fault_injection/client_call.cpp
@@ -9,7 +9,7 @@
 {
 
 struct Call {
-    Stream stream;
+    BuffereventPtr stream;
     std::string got;
     std::function<void(std::string)> then;
 
@@ -27,10 +27,11 @@
 
 }  // namespace
 
-void call(event_base* base, sockaddr_in to, const std::string& bytes, Span wait,
+void call(event_base* base, sockaddr_in to, const std::string& bytes, Duration wait,
           std::function<void(std::string)> then)
 {
-    auto* c = new Call{Stream(bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE)), {}, std::move(then)};
+    auto* c = new Call{
+        BuffereventPtr(bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE)), {}, std::move(then)};
     bufferevent_setcb(c->stream.get(), nullptr, nullptr, Call::ended, c);
     const auto most = to_timeval(wait);
     bufferevent_set_timeouts(c->stream.get(), &most, &most);
--- a/fault_injection/client_call.h
+++ b/fault_injection/client_call.h
@@ -12,7 +12,7 @@
 {
 
 // then: with what had come by the end of the connection, or until nothing came for `wait`.
-void call(event_base* base, sockaddr_in to, const std::string& bytes, Span wait,
+void call(event_base* base, sockaddr_in to, const std::string& bytes, Duration wait,
           std::function<void(std::string)> then);
 
 }  // namespace firtide::fault_injection
--- a/fault_injection/fault_proxy.cpp
+++ b/fault_injection/fault_proxy.cpp
@@ -24,12 +24,12 @@
 struct FaultProxy::Pipe {
     FaultProxy* owner = nullptr;
     Place self;
-    Stream from, to;
+    BuffereventPtr from, to;
     std::deque<Chunk> chunks;
-    Point free;           // when the last bytes at the stated rate have passed
+    TimePoint free;       // when the last bytes at the stated rate have passed
     bool spoilt = false;  // something of it never arrived: it ends when the road is whole again
     bool ending = false;  // its sender has ended it
-    Timer timer;
+    EventPtr timer;
 };
 
 FaultProxy::FaultProxy(event_base* base, uint16_t to)
@@ -143,8 +143,8 @@
         event_add(at->timer.get(), &soon);
         return;
     }
-    const Point now = monotonic_now();
-    Point due = now + road_.delay;
+    const TimePoint now = monotonic_now();
+    TimePoint due = now + road_.delay;
     if (road_.rate > 0) {
         at->free = std::max(at->free, now) + seconds(static_cast<double>(bytes.size()) / road_.rate);
         due = std::max(due, at->free);
@@ -156,7 +156,7 @@
 
 void FaultProxy::move(Place at)
 {
-    const Point now = monotonic_now();
+    const TimePoint now = monotonic_now();
     if (road_.held) return;
     while (!at->chunks.empty() && at->chunks.front().due <= now) {
         if (road_.cut)
--- a/fault_injection/fault_proxy.h
+++ b/fault_injection/fault_proxy.h
@@ -13,7 +13,7 @@
 {
 
 struct Road {
-    Span delay;
+    Duration delay;
     bool held = false;     // kept, and let go once it is not held any more
     bool cut = false;      // nothing arrives, and nobody is told
     bool refused = false;  // connections are reset
@@ -39,7 +39,7 @@
   private:
     struct Pipe;
     struct Chunk {
-        Point due;
+        TimePoint due;
         std::string bytes;
     };
     using Place = std::list<Pipe>::iterator;
--- a/fault_injection/main.cpp
+++ b/fault_injection/main.cpp
@@ -33,8 +33,8 @@
         drawn ? fault_injection::draw_scenario(std::strtoull(path.c_str() + 5, nullptr, 10), faults)
               : fault_injection::decode_scenario(text.str());
     if (const auto* fault = std::get_if<ConfigError>(&decoded)) {
-        std::printf("%s:%u: %s: %s\n", path.c_str(), fault->at.line, fault->at.key.c_str(),
-                    fault->what.c_str());
+        std::printf("%s:%u: %s: %s\n", path.c_str(), fault->location.line, fault->location.key.c_str(),
+                    fault->message.c_str());
         std::fflush(stdout);
         return 2;
     }
@@ -44,7 +44,8 @@
     for (const auto& w : verdict.wrong) std::printf("  %s\n", w.c_str());
     std::fputs(verdict.logs.c_str(), stdout);
     if (gaps)
-        for (const Span g : verdict.gaps) std::printf("  without a holder for %.0f ms\n", g.seconds() * 1e3);
+        for (const Duration g : verdict.gaps)
+            std::printf("  without a holder for %.0f ms\n", g.seconds() * 1e3);
     std::fflush(stdout);
     return verdict.wrong.empty() ? 0 : 1;
 }
--- a/fault_injection/scenario.cpp
+++ b/fault_injection/scenario.cpp
@@ -83,10 +83,10 @@
         Player* player = nullptr;
         double rate = 0;
         std::string tenant;
-        Point from;
+        TimePoint from;
         uint64_t sent = 0;
         size_t at = 0;
-        Timer timer;
+        EventPtr timer;
     };
 
     void flood()
@@ -133,14 +133,14 @@
 
     // What reached upstreams meanwhile: so many a second at least, never more within any one second, nor on
     // the mean.
-    void expect_reached(const std::string& name, Span most, double least, double greatest, double mean)
+    void expect_reached(const std::string& name, Duration most, double least, double greatest, double mean)
     {
-        const Point from = monotonic_now();
+        const TimePoint from = monotonic_now();
         cluster_.run(most);
-        std::vector<Point> all;
+        std::vector<TimePoint> all;
         for (size_t i = 0; i < scenario_.plan.upstreams; ++i) {
             if (name != "all" && cluster_.upstream(i).name() != name) continue;
-            for (const Point p : cluster_.upstream(i).reached())
+            for (const TimePoint p : cluster_.upstream(i).reached())
                 if (p >= from) all.push_back(p);
         }
         std::sort(all.begin(), all.end());
@@ -168,19 +168,19 @@
         return out;
     }
     double number() { return std::strtod(next().c_str(), nullptr); }
-    static Span to_span(const std::string& text)
+    static Duration to_span(const std::string& text)
     {
         char* unit = nullptr;
         const double value = std::strtod(text.c_str(), &unit);
         return seconds(value * (std::string(unit) == "ms" ? 1e-3 : 1));
     }
-    Span span() { return to_span(next()); }
+    Duration span() { return to_span(next()); }
     // "... within 3s" at the end of an expectation.
-    Span within()
+    Duration within()
     {
         for (size_t i = at_; i + 1 < words_.size(); ++i)
             if (words_[i] == "within") {
-                const Span s = to_span(words_[i + 1]);
+                const Duration s = to_span(words_[i + 1]);
                 words_.erase(words_.begin() + static_cast<ptrdiff_t>(i),
                              words_.begin() + static_cast<ptrdiff_t>(i) + 2);
                 return s;
@@ -291,7 +291,7 @@
     // "cut A B", "delay 2s", "delay 2s A B": one way; without names all roads.
     void road(const std::string& verb)
     {
-        Span delay;
+        Duration delay;
         double rate = 0;
         if (verb == "delay") delay = span();
         if (verb == "rate") rate = number();
@@ -347,7 +347,7 @@
     void flap()
     {
         const size_t a = who();
-        const Span every = span();
+        const Duration every = span();
         const int times = static_cast<int>(number());
         for (int n = 0; n < times; ++n) {
             for (size_t b = 0; b < cluster_.size(); ++b)
@@ -413,7 +413,7 @@
         const size_t i = who();
         auto [line, start] = line_for_door();
         const auto space = line.rfind(' ');
-        const Span most = to_span(line.substr(space + 1));
+        const Duration most = to_span(line.substr(space + 1));
         line.resize(space);
         std::string got;
         if (!cluster_.until([&] { return (got = cluster_.ask(i, line)).starts_with(start); }, most))
@@ -442,7 +442,7 @@
     // "spread LEAST MOST within T": so many duties a process
     void spread()
     {
-        const Span most_wait = within();
+        const Duration most_wait = within();
         const auto least = static_cast<size_t>(number()), most = static_cast<size_t>(number());
         seen(
             [&] {
@@ -479,7 +479,7 @@
     void expect()
     {
         const auto what = next();
-        const Span most = within();
+        const Duration most = within();
         if (what == "held") return held(next(), most);
         if (what == "holder") {
             const auto duty = next();
@@ -563,7 +563,7 @@
         for (size_t i = 0; i < scenario_.plan.upstreams; ++i) n += cluster_.upstream(i).probes();
         return n;
     }
-    void held(const std::string& which, Span most)
+    void held(const std::string& which, Duration most)
     {
         seen(
             [&] {
@@ -573,7 +573,7 @@
             },
             most, which + " not held");
     }
-    void seen(const std::function<bool()>& so, Span most, const std::string& otherwise)
+    void seen(const std::function<bool()>& so, Duration most, const std::string& otherwise)
     {
         if (!cluster_.until(so, most)) throw Failed{otherwise};
     }
@@ -596,23 +596,23 @@
                             {"name", "members", "voters", "duties", "upstreams", "lease", "drift", "shim",
                              "fleet", "more", "settings", "overlap", "steps"});
         Scenario s;
-        s.name = top.text("name");
-        s.plan.members = top.count("members", 5, 1, 60);
-        s.plan.voters = top.count("voters", 3, 1, 7);
-        s.plan.duties = top.count("duties", 3, 0, 200);
-        s.plan.upstreams = top.count("upstreams", 2, 1, 40);
-        if (top.has("lease")) s.plan.lease = top.text("lease");
+        s.name = top.string("name");
+        s.plan.members = top.integer("members", 5, 1, 60);
+        s.plan.voters = top.integer("voters", 3, 1, 7);
+        s.plan.duties = top.integer("duties", 3, 0, 200);
+        s.plan.upstreams = top.integer("upstreams", 2, 1, 40);
+        if (top.has("lease")) s.plan.lease = top.string("lease");
         s.plan.drift = top.number("drift", 0.02, 0, 0.1);
-        s.plan.shim = top.flag("shim", false);
-        s.plan.fleet = top.flag("fleet", true);
-        if (top.has("more")) s.plan.more = top.text("more");
-        if (top.has("settings")) s.plan.settings = top.text("settings");
-        s.overlap_allowed = top.flag("overlap", false);
+        s.plan.shim = top.boolean("shim", false);
+        s.plan.fleet = top.boolean("fleet", true);
+        if (top.has("more")) s.plan.more = top.string("more");
+        if (top.has("settings")) s.plan.settings = top.string("settings");
+        s.overlap_allowed = top.boolean("overlap", false);
         const auto* steps = from["steps"].as_array();
-        if (!steps) wrong("steps", top.line("steps"), "an array of steps is expected");
+        if (!steps) throw_config_error("steps", top.line("steps"), "an array of steps is expected");
         for (const auto& step : *steps) {
             const auto* line = step.as_string();
-            if (!line) wrong("steps", line_of(step), "a step is a text");
+            if (!line) throw_config_error("steps", line_of(step), "a step is a text");
             s.steps.push_back(line->get());
         }
         return s;
@@ -620,7 +620,7 @@
         return ConfigError{{"TOML", static_cast<uint32_t>(e.source().begin.line)},
                            std::string(e.description())};
     } catch (const TomlConfigError& w) {
-        return w.fault;
+        return w.error;
     }
 }
 
--- a/fault_injection/scenario.h
+++ b/fault_injection/scenario.h
@@ -26,7 +26,7 @@
 
 struct Verdict {
     std::vector<std::string> wrong;  // empty: all was safe and as expected
-    std::vector<Span> gaps;          // times without a holder
+    std::vector<Duration> gaps;      // times without a holder
     size_t accepted = 0;             // effects that receivers took
     std::string logs;                // of all processes, where something was wrong
 };
--- a/fault_injection/standins.cpp
+++ b/fault_injection/standins.cpp
@@ -12,7 +12,7 @@
 namespace firtide::fault_injection
 {
 
-constexpr Span probe_takes = seconds(0.03), watch_lasts = seconds(2);
+constexpr Duration probe_takes = seconds(0.03), watch_lasts = seconds(2);
 constexpr size_t most_reached = 20000;
 
 Server::Server(event_base* base, std::function<void(evhttp_request*)> serve)
@@ -34,7 +34,7 @@
     evhttp_send_reply(request, status, nullptr, nullptr);
 }
 
-void answer_later(event_base* base, Span after, std::function<void()> what)
+void answer_later(event_base* base, Duration after, std::function<void()> what)
 {
     const auto wait = to_timeval(after);
     event_base_once(
--- a/fault_injection/standins.h
+++ b/fault_injection/standins.h
@@ -24,13 +24,13 @@
     uint16_t port() const { return port_; }
 
   private:
-    std::unique_ptr<evhttp, Freed<evhttp_free>> http_;
+    std::unique_ptr<evhttp, FreeWith<evhttp_free>> http_;
     std::function<void(evhttp_request*)> serve_;
     uint16_t port_ = 0;
 };
 
 void answer(evhttp_request* request, int status, const std::string& body);
-void answer_later(event_base* base, Span after, std::function<void()> what);
+void answer_later(event_base* base, Duration after, std::function<void()> what);
 uint64_t number_of(evhttp_request* request, const char* header);
 
 // Takes effects of duties, and none of a lower epoch than it has met.
@@ -63,8 +63,8 @@
 
     enum class Mood { well, frozen, full, wrong };  // frozen: takes what comes, and answers once it is well
     void mood_is(Mood mood);
-    const std::deque<Point>& reached() const { return reached_; }   // by what, of late
-    void wrong_to(std::string ids) { wrong_to_ = std::move(ids); }  // whose ids begin so; empty: to nobody
+    const std::deque<TimePoint>& reached() const { return reached_; }  // by what, of late
+    void wrong_to(std::string ids) { wrong_to_ = std::move(ids); }     // whose ids begin so; empty: to nobody
 
   private:
     void serve(evhttp_request* request);
@@ -72,7 +72,7 @@
     event_base* base_;
     Mood mood_ = Mood::well;
     std::vector<evhttp_request*> held_;
-    std::deque<Point> reached_;
+    std::deque<TimePoint> reached_;
     std::string name_, wrong_to_;
     std::function<void(const std::string&, size_t)> probed_;
     size_t at_once_ = 0;
--- a/fault_injection/test_cluster.cpp
+++ b/fault_injection/test_cluster.cpp
@@ -29,7 +29,7 @@
 
 constexpr size_t first_port = 11000, ports_each = 300, slots = 60;
 
-Point boot_now()
+TimePoint boot_now()
 {
     timespec at{};
     clock_gettime(CLOCK_BOOTTIME, &at);
@@ -42,8 +42,8 @@
     uint16_t fleet_port = 0, serve_port = 0, door_port = 0;
     pid_t pid = 0;
     std::optional<int> status;
-    std::optional<Point> stopped;
-    Stream log;
+    std::optional<TimePoint> stopped;
+    BuffereventPtr log;
     std::string text;
     Control* control = nullptr;
 };
@@ -273,12 +273,12 @@
     const auto event = in.value("event", "");
     // By its own clock where that is the test cluster's too; else by when it was heard.
     const bool own = !plan_.shim || processes_[member]->control->rate == 1;
-    const Point at = own ? Point{in.value("boot_us", int64_t{0})} : now();
+    const TimePoint at = own ? TimePoint{in.value("boot_us", int64_t{0})} : now();
     if (event == "gained")
         checker.gained(at, id_of(member), in.value("duty", ""), in.value("epoch", uint64_t{0}));
     if (event == "lost")
-        checker.lost(own ? Point{in.value("until_us", int64_t{0})} : at, id_of(member), in.value("duty", ""),
-                     in.value("epoch", uint64_t{0}));
+        checker.lost(own ? TimePoint{in.value("until_us", int64_t{0})} : at, id_of(member),
+                     in.value("duty", ""), in.value("epoch", uint64_t{0}));
 }
 
 void TestCluster::kill(size_t member, int signal)
@@ -298,10 +298,10 @@
 pid_t TestCluster::process(size_t member) const { return processes_[member]->pid; }
 bool TestCluster::up(size_t member) const { return processes_[member]->pid != 0; }
 std::optional<int> TestCluster::exit_status(size_t member) const { return processes_[member]->status; }
-Point TestCluster::now() const { return boot_now(); }
+TimePoint TestCluster::now() const { return boot_now(); }
 std::string TestCluster::log(size_t member) const { return processes_[member]->text; }
 
-void TestCluster::run(Span span)
+void TestCluster::run(Duration span)
 {
     const auto most = to_timeval(span);
     event_base_loopexit(base_.get(), &most);
@@ -316,9 +316,9 @@
     }
 }
 
-bool TestCluster::until(const std::function<bool()>& so, Span most)
+bool TestCluster::until(const std::function<bool()>& so, Duration most)
 {
-    const Point end = monotonic_now() + most;
+    const TimePoint end = monotonic_now() + most;
     while (!so()) {
         if (monotonic_now() > end) return false;
         run(seconds(0.02));
@@ -340,7 +340,7 @@
     call(base_.get(), loopback(processes_[member]->door_port), line + "\n", seconds(60), std::move(then));
 }
 
-std::string TestCluster::ask(size_t member, const std::string& line, Span wait)
+std::string TestCluster::ask(size_t member, const std::string& line, Duration wait)
 {
     auto got = std::make_shared<std::optional<std::string>>();
     call(base_.get(), loopback(processes_[member]->door_port), line + "\n", wait,
@@ -349,7 +349,7 @@
     return got->value_or("");
 }
 
-int TestCluster::request(size_t member, Span wait)
+int TestCluster::request(size_t member, Duration wait)
 {
     static uint64_t next = 1;
     auto got = std::make_shared<std::optional<std::string>>();
--- a/fault_injection/test_cluster.h
+++ b/fault_injection/test_cluster.h
@@ -37,8 +37,8 @@
     const Plan& plan() const { return plan_; }
     size_t size() const { return processes_.size(); }
     event_base* base() { return base_.get(); }
-    void run(Span span);  // the test cluster's own loop
-    bool until(const std::function<bool()>& so, Span most);
+    void run(Duration span);  // the test cluster's own loop
+    bool until(const std::function<bool()>& so, Duration most);
 
     void start(size_t member);
     void kill(size_t member, int signal);  // SIGKILL ends it, SIGSTOP and SIGCONT hold it and let it go on
@@ -62,10 +62,10 @@
     void tear(size_t member, size_t bytes);  // off the end of its voter's file
 
     // A line at the door; empty where nobody answers.
-    std::string ask(size_t member, const std::string& line, Span wait = seconds(1));
+    std::string ask(size_t member, const std::string& line, Duration wait = seconds(1));
     void ask_later(size_t member, const std::string& line, std::function<void(std::string)> then);
     // A request to a balancer: the status, 0 where there is no answer.
-    int request(size_t member, Span wait = seconds(1));
+    int request(size_t member, Duration wait = seconds(1));
     // One whose answer is counted, not waited for.
     void request_later(size_t member, const std::string& tenant);
     std::map<int, uint64_t> answers;                        // to those, by status
@@ -80,7 +80,7 @@
     DiscoveryStandIn& discovery() { return *discovery_; }
     Upstream& upstream(size_t i) { return *upstreams_[i]; }
     const Receiver& receiver() const { return *receiver_; }
-    Point now() const;
+    TimePoint now() const;
     // Let all go on, wait for what they still have to say, and judge.
     std::vector<std::string> judge();
     std::string log(size_t member) const;
@@ -102,7 +102,7 @@
     uint16_t next_port_;
     uint64_t later_ = 0;
     std::string folder_;
-    Base base_;
+    EventBasePtr base_;
     std::unique_ptr<Receiver> receiver_;
     std::unique_ptr<DiscoveryStandIn> discovery_;
     std::vector<std::unique_ptr<Upstream>> upstreams_;
--- a/scale/change_tracker.cpp
+++ b/scale/change_tracker.cpp
@@ -5,17 +5,17 @@
 namespace firtide::scale
 {
 
-void ChangeTracker::member_up(size_t member, Point at) { lives_[member].push_back({at, {}, {}}); }
+void ChangeTracker::member_up(size_t member, TimePoint at) { lives_[member].push_back({at, {}, {}}); }
 
-void ChangeTracker::member_down(size_t member, Point at)
+void ChangeTracker::member_down(size_t member, TimePoint at)
 {
     auto& lives = lives_[member];
     if (!lives.empty() && !lives.back().until) lives.back().until = at;
 }
 
-void ChangeTracker::changed(uint64_t version, Point at) { changes_.push_back({version, at}); }
+void ChangeTracker::changed(uint64_t version, TimePoint at) { changes_.push_back({version, at}); }
 
-void ChangeTracker::in_force(size_t member, uint64_t version, Point since)
+void ChangeTracker::in_force(size_t member, uint64_t version, TimePoint since)
 {
     auto& lives = lives_[member];
     if (lives.empty() || lives.back().until) return;
@@ -23,7 +23,7 @@
     if (lists.empty() || lists.back().version < version) lists.push_back({version, since});
 }
 
-const ChangeTracker::Life* ChangeTracker::life_at(size_t member, Point at) const
+const ChangeTracker::Life* ChangeTracker::life_at(size_t member, TimePoint at) const
 {
     for (const Life& life : lives_[member])
         if (life.from <= at && (!life.until || at < *life.until)) return &life;
@@ -51,7 +51,7 @@
     return true;
 }
 
-ChangeTracker::Summary ChangeTracker::summary(Point from) const
+ChangeTracker::Summary ChangeTracker::summary(TimePoint from) const
 {
     Summary out;
     for (size_t member = 0; member < lives_.size(); ++member) {
--- a/scale/change_tracker.h
+++ b/scale/change_tracker.h
@@ -17,10 +17,10 @@
 
     // From here on a member has to follow changes, until it is down. A change made while it is down, or that
     // it has not reached when it goes down, does not count for it.
-    void member_up(size_t member, Point at);
-    void member_down(size_t member, Point at);
-    void changed(uint64_t version, Point at);                     // at discovery
-    void in_force(size_t member, uint64_t version, Point since);  // versions up to this one, too
+    void member_up(size_t member, TimePoint at);
+    void member_down(size_t member, TimePoint at);
+    void changed(uint64_t version, TimePoint at);                     // at discovery
+    void in_force(size_t member, uint64_t version, TimePoint since);  // versions up to this one, too
 
     struct Summary {
         std::vector<double> seconds;  // for each member and change
@@ -28,7 +28,7 @@
         uint64_t members_at_last = 0, members_up = 0;
     };
     // Of the changes from this point of time on.
-    Summary summary(Point from) const;
+    Summary summary(TimePoint from) const;
     // Whether all members that are up have the last change in force.
     bool all_at_last() const;
     bool has_list(size_t member) const;
@@ -36,19 +36,19 @@
   private:
     struct InForce {
         uint64_t version = 0;
-        Point since;
+        TimePoint since;
     };
     struct Life {
-        Point from;
-        std::optional<Point> until;
+        TimePoint from;
+        std::optional<TimePoint> until;
         std::vector<InForce> lists;  // versions grow
     };
     struct Change {
         uint64_t version = 0;
-        Point at;
+        TimePoint at;
     };
 
-    const Life* life_at(size_t member, Point at) const;
+    const Life* life_at(size_t member, TimePoint at) const;
     bool at_last(size_t member) const;
 
     std::vector<std::vector<Life>> lives_;
--- a/scale/cluster.cpp
+++ b/scale/cluster.cpp
@@ -16,7 +16,7 @@
 namespace
 {
 
-constexpr Span door_answers_within = seconds(10);
+constexpr Duration door_answers_within = seconds(10);
 // What the program logs at the level debug for each list.
 constexpr std::string_view list_words = "fleet list ", since_words = " in force at boot_us ";
 
@@ -27,7 +27,7 @@
     const std::string version(line.substr(list + list_words.size()));
     const std::string at(line.substr(since + since_words.size()));
     return ListInForce{member, std::strtoull(version.c_str(), nullptr, 10),
-                       Point{std::strtoll(at.c_str(), nullptr, 10)}};
+                       TimePoint{std::strtoll(at.c_str(), nullptr, 10)}};
 }
 
 std::string last_line(const std::string& path)
--- a/scale/discovery_standin.cpp
+++ b/scale/discovery_standin.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-constexpr Span watch_lasts = seconds(1.8);  // then an answer without changes
+constexpr Duration watch_lasts = seconds(1.8);  // then an answer without changes
 
 // The number after `name=` in a request's target; zero where there is none.
 uint64_t argument(const std::string& target, const std::string& name)
--- a/scale/hollow_process.cpp
+++ b/scale/hollow_process.cpp
@@ -21,8 +21,8 @@
 namespace
 {
 
-constexpr Span longest_delay = seconds(0.05);  // of a start: then this process has too much to do
-constexpr Span leaves_within = seconds(0.3);   // for its last messages to go out
+constexpr Duration longest_delay = seconds(0.05);  // of a start: then this process has too much to do
+constexpr Duration leaves_within = seconds(0.3);   // for its last messages to go out
 
 class HollowMember
 {
@@ -68,7 +68,7 @@
     {
         if (!host_) return;
         const auto& seen = host_->fleet();
-        const auto alive = static_cast<uint32_t>(seen.membership().alive());
+        const auto alive = static_cast<uint32_t>(seen.membership().alive_count());
         uint32_t held = 0;
         for (const auto& duty : file_.duties)
             held += seen.lease_client().table().entry(duty.name).holder != 0;
@@ -93,21 +93,21 @@
     {
         if (!discovery_) make_discovery();
         if (on)
-            discovery_->ask();
+            discovery_->start_polling();
         else
-            discovery_->rest();
+            discovery_->stop_polling();
     }
 
     void make_discovery()
     {
-        discovery_.emplace(base_, config_, Point{}, [](const net::Event&) {});
-        const auto source = net::text_of(config_.discovery);
+        discovery_.emplace(base_, config_, TimePoint{}, [](const net::Event&) {});
+        const auto source = net::to_string(config_.discovery);
         if (file_.deltas)
-            return discovery_->tell_lines([this, source](uint64_t version, auto lines, auto uids) {
+            return discovery_->set_entries_callback([this, source](uint64_t version, auto lines, auto uids) {
                 host_->notify(
                     fleet::EndpointListFetched{source, version, "", std::move(lines), std::move(uids)});
             });
-        discovery_->tell_whole([this, source](uint64_t version, std::string text) {
+        discovery_->set_list_callback([this, source](uint64_t version, std::string text) {
             host_->notify(fleet::EndpointListFetched{source, version, std::move(text), nullptr, {}});
         });
     }
@@ -120,7 +120,7 @@
     fleet::TrafficCounts earlier_;  // of its lives before this one
     std::optional<fleet::Host> host_;
     std::optional<net::Discovery> discovery_;
-    Timer leaving_;
+    EventPtr leaving_;
 };
 
 class HollowProcess
@@ -165,7 +165,7 @@
     // Nobody is started while this process falls behind.
     void start_next()
     {
-        const Point now = monotonic_now();
+        const TimePoint now = monotonic_now();
         const bool late = now - start_due_ > longest_delay;
         start_due_ = now + start_every_;
         if (late) return;
@@ -208,13 +208,13 @@
     }
 
     const uint32_t first_;
-    const Span start_every_;
+    const Duration start_every_;
     const net::Config config_;
-    Base base_;
+    EventBasePtr base_;
     LineStream controller_;
     std::vector<std::unique_ptr<HollowMember>> members_;
-    Timer starting_;
-    Point start_due_;
+    EventPtr starting_;
+    TimePoint start_due_;
     size_t started_ = 0;  // of the members
 };
 
@@ -234,7 +234,7 @@
         return 2;
     }
     try {
-        start_log("hollow", "error");
+        init_logging("hollow", "error");
         HollowProcess(*spec).run();
     } catch (const std::exception& e) {
         std::fprintf(stderr, "firtide-scale: %s\n", e.what());
--- a/scale/hollow_protocol.h
+++ b/scale/hollow_protocol.h
@@ -18,7 +18,7 @@
     std::string fleet_path, config_path;
     uint32_t first = 0;  // place of the first member in the fleet file; the others follow it
     std::vector<std::string> data_folders;  // one for each member
-    Span start_every;                       // from the start of one member to that of the next
+    Duration start_every;                   // from the start of one member to that of the next
 };
 
 std::string encode_spec(const HollowSpec& spec);
@@ -43,7 +43,7 @@
 struct ListInForce {
     uint32_t member = 0;
     uint64_t version = 0;
-    Point since;  // by the boot clock
+    TimePoint since;  // by the boot clock
 };
 struct MemberTraffic {
     uint32_t member = 0;
--- a/scale/line_stream.h
+++ b/scale/line_stream.h
@@ -23,7 +23,7 @@
   private:
     void read_lines();
 
-    Stream stream_;
+    BuffereventPtr stream_;
     std::function<void(std::string_view)> line_;
     std::function<void()> ended_;
 };
--- a/scale/load_generator.cpp
+++ b/scale/load_generator.cpp
@@ -166,9 +166,9 @@
             const ssize_t size = ::recv(connection.socket.fd(), bytes.data(), bytes.size(), 0);
             if (size < 0 && (errno == EAGAIN || errno == EINTR)) return ReadResult::nothing;
             if (size <= 0 || !connection.call) return ReadResult::ended;
-            const auto state = connection.reader->take({bytes.data(), static_cast<size_t>(size)});
+            const auto state = connection.reader->parse({bytes.data(), static_cast<size_t>(size)});
             if (state == MessageReader::State::malformed) return ReadResult::ended;
-            if (state == MessageReader::State::whole) return ReadResult::answered;
+            if (state == MessageReader::State::complete) return ReadResult::answered;
         }
     }
 
@@ -180,7 +180,7 @@
             loop_.answered(call, now());
         else
             loop_.failed(status);
-        if (!connection.reader->keeps_connection()) return close(connection);
+        if (!connection.reader->keep_alive()) return close(connection);
         connection.reader = std::make_unique<ResponseReader>(setup_);
         if (waiting_.empty()) {
             idle_[connection.port].push_back(&connection);
--- a/scale/main.cpp
+++ b/scale/main.cpp
@@ -32,10 +32,11 @@
     return command;
 }
 
-std::string text_of(const ConfigError& fault, const std::string& experiment_path)
+std::string to_string(const ConfigError& fault, const std::string& experiment_path)
 {
-    if (fault.at.line == 0) return "--" + fault.at.key + ": " + fault.what;
-    return experiment_path + ":" + std::to_string(fault.at.line) + ": " + fault.at.key + ": " + fault.what;
+    if (fault.location.line == 0) return "--" + fault.location.key + ": " + fault.message;
+    return experiment_path + ":" + std::to_string(fault.location.line) + ": " + fault.location.key + ": " +
+           fault.message;
 }
 
 // Told before anything starts: a run takes minutes.
@@ -65,7 +66,7 @@
     }
     const auto decoded = scale::decode_options(experiment.str(), words);
     if (const auto* fault = std::get_if<ConfigError>(&decoded))
-        return refuse(text_of(*fault, experiment_path));
+        return refuse(to_string(*fault, experiment_path));
     const auto& options = std::get<scale::Options>(decoded);
     if (!can_write(options.json)) return refuse("--json: '" + options.json + "' cannot be written");
     std::signal(SIGPIPE, SIG_IGN);
--- a/scale/options.cpp
+++ b/scale/options.cpp
@@ -85,7 +85,7 @@
         if (said == name) return void(value = meaning);
         known += (known.empty() ? "" : ", ") + std::string(name);
     }
-    wrong(key, line, "one of " + known + " is expected, not '" + said + "'");
+    throw_config_error(key, line, "one of " + known + " is expected, not '" + said + "'");
 }
 
 // Where an option's value stands, for faults that only show among several.
@@ -109,13 +109,13 @@
 {
     const TomlTable table(from, "", {name});
     for (const auto& o : count_options)
-        if (name == o.name) options.*o.value = table.count(name, 0, o.least, o.most);
+        if (name == o.name) options.*o.value = table.integer(name, 0, o.least, o.most);
     for (const auto& o : number_options)
         if (name == o.name) options.*o.value = table.number(name, 0, o.least, o.most);
     for (const auto& o : text_options)
-        if (name == o.name) options.*o.value = table.text(name);
-    if (name == trouble_name) choose(trouble_names, name, 0, table.text(name), options.trouble);
-    if (name == lists_name) choose(list_names, name, 0, table.text(name), options.lists);
+        if (name == o.name) options.*o.value = table.string(name);
+    if (name == trouble_name) choose(trouble_names, name, 0, table.string(name), options.trouble);
+    if (name == lists_name) choose(list_names, name, 0, table.string(name), options.lists);
 }
 
 bool is_known(std::string_view name)
@@ -129,14 +129,14 @@
     for (const auto& [key, node] : from) {
         const std::string name(key.str());
         const uint32_t line = has_lines ? line_of(node) : 0;
-        if (!is_known(name)) wrong(name, line, "unknown key");
+        if (!is_known(name)) throw_config_error(name, line, "unknown key");
         lines.at(name, line);
         toml::table one;
         one.insert(name, node);
         try {
             read_value(one, name, options);
         } catch (TomlConfigError& fault) {
-            fault.fault.at.line = line;
+            fault.error.location.line = line;
             throw;
         }
     }
@@ -156,14 +156,14 @@
     try {
         return toml::parse(word.first + " = " + toml_value(word));
     } catch (const toml::parse_error&) {
-        wrong(word.first, 0, "'" + word.second + "' cannot be read");
+        throw_config_error(word.first, 0, "'" + word.second + "' cannot be read");
     }
 }
 
 void check_together(const Options& options, const Lines& lines)
 {
     const auto require = [&](bool holds, const char* key, const std::string& what) {
-        if (!holds) wrong(key, lines.of(key), what);
+        if (!holds) throw_config_error(key, lines.of(key), what);
     };
     require(
         options.real <= options.members, "real",
@@ -219,14 +219,14 @@
 
 }  // namespace
 
-std::string text_of(Trouble trouble)
+std::string to_string(Trouble trouble)
 {
     for (const auto& [name, meaning] : trouble_names)
         if (meaning == trouble) return name;
     return "";
 }
 
-std::string text_of(ListMechanism lists)
+std::string to_string(ListMechanism lists)
 {
     for (const auto& [name, meaning] : list_names)
         if (meaning == lists) return name;
@@ -247,7 +247,7 @@
         return ConfigError{{"TOML", static_cast<uint32_t>(e.source().begin.line)},
                            std::string(e.description())};
     } catch (const TomlConfigError& w) {
-        return w.fault;
+        return w.error;
     }
 }
 
@@ -256,8 +256,8 @@
     std::vector<Word> words;
     for (const auto& o : count_options) words.emplace_back(o.name, std::to_string(options.*o.value));
     for (const auto& o : number_options) words.emplace_back(o.name, number_text(options.*o.value));
-    words.emplace_back(trouble_name, text_of(options.trouble));
-    words.emplace_back(lists_name, text_of(options.lists));
+    words.emplace_back(trouble_name, to_string(options.trouble));
+    words.emplace_back(lists_name, to_string(options.lists));
     for (const auto& o : text_options) words.emplace_back(o.name, options.*o.value);
     return words;
 }
--- a/scale/options.h
+++ b/scale/options.h
@@ -47,8 +47,8 @@
     uint32_t hollow() const { return members - real; }
 };
 
-std::string text_of(Trouble trouble);
-std::string text_of(ListMechanism lists);
+std::string to_string(Trouble trouble);
+std::string to_string(ListMechanism lists);
 
 // One option as it was written: its name without dashes before it, and its value.
 using Word = std::pair<std::string, std::string>;
--- a/scale/run.cpp
+++ b/scale/run.cpp
@@ -25,13 +25,13 @@
 
 using fleet::fleet_now;
 
-constexpr Span poll_every = seconds(0.02), look_every = seconds(0.5), usage_every = seconds(1);
-constexpr Span whole_within = seconds(180);   // from the start: the longest warm-up
-constexpr Span answers_within = seconds(30);  // of all members
-constexpr Span reached_within = seconds(20);  // the last change by all, after the measured time
-constexpr Span returns_after = seconds(1);    // a member that has left
-constexpr Span restart_over = seconds(5);     // all processes, in even steps
-constexpr double trouble_at = 0.4;            // of the measured time
+constexpr Duration poll_every = seconds(0.02), look_every = seconds(0.5), usage_every = seconds(1);
+constexpr Duration whole_within = seconds(180);   // from the start: the longest warm-up
+constexpr Duration answers_within = seconds(30);  // of all members
+constexpr Duration reached_within = seconds(20);  // the last change by all, after the measured time
+constexpr Duration returns_after = seconds(1);    // a member that has left
+constexpr Duration restart_over = seconds(5);     // all processes, in even steps
+constexpr double trouble_at = 0.4;                // of the measured time
 constexpr double kb = 1024;
 constexpr int status_failed = 1, status_refused = 2, status_of_signal = 128;
 
@@ -77,7 +77,7 @@
     using Step = std::optional<RunFailure> (Run::*)(Result& result);
 
     struct Reading {
-        Point at;
+        TimePoint at;
         std::vector<TrafficMeter::Reading> traffic;
         std::vector<double> real_cpu, hollow_cpu;
         double own_cpu = 0, all_cpu = 0, machine_cpu = 0;
@@ -96,9 +96,10 @@
 
     void on_signal(int number);
     std::optional<RunFailure> failure();
-    bool run_for(Span span);  // false: it has failed
+    bool run_for(Duration span);  // false: it has failed
     // failed: what is said where it does not come to be so in time.
-    std::optional<RunFailure> until(const std::function<bool()>& so, Span most, const std::string& failed);
+    std::optional<RunFailure> until(const std::function<bool()>& so, Duration most,
+                                    const std::string& failed);
     std::optional<RunFailure> read(Reading& reading);
     void read_usage();
 
@@ -107,10 +108,10 @@
     std::optional<uint32_t> holder_of(const std::string& duty) const;
     std::optional<uint32_t> leader() const;
 
-    void make_changes(Point began, Point now);
-    void make_restarts(Point began, Point now);
-    void make_trouble(Point began, Point now);
-    void restart_all(Point began, Point now);
+    void make_changes(TimePoint began, TimePoint now);
+    void make_restarts(TimePoint began, TimePoint now);
+    void make_trouble(TimePoint began, TimePoint now);
+    void restart_all(TimePoint began, TimePoint now);
     void restart_one();
 
     bool is_killed(uint32_t member) const;
@@ -123,8 +124,8 @@
     const Options options_;
     const PortClaim claim_;
     TemporaryFolder folder_;
-    Base base_;
-    std::vector<Timer> signals_;
+    EventBasePtr base_;
+    std::vector<EventPtr> signals_;
     DiscoveryStandIn discovery_;
     const Layout layout_;
     ChangeTracker tracker_;
@@ -133,14 +134,14 @@
     std::optional<int> signal_;
     std::optional<std::string> cannot_start_;
 
-    Point looked_, usage_read_, window_began_;
+    TimePoint looked_, usage_read_, window_began_;
     Reading before_, after_;
     uint64_t changes_made_ = 0, restarts_made_ = 0;
     size_t restarted_ = 0;  // of all processes, in the trouble of that name
     bool trouble_made_ = false;
     struct Return {
         uint32_t member = 0;
-        Point at;
+        TimePoint at;
     };
     std::vector<Return> returns_;
     uint32_t killed_members_ = 0;
@@ -169,7 +170,7 @@
     return {};
 }
 
-bool Run::run_for(Span span)
+bool Run::run_for(Duration span)
 {
     const auto most = to_timeval(span);
     if (!signal_) {
@@ -180,9 +181,10 @@
     return !failure();
 }
 
-std::optional<RunFailure> Run::until(const std::function<bool()>& so, Span most, const std::string& failed)
+std::optional<RunFailure> Run::until(const std::function<bool()>& so, Duration most,
+                                     const std::string& failed)
 {
-    const Point end = monotonic_now() + most;
+    const TimePoint end = monotonic_now() + most;
     while (!so()) {
         if (!run_for(poll_every)) return failure();
         if (monotonic_now() > end) return RunFailure{status_failed, failed};
@@ -237,8 +239,8 @@
 
 std::optional<RunFailure> Run::warm_up(Result& result)
 {
-    const Point began = monotonic_now();
-    const Span starts = seconds(2 * options_.hollow() / starts_per_second(options_.members));
+    const TimePoint began = monotonic_now();
+    const Duration starts = seconds(2 * options_.hollow() / starts_per_second(options_.members));
     auto failed = until([&] { return cluster_.hollow_started(); }, whole_within + starts,
                         "the hollow members have not started in time");
     if (failed) return failed;
@@ -291,7 +293,7 @@
 {
     const uint32_t wanted = list_member();
     const auto order = "hand-over list " + Layout::id_of(wanted);
-    Point ordered;
+    TimePoint ordered;
     return until(
         [&] {
             if (!cluster_.answered() || monotonic_now() - looked_ < look_every) return false;
@@ -341,12 +343,12 @@
     return {};
 }
 
-void Run::make_changes(Point began, Point now)
+void Run::make_changes(TimePoint began, TimePoint now)
 {
     const double due = (now - began).seconds() * options_.changes_per_second;
     while (static_cast<double>(changes_made_) + 1 <= due) {
         ++changes_made_;
-        const Point at = fleet_now();
+        const TimePoint at = fleet_now();
         tracker_.changed(discovery_.change_one(), at);
     }
 }
@@ -366,7 +368,7 @@
     cluster_.stop_real(std::uniform_int_distribution<uint32_t>(0, options_.real - 1)(chance_));
 }
 
-void Run::make_restarts(Point began, Point now)
+void Run::make_restarts(TimePoint began, TimePoint now)
 {
     const double due = (now - began).seconds() * options_.restarts_per_second;
     while (static_cast<double>(restarts_made_) + 1 <= due) {
@@ -380,7 +382,7 @@
     });
 }
 
-void Run::restart_all(Point began, Point now)
+void Run::restart_all(TimePoint began, TimePoint now)
 {
     const size_t groups = layout_.groups().size(), all = options_.real + groups;
     const double part = std::min(1.0, (now - began) / restart_over);
@@ -394,9 +396,9 @@
     }
 }
 
-void Run::make_trouble(Point began, Point now)
+void Run::make_trouble(TimePoint began, TimePoint now)
 {
-    const Point due = began + seconds(options_.seconds * trouble_at);
+    const TimePoint due = began + seconds(options_.seconds * trouble_at);
     if (options_.trouble == Trouble::none || now < due) return;
     if (options_.trouble == Trouble::restart) return restart_all(due, now);
     if (std::exchange(trouble_made_, true)) return;
@@ -406,11 +408,11 @@
 
 std::optional<RunFailure> Run::change_and_trouble(Result&)
 {
-    const Point began = monotonic_now(), end = began + seconds(options_.seconds);
+    const TimePoint began = monotonic_now(), end = began + seconds(options_.seconds);
     bool counted_before_trouble = false;
     while (monotonic_now() < end) {
         if (!run_for(poll_every)) return failure();
-        const Point now = monotonic_now();
+        const TimePoint now = monotonic_now();
         make_changes(began, now);
         make_restarts(began, now);
         // What is lost with a process's end is what it carried since it last told.
@@ -443,7 +445,7 @@
 // A change that is missing then is counted, and is no failure of the run.
 std::optional<RunFailure> Run::wait_for_last_change(Result&)
 {
-    const Point end = monotonic_now() + reached_within;
+    const TimePoint end = monotonic_now() + reached_within;
     while (monotonic_now() < end) {
         const bool back = returns_.empty() && cluster_.hollow_started();
         if (back && tracker_.all_at_last()) break;
@@ -457,7 +459,7 @@
 // Whoever was suspected, or has just returned, is given time to be seen alive again.
 std::optional<RunFailure> Run::last_views()
 {
-    const Point end = monotonic_now() + reached_within;
+    const TimePoint end = monotonic_now() + reached_within;
     for (;;) {
         looked_ = monotonic_now();
         cluster_.ask_views();
--- a/scale/stand_ins.cpp
+++ b/scale/stand_ins.cpp
@@ -62,22 +62,22 @@
     return ports;
 }
 
-Base precise_base()
+EventBasePtr precise_base()
 {
     event_config* config = event_config_new();
     event_config_set_flag(config, EVENT_BASE_FLAG_PRECISE_TIMER);
-    Base base(event_base_new_with_config(config));
+    EventBasePtr base(event_base_new_with_config(config));
     event_config_free(config);
     return base;
 }
 
-void serve_upstreams(size_t upstreams, Span service_time, const Pipe& pipe)
+void serve_upstreams(size_t upstreams, Duration service_time, const Pipe& pipe)
 {
     const auto base = precise_base();
     const auto serve = [&](evhttp_request* request) {
         const std::string path = evhttp_request_get_uri(request);
         if (path.starts_with("/-/")) return fault_injection::answer(request, HTTP_OK, probe_answer);
-        if (service_time <= Span{}) return fault_injection::answer(request, HTTP_OK, call_answer);
+        if (service_time <= Duration{}) return fault_injection::answer(request, HTTP_OK, call_answer);
         fault_injection::answer_later(base.get(), service_time,
                                       [request] { fault_injection::answer(request, HTTP_OK, call_answer); });
     };
@@ -138,7 +138,7 @@
 void serve_discovery(const std::vector<Ports>& lists, double changes_per_second, uint64_t seed,
                      std::atomic<uint64_t>& changes, const Pipe& pipe)
 {
-    const Base base(event_base_new());
+    const EventBasePtr base(event_base_new());
     std::vector<std::unique_ptr<fault_injection::DiscoveryStandIn>> servers;
     Ports ports;
     for (const auto& list : lists) {
@@ -193,13 +193,13 @@
     return {back, ListChange::Kind::ready};
 }
 
-Span EndpointChanges::next_gap(double changes_per_second)
+Duration EndpointChanges::next_gap(double changes_per_second)
 {
     const double uniform = static_cast<double>(random_() >> 11) * 0x1p-53;
     return seconds(-std::log1p(-uniform) / changes_per_second);
 }
 
-UpstreamProcess::UpstreamProcess(size_t upstreams, Span service_time)
+UpstreamProcess::UpstreamProcess(size_t upstreams, Duration service_time)
     : process_(
           start_stand_in([&](const Pipe& pipe) { serve_upstreams(upstreams, service_time, pipe); }, ports_))
 {
--- a/scale/stand_ins.h
+++ b/scale/stand_ins.h
@@ -32,7 +32,7 @@
     EndpointChanges(size_t upstreams, uint64_t seed);
     ListChange next();
     // Until the next change; the mean is one second through the rate.
-    Span next_gap(double changes_per_second);
+    Duration next_gap(double changes_per_second);
 
   private:
     std::mt19937_64 random_;
@@ -44,7 +44,7 @@
 class UpstreamProcess
 {
   public:
-    UpstreamProcess(size_t upstreams, Span service_time);
+    UpstreamProcess(size_t upstreams, Duration service_time);
     const std::vector<uint16_t>& ports() const { return ports_; }
 
   private:
--- a/scale/test_bed.h
+++ b/scale/test_bed.h
@@ -18,7 +18,7 @@
     std::string program;  // firtide
     size_t upstreams = 20;
     double changes_per_second = 1.27;  // of the list of upstreams
-    Span service_time;
+    Duration service_time;
     size_t members = 0;  // of the fleet, of which the first is called; 0: a balancer without a fleet
     size_t chain =
         1;  // balancers in a row, where there is no fleet: each is the only upstream of the one before
--- a/scale/traffic_meter.h
+++ b/scale/traffic_meter.h
@@ -14,16 +14,16 @@
 {
   public:
     struct Reading {
-        Point at;
+        TimePoint at;
         fleet::TrafficCounts counts;
     };
 
-    void take(Point at, const fleet::TrafficCounts& counts) { at_ = at, now_ = counts; }
+    void take(TimePoint at, const fleet::TrafficCounts& counts) { at_ = at, now_ = counts; }
     void life_ended() { earlier_ = sum(earlier_, now_), now_ = {}; }
     Reading reading() const { return {at_, sum(earlier_, now_)}; }
 
   private:
-    Point at_;
+    TimePoint at_;
     fleet::TrafficCounts earlier_, now_;
 };
 
--- a/simulation/model_check.cpp
+++ b/simulation/model_check.cpp
@@ -36,7 +36,7 @@
     for (size_t i = 0; i < w.size(); ++i) w.start(i);
     w.run(check.settles);
     armed = true;
-    const Point end = w.now() + check.lasts;
+    const TimePoint end = w.now() + check.lasts;
     while (w.broken().empty() && w.step(end)) {
     }
     if (trace) *trace = w.trace();
--- a/simulation/model_check.h
+++ b/simulation/model_check.h
@@ -9,9 +9,9 @@
 
 struct Check {
     SimulatedCluster::Options options;
-    Span settles = seconds(2.2), lasts = seconds(4);  // before anything can go wrong, and after
-    size_t most = 1;                                  // things that go wrong in one run
-    size_t part = 0, parts = 1;                       // of the runs, this part only
+    Duration settles = seconds(2.2), lasts = seconds(4);  // before anything can go wrong, and after
+    size_t most = 1;                                      // things that go wrong in one run
+    size_t part = 0, parts = 1;                           // of the runs, this part only
     uint64_t seed = 1;
     bool stop_at_first = true;
 };
--- a/simulation/randomized_run.cpp
+++ b/simulation/randomized_run.cpp
@@ -23,7 +23,7 @@
     for (size_t i = 0; i < w.size(); ++i) {
         const EndpointReplica& replica = *w.fleet(i).replica();
         if (replica.revision() != published.revision() || replica.digest() != published.digest() ||
-            w.shown_list(i) != published.texts())
+            w.shown_list(i) != published.endpoints())
             return "m" + std::to_string(i + 1) + " has not the holder's list long after all has healed";
     }
     return "";
@@ -44,7 +44,7 @@
     }
     if (run.clock_beyond > 0) w.clock(n - 1, 1 / (1 + run.clock_beyond));
     Walked out;
-    const Point end = w.now() + run.lasts;
+    const TimePoint end = w.now() + run.lasts;
     uint64_t version = 1;
     w.run(seconds(3));
     while (w.now() < end && w.broken().empty()) {
--- a/simulation/randomized_run.h
+++ b/simulation/randomized_run.h
@@ -8,7 +8,7 @@
 
 struct RandomizedRun {
     SimulatedCluster::Options options;
-    Span lasts = seconds(60);
+    Duration lasts = seconds(60);
     double faults = 1;        // a second, about
     bool disks = true;        // lost, torn, full, slow
     bool clocks = true;       // rates that differ, within the drift
@@ -21,7 +21,7 @@
     SimulatedCluster::Count count;
     uint64_t faults = 0;
     std::vector<std::string> trace;
-    std::vector<Span> gaps;
+    std::vector<Duration> gaps;
 };
 
 Walked run_randomized(const RandomizedRun& run, uint64_t seed, bool traced = false);
--- a/simulation/scale.cpp
+++ b/simulation/scale.cpp
@@ -13,10 +13,10 @@
 
 constexpr size_t most_members = 20000, most_upstreams = 50000, most_duties = 500, most_zones = 64;
 constexpr double most_seconds = 3600, most_changes = 1000;
-constexpr Span warm_up = seconds(10), bucket = seconds(1), look_every = seconds(0.1);
-constexpr Span killed_for = seconds(10), zone_gone_for = seconds(20), split_for = seconds(60),
-               restarted_within = seconds(10), down_at_restart = seconds(0.5);
-constexpr Span longest_settling = seconds(120);
+constexpr Duration warm_up = seconds(10), bucket = seconds(1), look_every = seconds(0.1);
+constexpr Duration killed_for = seconds(10), zone_gone_for = seconds(20), split_for = seconds(60),
+                   restarted_within = seconds(10), down_at_restart = seconds(0.5);
+constexpr Duration longest_settling = seconds(120);
 constexpr size_t one_killed_of = 20;
 constexpr uint32_t regions = 3;
 constexpr uint64_t first_version = 1;
@@ -72,7 +72,7 @@
 
 }  // namespace
 
-const char* text_of(ScaleTrouble trouble)
+const char* to_string(ScaleTrouble trouble)
 {
     for (const auto& [value, name] : trouble_names)
         if (value == trouble) return name;
@@ -129,7 +129,7 @@
 {
     changed_at_.assign(first_version + 1, cluster_.now());
     cluster_.discovery_is(first_version,
-                          full_list_text(first_version, cluster_.discovery_lines(first_version)));
+                          encode_full_list(first_version, cluster_.discovery_lines(first_version)));
     cluster_.on_effect = [this](size_t node, FleetEffect& effect) {
         if (const auto* use = std::get_if<ApplyEndpointList>(&effect)) list_in_use(node, use->version);
     };
@@ -149,11 +149,11 @@
     const uint64_t version = changed_at_.size();
     changed_at_.push_back(cluster_.now());
     cluster_.discovery_is(
-        version, plan_.deltas ? std::string() : full_list_text(version, cluster_.discovery_lines(version)));
+        version, plan_.deltas ? std::string() : encode_full_list(version, cluster_.discovery_lines(version)));
 }
 
 // Of a Poisson process: changes keep no step with the times at which discovery is asked.
-Span ScaleRun::until_next_change()
+Duration ScaleRun::until_next_change()
 {
     return seconds(std::exponential_distribution<>(plan_.changes_per_second)(chance_));
 }
@@ -165,11 +165,11 @@
     second_before_ = cluster_.count;
 }
 
-void ScaleRun::advance(Point until)
+void ScaleRun::advance(TimePoint until)
 {
     while (cluster_.now() < until) {
         const bool change = changing_ && next_change_ <= until;
-        const Point second_ends = second_began_ + bucket;
+        const TimePoint second_ends = second_began_ + bucket;
         cluster_.run_until(std::min(second_ends, change ? next_change_ : until));
         if (change && cluster_.now() >= next_change_) {
             change_list();
@@ -183,7 +183,7 @@
     }
 }
 
-void ScaleRun::run_for(Span span) { advance(cluster_.now() + span); }
+void ScaleRun::run_for(Duration span) { advance(cluster_.now() + span); }
 
 std::optional<size_t> ScaleRun::list_holder() const
 {
@@ -227,7 +227,7 @@
     return all;
 }
 
-void ScaleRun::crash_for(const std::vector<size_t>& nodes, Span away)
+void ScaleRun::crash_for(const std::vector<size_t>& nodes, Duration away)
 {
     for (const size_t i : nodes) crash(i);
     run_for(away);
@@ -249,7 +249,7 @@
 
 void ScaleRun::restart_all()
 {
-    const Span step = restarted_within * (1.0 / static_cast<double>(plan_.members));
+    const Duration step = restarted_within * (1.0 / static_cast<double>(plan_.members));
     for (size_t i = 0; i < plan_.members; ++i) {
         cluster_.schedule(step * static_cast<double>(i), SIZE_MAX, [this, i] { crash(i); });
         cluster_.schedule(step * static_cast<double>(i) + down_at_restart, SIZE_MAX, [this, i] { start(i); });
@@ -278,7 +278,7 @@
         case ScaleTrouble::restart: restart_all(); break;
     }
     TroubleOutcome outcome;
-    const Point ended = cluster_.now();
+    const TimePoint ended = cluster_.now();
     if (settle(changed_at_.size() - 1, longest_settling))
         outcome.seconds_until_agreed = (cluster_.now() - ended).seconds();
     run_for(bucket);  // so that the last second is whole
@@ -300,15 +300,15 @@
         if (!cluster_.up(i)) continue;
         if (!first) first = i;
         const Membership& members = cluster_.fleet(i).membership();
-        if (members.alive() != up || members_[i].list < version) return false;
-        if (members.digest() != cluster_.fleet(*first).membership().digest()) return false;
+        if (members.alive_count() != up || members_[i].list < version) return false;
+        if (members.view_digest() != cluster_.fleet(*first).membership().view_digest()) return false;
     }
     return true;
 }
 
-bool ScaleRun::settle(uint64_t version, Span longest)
+bool ScaleRun::settle(uint64_t version, Duration longest)
 {
-    const Point end = cluster_.now() + longest;
+    const TimePoint end = cluster_.now() + longest;
     while (!agreed(version)) {
         if (cluster_.now() >= end) return false;
         run_for(look_every);
@@ -379,7 +379,7 @@
                                 " --upstreams " + std::to_string(plan.upstreams) + " --changes-per-second " +
                                 number(plan.changes_per_second) + " --seconds " + number(plan.seconds) +
                                 " --seed " + std::to_string(plan.seed) + " --trouble " +
-                                text_of(plan.trouble) + (plan.deltas ? " --deltas" : "");
+                                to_string(plan.trouble) + (plan.deltas ? " --deltas" : "");
     Json json;
     json["run"] = {{"command", command},
                    {"members", plan.members},
@@ -390,7 +390,7 @@
                    {"changes_per_second", plan.changes_per_second},
                    {"seconds", plan.seconds},
                    {"seed", plan.seed},
-                   {"trouble", text_of(plan.trouble)},
+                   {"trouble", to_string(plan.trouble)},
                    {"deltas", plan.deltas},
                    {"virtual", true}};
     json["roles"] = Json::object();
--- a/simulation/scale.h
+++ b/simulation/scale.h
@@ -21,7 +21,7 @@
     regions,  // three regions do not reach each other for a minute; discovery answers the list holder's alone
     restart,  // each member is started anew once, all within ten seconds
 };
-const char* text_of(ScaleTrouble trouble);
+const char* to_string(ScaleTrouble trouble);
 std::optional<ScaleTrouble> scale_trouble_of(std::string_view text);
 
 struct ScalePlan {
@@ -96,18 +96,18 @@
     SimulatedCluster::Options world_options() const;
     void list_in_use(size_t node, uint64_t version);
     void change_list();
-    Span until_next_change();
+    Duration until_next_change();
     void begin_seconds();
-    void advance(Point until);  // with the changes of the list that are due by then
-    void run_for(Span span);
+    void advance(TimePoint until);  // with the changes of the list that are due by then
+    void run_for(Duration span);
     void measure_rest();
     void play_trouble();
     void finish();
-    bool settle(uint64_t version, Span longest);
+    bool settle(uint64_t version, Duration longest);
     void start(size_t node);
     void crash(size_t node);
     std::vector<size_t> members_to_kill();
-    void crash_for(const std::vector<size_t>& nodes, Span away);
+    void crash_for(const std::vector<size_t>& nodes, Duration away);
     void split_regions();
     void restart_all();
     std::string role_of(size_t node, std::optional<size_t> leader, std::optional<size_t> holder) const;
@@ -116,12 +116,12 @@
     const ScalePlan plan_;
     SimulatedCluster cluster_;
     std::vector<MemberState> members_;
-    std::vector<Point> changed_at_;  // by version
+    std::vector<TimePoint> changed_at_;  // by version
     std::vector<uint32_t> waits_us_;
     std::ranlux24_base chance_;  // of the times of changes
-    Point next_change_;
+    TimePoint next_change_;
     bool changing_ = false;
-    Point second_began_;
+    TimePoint second_began_;
     SimulatedCluster::Count second_before_;
     std::vector<Second> seconds_;  // of traffic
     ScaleResult result_;
--- a/simulation/service_simulation.cpp
+++ b/simulation/service_simulation.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr Span ticks = seconds(0.1), one_way = seconds(0.0005);
+constexpr Duration ticks = seconds(0.1), one_way = seconds(0.0005);
 
 SimulatedCluster::Options world_options(const ServiceSimulation::Options& o)
 {
@@ -29,7 +29,7 @@
     std::unique_ptr<net::Reducer> reducer;
     uint64_t run = 0;
     net::RequestId next_caller = 1;
-    std::map<net::RequestId, Point> asked;
+    std::map<net::RequestId, TimePoint> asked;
     struct Attempt {
         size_t upstream = 0;
         std::optional<uint64_t> job;
@@ -46,13 +46,13 @@
 struct ServiceSimulation::Up {
     ServerModel server;
     uint64_t life = 1;
-    std::optional<Point> started;
-    Point frozen_until;
+    std::optional<TimePoint> started;
+    TimePoint frozen_until;
     size_t busy = 0;
     std::deque<Job> waiting;
     std::set<uint64_t> called_off;
     uint64_t reached = 0;
-    std::deque<Point> lately;  // what reached it, while cold
+    std::deque<TimePoint> lately;  // what reached it, while cold
 };
 
 ServiceSimulation::ServiceSimulation(Options options, uint64_t seed)
@@ -75,9 +75,9 @@
         } else if (auto* state = std::get_if<ApplyFleetState>(&e)) {
             tell(node, net::FleetStateUpdated{state->state});
         } else if (auto* parts = std::get_if<ApplyQuotas>(&e)) {
-            const Span apart = cluster_.now() - cluster_.clock_of(node);
+            const Duration apart = cluster_.now() - cluster_.clock_of(node);
             for (QuotaLease& p : parts->leases)
-                p.full_until = p.full_until + apart, p.expires = p.expires + apart;
+                p.full_rate_until = p.full_rate_until + apart, p.expires_at = p.expires_at + apart;
             tell(node, net::QuotasUpdated{std::move(parts->leases)});
         } else if (auto* sends = std::get_if<Send>(&e);
                    sends && std::get_if<OutlierDigest>(&sends->message)) {
@@ -106,34 +106,34 @@
     n.broken_roads = keep;
     Settings s;
     Operation op;
-    op.repeat = Idempotency::idempotent;
-    op.group = DeduplicationScope::all;
+    op.idempotency = Idempotency::idempotent;
+    op.deduplication_scope = DeduplicationScope::all;
     op.latency_objective = options_.objective;
     op.client_timeout = options_.client_timeout;
     s.operations = {op};
-    s.balancers = static_cast<uint32_t>(options_.balancers);
-    s.self = static_cast<uint32_t>(b);
+    s.balancer_count = static_cast<uint32_t>(options_.balancers);
+    s.self_index = static_cast<uint32_t>(b);
     s.max_forwards = 3, s.may_cancel = true;
     s.max_retry_after = seconds(0.5);
-    s.cold = options_.cold, s.cold_share = options_.cold_share, s.fall_multiple = options_.push,
-    s.fall = options_.falls_after;
+    s.slow_start_duration = options_.cold, s.slow_start_min_share = options_.cold_share,
+    s.collapse_multiple = options_.push, s.collapse_window = options_.falls_after;
     n.setup.settings = s;
-    n.setup.operations = {"op"};
-    n.setup.report_names = {"q"};
-    n.setup.report = {&LoadReport::queue};
-    n.setup.sizes_listed = true;
+    n.setup.operation_names = {"op"};
+    n.setup.load_report_fields = {"q"};
+    n.setup.load_report_members = {&LoadReport::queue_length};
+    n.setup.capacities_listed = true;
     static uint64_t runs = 0;
     n.run = ++runs;
     n.reducer = std::make_unique<net::Reducer>(n.setup, cluster_.chance()(), "here:1");
-    if (options_.recovery) n.reducer->recover(*options_.recovery);
+    if (options_.recovery) n.reducer->enable_staged_startup(*options_.recovery);
     if (options_.subset || options_.signals || options_.turns || options_.recovery)
-        n.reducer->join({options_.subset,
-                         options_.signals,
-                         options_.turns,
-                         key_of("m" + std::to_string(b + 1)),
-                         0,
-                         {},
-                         0.1});
+        n.reducer->join_fleet({options_.subset,
+                               options_.signals,
+                               options_.turns,
+                               key_of("m" + std::to_string(b + 1)),
+                               0,
+                               {},
+                               0.1});
     cluster_.start(b);
     cluster_.schedule({}, b, [this, b] {
         tell(b, net::ServiceStarted{});
@@ -150,7 +150,7 @@
     nodes_[b]->shown = 0;
 }
 
-void ServiceSimulation::run(Span span) { cluster_.run(span); }
+void ServiceSimulation::run(Duration span) { cluster_.run(span); }
 
 void ServiceSimulation::tick(size_t b)
 {
@@ -165,7 +165,7 @@
     for (const auto& n : nodes_) all += n->reducer ? 1 : 0;
     for (const auto& up : servers_) able += static_cast<double>(up->server.slots) / up->server.mean;
     const double rate = load_ * able / all;
-    const Span next = seconds(-std::log(1 - cluster_.roll()) / rate);
+    const Duration next = seconds(-std::log(1 - cluster_.roll()) / rate);
     cluster_.schedule(next, b, [this, b] {
         Node& n = *nodes_[b];
         if (!n.reducer) return;
@@ -210,15 +210,14 @@
                 if (!nodes_[b]->attempts.count(id)) return;
                 if (whole) return tell(b, net::UpstreamConnected{id});
                 nodes_[b]->attempts.erase(id);
-                tell(b, net::AttemptFailed{
-                            id, {AttemptProgress::not_connected, FailureCause::no_answer_in_time}});
+                tell(b, net::AttemptFailed{id, {AttemptProgress::not_connected, FailureCause::timed_out}});
             });
-            cluster_.schedule(d->limit, b, [this, b, id = d->attempt] {
+            cluster_.schedule(d->timeout, b, [this, b, id = d->attempt] {
                 const auto open = nodes_[b]->attempts.find(id);
                 if (open == nodes_[b]->attempts.end()) return;
                 if (open->second.job) servers_[open->second.upstream]->called_off.insert(*open->second.job);
                 nodes_[b]->attempts.erase(open);
-                tell(b, net::AttemptFailed{id, {AttemptProgress::written, FailureCause::no_answer_in_time}});
+                tell(b, net::AttemptFailed{id, {AttemptProgress::written, FailureCause::timed_out}});
             });
         } else if (auto* w = std::get_if<net::WriteUpstream>(&e)) {
             const auto at = n.attempts.find(w->attempt);
@@ -239,15 +238,16 @@
             n.attempts.erase(at);
         } else if (auto* wake = std::get_if<net::StartTimer>(&e)) {
             cluster_.schedule(wake->at - cluster_.now(), b,
-                              [this, b, name = wake->name] { tell(b, net::TimerFired{name}); });
+                              [this, b, name = wake->timer_id] { tell(b, net::TimerFired{name}); });
         } else if (auto* observed = std::get_if<net::LocalObservations>(&e)) {
-            count.widened += observed->widening > n.widening,
-                count.narrowed += observed->widening < n.widening;
-            n.shown = observed->shown, n.widening = observed->widening;
+            count.widened += observed->widening_steps > n.widening,
+                count.narrowed += observed->widening_steps < n.widening;
+            n.shown = observed->upstreams_shown, n.widening = observed->widening_steps;
             for (const size_t u : n.liar_about) {
-                const uint64_t id = net::id_of("u" + std::to_string(u + 1));
-                std::erase_if(observed->evidence, [&](const OutlierEvidence& v) { return v.upstream == id; });
-                observed->evidence.push_back({id, 1, 0, 20, {}, seconds(9), {}});
+                const uint64_t id = net::hash_uid("u" + std::to_string(u + 1));
+                std::erase_if(observed->outlier_evidence,
+                              [&](const OutlierEvidence& v) { return v.upstream == id; });
+                observed->outlier_evidence.push_back({id, 1, 0, 20, {}, seconds(9), {}});
             }
             cluster_.tell(b, std::move(*observed));
         }
@@ -287,7 +287,7 @@
     if (up.waiting.size() < up.server.queue) return up.waiting.push_back(job);
     Response declined;
     declined.status = 503, declined.declined = true;
-    declined.report.queue = static_cast<double>(up.waiting.size());
+    declined.load_report.queue_length = static_cast<double>(up.waiting.size());
     answer(job, std::move(declined));
 }
 
@@ -295,7 +295,7 @@
 {
     Up& up = *servers_[u];
     ++up.busy;
-    const Span takes = seconds(-std::log(1 - cluster_.roll()) * up.server.mean);
+    const Duration takes = seconds(-std::log(1 - cluster_.roll()) * up.server.mean);
     cluster_.schedule(takes, SIZE_MAX, [this, u, job, life = up.life] { end(u, job, life); });
 }
 
@@ -310,7 +310,7 @@
     if (up.called_off.erase(job.number) == 0) {
         Response well;
         well.status = 200;
-        well.report.queue = static_cast<double>(up.waiting.size());
+        well.load_report.queue_length = static_cast<double>(up.waiting.size());
         answer(job, std::move(well));
     }
     while (!up.waiting.empty() && up.busy < slots_now(up)) {
@@ -332,7 +332,7 @@
     });
 }
 
-void ServiceSimulation::freeze(size_t u, Span span) { servers_[u]->frozen_until = cluster_.now() + span; }
+void ServiceSimulation::freeze(size_t u, Duration span) { servers_[u]->frozen_until = cluster_.now() + span; }
 
 void ServiceSimulation::restart(size_t u)
 {
@@ -349,7 +349,7 @@
         for (const net::AttemptId id : broken) {
             nodes_[b]->attempts.erase(id);
             cluster_.schedule(one_way, b, [this, b, id] {
-                tell(b, net::AttemptFailed{id, {AttemptProgress::written, FailureCause::broken}});
+                tell(b, net::AttemptFailed{id, {AttemptProgress::written, FailureCause::connection_lost}});
             });
         }
     }
--- a/simulation/service_simulation.h
+++ b/simulation/service_simulation.h
@@ -31,9 +31,9 @@
         std::optional<QuotaConfig> turns;
         std::optional<StartupConfig> recovery;
         LeaseConfig lease;
-        Span cold = seconds(20), falls_after = seconds(1);
+        Duration cold = seconds(20), falls_after = seconds(1);
         double cold_share = 0.1, push = 2;  // what pushes a cold one over: so much more than it can do
-        Span objective = seconds(0.25), client_timeout = seconds(1);
+        Duration objective = seconds(0.25), client_timeout = seconds(1);
     };
     ServiceSimulation(Options options, uint64_t seed);
     ~ServiceSimulation();
@@ -43,10 +43,10 @@
     size_t upstreams() const { return servers_.size(); }
     void start(size_t balancer);
     void stop(size_t balancer);
-    void run(Span span);
+    void run(Duration span);
 
-    void freeze(size_t upstream, Span span);  // takes work and stands still
-    void restart(size_t upstream);            // it comes back cold at once
+    void freeze(size_t upstream, Duration span);  // takes work and stands still
+    void restart(size_t upstream);                // it comes back cold at once
     void road(size_t balancer, size_t upstream, bool whole);
     void list_to(size_t balancer, std::vector<size_t> without = {});
     void list_to_all();
@@ -62,7 +62,7 @@
     Count count;
     // Since reset(): for each upstream what reached it, over its size.
     void reset();
-    Span since() const { return cluster_.now() - since_; }
+    Duration since() const { return cluster_.now() - since_; }
     std::vector<double> offered() const;
     double greatest_over_mean() const;
     size_t connections() const;               // upstreams that balancers use, added up
@@ -99,7 +99,7 @@
     std::vector<std::unique_ptr<Up>> servers_;
     double load_;
     uint64_t next_job_ = 1;
-    Point since_;
+    TimePoint since_;
     std::vector<uint64_t> in_time_by_;  // half a second each
 };
 
--- a/simulation/simulated_cluster.cpp
+++ b/simulation/simulated_cluster.cpp
@@ -72,11 +72,11 @@
     uint64_t run = 0;
     Incarnation incarnation = 0;
     bool up = false;
-    Point frozen_until, voter_agent_free;
+    TimePoint frozen_until, voter_agent_free;
     double rate = 1;
-    Point clock_from, clock_was;  // true time, and its own at that
-    std::optional<Span> freeze_at_effect;
-    std::unordered_map<size_t, Point> arrives;  // of the last message from each: links keep their order
+    TimePoint clock_from, clock_was;  // true time, and its own at that
+    std::optional<Duration> freeze_at_effect;
+    std::unordered_map<size_t, TimePoint> arrives;  // of the last message from each: links keep their order
     uint32_t region = 0;
     InstanceId instance = 0;
     size_t candidate_of = 0;  // duties
@@ -84,8 +84,8 @@
     std::optional<MemberSnapshot> memory;
     uint64_t list = 0, ticks = 0;
     // With deltas: what its balancer uses, what discovery told last, and the version of its agent.
-    EndpointTexts shown;
-    std::shared_ptr<const EndpointTexts> seen;
+    EndpointMap shown;
+    std::shared_ptr<const EndpointMap> seen;
     std::optional<uint64_t> discovery;
     bool list_corrupted = false;
 };
@@ -100,7 +100,7 @@
         m.id = "m" + std::to_string(i + 1);
         m.key = key_of(m.id);
         m.zone = "z" + std::to_string(i % options_.zones);
-        m.voter = i < options_.voters;
+        m.is_voter = i < options_.voters;
         file.members.push_back(std::move(m));
     }
     file.lease = options_.lease;
@@ -132,7 +132,7 @@
         node->file.self = static_cast<MemberIndex>(i);
         node->file.id = file.members[i].id;
         node->clock_from = now_;
-        node->clock_was = Point{5'000'000} + seconds(100 * roll());
+        node->clock_was = TimePoint{5'000'000} + seconds(100 * roll());
         nodes_.push_back(std::move(node));
     }
     for (const Duty& d : file.duties)
@@ -141,7 +141,7 @@
 
 SimulatedCluster::~SimulatedCluster() = default;
 
-Point SimulatedCluster::clock_of(size_t node) const
+TimePoint SimulatedCluster::clock_of(size_t node) const
 {
     const Node& n = *nodes_[node];
     return n.clock_was + (now_ - n.clock_from) * n.rate;
@@ -160,7 +160,7 @@
 {
     if (!traced) return;
     char at[32];
-    std::snprintf(at, sizeof at, "%9.3f ", (now_ - Point{1'000'000'000}).seconds());
+    std::snprintf(at, sizeof at, "%9.3f ", (now_ - TimePoint{1'000'000'000}).seconds());
     trace_.push_back(at + text);
 }
 
@@ -170,13 +170,13 @@
     broken_.push_back({rule, now_});
 }
 
-void SimulatedCluster::later(Span after, size_t node, std::function<void()> what, bool checked)
+void SimulatedCluster::later(Duration after, size_t node, std::function<void()> what, bool checked)
 {
-    events_.push({now_ + std::max(after, Span{}), order_++, node, node < size() ? nodes_[node]->run : 0,
+    events_.push({now_ + std::max(after, Duration{}), order_++, node, node < size() ? nodes_[node]->run : 0,
                   std::move(what), checked});
 }
 
-bool SimulatedCluster::step(Point until)
+bool SimulatedCluster::step(TimePoint until)
 {
     if (events_.empty() || events_.top().at > until) return false;
     Event e = events_.top();
@@ -200,7 +200,7 @@
     return true;
 }
 
-void SimulatedCluster::run_until(Point until)
+void SimulatedCluster::run_until(TimePoint until)
 {
     while (step(until)) {
     }
@@ -225,11 +225,11 @@
         std::make_unique<Fleet>(n.file, n.instance, ++n.incarnation, uint64_t{chance_()} << 24 | chance_());
     if (options_.lease_manager) options_.lease_manager(n.fleet->lease_manager());
     note(n.file.id + " starts");
-    if (n.file.members[node].voter) {
+    if (n.file.members[node].is_voter) {
         n.voter_agent = std::make_unique<VoterAgent>(n.file, n.disk, options_.voters_times,
                                                      uint64_t{chance_()} << 24 | chance_());
         later({}, node, [this, node] {
-            call_voter_agent(node, [this, node](Point p) { return nodes_[node]->voter_agent->start(p); });
+            call_voter_agent(node, [this, node](TimePoint p) { return nodes_[node]->voter_agent->start(p); });
         });
     }
     later({}, node, [this, node] {
@@ -254,7 +254,7 @@
 // Another way for a process to go on than to go on.
 bool SimulatedCluster::forked_turn(size_t node)
 {
-    const Span lease = options_.lease.length;
+    const Duration lease = options_.lease.length;
     switch (fork(Fork::turn)) {
         case 1: freeze(node, lease * 0.7); break;
         case 2: freeze(node, lease * 1.4); break;
@@ -274,7 +274,7 @@
     Node& n = *nodes_[node];
     if (options_.fork && ++n.ticks % 10 == 0 && forked_turn(node)) return;
     tell(node, Tick{});
-    if (n.voter_agent) call_voter_agent(node, [&n](Point p) { return n.voter_agent->tick(p); });
+    if (n.voter_agent) call_voter_agent(node, [&n](TimePoint p) { return n.voter_agent->tick(p); });
     later(options_.tick, node, [this, node] { tick(node); });
 }
 
@@ -301,14 +301,14 @@
     later(seconds(0.3), node, [this, node] { crash(node); });
 }
 
-void SimulatedCluster::freeze(size_t node, Span span)
+void SimulatedCluster::freeze(size_t node, Duration span)
 {
     Node& n = *nodes_[node];
     note(n.file.id + " stands still for " + std::to_string(span.us / 1000) + " ms");
     n.frozen_until = std::max(n.frozen_until, now_ + span);
 }
 
-void SimulatedCluster::freeze_in_effect(size_t node, Span span) { nodes_[node]->freeze_at_effect = span; }
+void SimulatedCluster::freeze_in_effect(size_t node, Duration span) { nodes_[node]->freeze_at_effect = span; }
 
 void SimulatedCluster::isolate(size_t node, bool cut)
 {
@@ -375,7 +375,7 @@
 }
 
 void SimulatedCluster::call_voter_agent(size_t node,
-                                        const std::function<std::vector<VoterAgentEffect>(Point)>& call)
+                                        const std::function<std::vector<VoterAgentEffect>(TimePoint)>& call)
 {
     Node& n = *nodes_[node];
     // The voter agent has a thread of its own, that may wait for the disk.
@@ -401,7 +401,7 @@
     traffic[from].bytes_out += frame->size();
     if (is_of_replicas(s.message)) count.list_bytes += frame->size();
     if (l.cut || !nodes_[to]->up || roll() < l.loss) return;
-    Span takes = l.least + (l.most - l.least) * roll();
+    Duration takes = l.least + (l.most - l.least) * roll();
     if (options_.fork && urgency_of(s.message) == Urgency::leases) {
         const size_t way = fork(Fork::message);
         if (way == 1)
@@ -410,8 +410,8 @@
             takes = options_.lease.length * (way == 2 ? 0.6 : 1.3),
             note(nodes_[from]->file.id + " to " + nodes_[to]->file.id + ": a message is late");
     }
-    Point& before = nodes_[to]->arrives[from];
-    const Point at = std::max(before, now_ + takes);
+    TimePoint& before = nodes_[to]->arrives[from];
+    const TimePoint at = std::max(before, now_ + takes);
     before = at;
     const auto deliver = [this, to, from, frame] {
         ++traffic[to].messages_in;
@@ -425,7 +425,7 @@
     if (l.repeat > 0 && roll() < l.repeat) later(at - now_ + seconds(0.5 * roll()), to, deliver);
 }
 
-void SimulatedCluster::act(size_t node, const LeasedEffect& a, Span travels)
+void SimulatedCluster::act(size_t node, const LeasedEffect& a, Duration travels)
 {
     Node& n = *nodes_[node];
     if (options_.gate && !n.fleet->lease_allows(clock_of(node), a.duty, a.epoch, a.duration)) {
@@ -473,7 +473,7 @@
 {
     nodes_[node]->discovery = version;
 }
-const EndpointTexts& SimulatedCluster::shown_list(size_t node) const { return nodes_[node]->shown; }
+const EndpointMap& SimulatedCluster::shown_list(size_t node) const { return nodes_[node]->shown; }
 
 void SimulatedCluster::corrupt_list(size_t node, const std::string& uid, const std::string& text)
 {
@@ -481,9 +481,9 @@
     nodes_[node]->fleet->replica_to_corrupt()->corrupt(uid, text);
 }
 
-EndpointTexts SimulatedCluster::discovery_lines(uint64_t version) const
+EndpointMap SimulatedCluster::discovery_lines(uint64_t version) const
 {
-    EndpointTexts lines;
+    EndpointMap lines;
     const uint64_t entries = options_.list_entries;
     for (uint64_t entry = 0; entry < entries; ++entry) {
         const uint64_t changes = version < entry ? 0 : (version - entry) / entries + 1;
@@ -502,8 +502,7 @@
         const bool newest = version == discovery_;
         return {"", version, newest ? discovery_list_ : "list " + std::to_string(version), nullptr, {}};
     }
-    const auto before =
-        std::exchange(n.seen, std::make_shared<const EndpointTexts>(discovery_lines(version)));
+    const auto before = std::exchange(n.seen, std::make_shared<const EndpointMap>(discovery_lines(version)));
     if (!before) return {"", version, "", n.seen, {}};
     std::vector<std::string> uids;
     for (size_t entry = 0; entry < options_.list_entries; ++entry) {
@@ -521,7 +520,7 @@
     if (use.version < n.list) breaks("an older list was taken");
     n.list = use.version;
     if (!options_.deltas) return;
-    net::take_in(n.shown, use.text);
+    net::apply_list_update(n.shown, use.text);
     if (n.shown != discovery_lines(use.version))
         breaks(n.file.id + " uses a list that is not that of version " + std::to_string(use.version));
 }
@@ -535,8 +534,9 @@
             send(node, *s);
         } else if (auto* d = std::get_if<CallVoterAgent>(&e)) {
             if (!n.voter_agent) continue;
-            call_voter_agent(
-                node, [&n, call = std::move(d->call)](Point p) { return n.voter_agent->handle(p, call); });
+            call_voter_agent(node, [&n, call = std::move(d->call)](TimePoint p) {
+                return n.voter_agent->handle(p, call);
+            });
         } else if (auto* a = std::get_if<LeasedEffect>(&e)) {
             const size_t way = options_.fork ? fork(Fork::effect) : 0;
             if (way == 1 || way == 2) n.freeze_at_effect = options_.lease.length * (way == 1 ? 0.7 : 1.4);
@@ -544,7 +544,7 @@
                 freeze(node, *std::exchange(n.freeze_at_effect, std::nullopt));
                 later({}, node, [this, node, held = *a] { act(node, held); });
             } else {
-                act(node, *a, way == 3 ? options_.lease.length * 1.4 : Span{});
+                act(node, *a, way == 3 ? options_.lease.length * 1.4 : Duration{});
             }
         } else if (auto* q = std::get_if<SetDiscoveryPolling>(&e)) {
             const bool was = std::exchange(n.asking, q->on);
@@ -559,7 +559,7 @@
             note(n.file.id + " answers " + r->text.substr(0, r->text.find('\n')));
         } else if (auto* m = std::get_if<LogEvent>(&e)) {
             holders_changed(node, *m);
-            note(n.file.id + " " + std::string(text_of(m->kind)) + " " + m->subject + " " + m->health +
+            note(n.file.id + " " + std::string(to_string(m->kind)) + " " + m->subject + " " + m->health +
                  (m->number ? " " + std::to_string(m->number) : "") +
                  (m->reason.empty() ? "" : ": " + m->reason));
         }
@@ -595,11 +595,11 @@
 }
 
 // No later than its lease ends, in true time.
-Point SimulatedCluster::lease_ends(size_t node) const
+TimePoint SimulatedCluster::lease_ends(size_t node) const
 {
     const Node& n = *nodes_[node];
-    const Span left = n.fleet->lease_client().time_left(clock_of(node));
-    return now_ + left * (1 / n.rate) - Span{2};
+    const Duration left = n.fleet->lease_client().time_left(clock_of(node));
+    return now_ + left * (1 / n.rate) - Duration{2};
 }
 
 // At every moment, by each one's own clock. Between events of those that were granted something and the end
@@ -608,7 +608,7 @@
 {
     if (!check_due_ && now_ < check_at_) return;
     check_due_ = false;
-    check_at_ = Point{INT64_MAX};
+    check_at_ = TimePoint{INT64_MAX};
     for (auto& [duty, watched] : watched_) {
         std::vector<size_t> by;
         for (const size_t i : watched.candidates) {
@@ -630,11 +630,11 @@
     }
 }
 
-std::map<std::string, Span> SimulatedCluster::longest_gap() const
+std::map<std::string, Duration> SimulatedCluster::longest_gap() const
 {
-    std::map<std::string, Span> out;
+    std::map<std::string, Duration> out;
     for (const auto& [duty, watched] : watched_)
-        out[duty] = watched.without.us ? now_ - watched.without : Span{};
+        out[duty] = watched.without.us ? now_ - watched.without : Duration{};
     return out;
 }
 
--- a/simulation/simulated_cluster.h
+++ b/simulation/simulated_cluster.h
@@ -33,8 +33,8 @@
 
     bool full = false, broken = false, lies = false;  // lies: it says synced and has not
     size_t tear = SIZE_MAX;  // of what is lost with the power, so much is there all the same
-    Span sync_takes;
-    Span waited;  // by whoever has synced since this was taken
+    Duration sync_takes;
+    Duration waited;  // by whoever has synced since this was taken
 
   private:
     std::map<std::string, std::string> kept_, now_;
@@ -47,14 +47,14 @@
 struct Link {  // from one member to another
     bool cut = false;
     double loss = 0;  // of messages: their connection is made anew
-    Span least = seconds(0.0002), most = seconds(0.002);
+    Duration least = seconds(0.0002), most = seconds(0.002);
     double repeat = 0;
 };
 
 // What a receiver took, or a rule that is broken, in the words of the trace.
 struct Broken {
     std::string rule;
-    Point at;
+    TimePoint at;
 };
 
 class SimulatedCluster
@@ -71,8 +71,8 @@
         std::optional<OutlierGossipConfig> signals;
         std::optional<QuotaConfig> turns;
         std::optional<StartupConfig> recovery;
-        Span tick = seconds(0.02);
-        VoterTimes voters_times;
+        Duration tick = seconds(0.02);
+        VoterTiming voters_times;
         bool fences = true;                                // receivers refuse lower epochs
         bool gate = true;                                  // the check before each effect
         std::function<void(LeaseManager&)> lease_manager;  // a safety rule taken out
@@ -82,33 +82,33 @@
     ~SimulatedCluster();
 
     size_t size() const { return nodes_.size(); }
-    Point now() const { return now_; }
+    TimePoint now() const { return now_; }
     std::ranlux24_base& chance() { return chance_; }
     double roll() { return std::uniform_real_distribution<>(0, 1)(chance_); }
 
     // For what stands beside the fleet's members: their effects, and events on the same clock. Beside all
     // members: SIZE_MAX.
     std::function<void(size_t node, FleetEffect&)> on_effect;
-    void schedule(Span after, size_t node, std::function<void()> what)
+    void schedule(Duration after, size_t node, std::function<void()> what)
     {
         later(after, node, std::move(what));
     }
     void tell(size_t node, FleetEvent event);
-    Point clock_of(size_t node) const;
+    TimePoint clock_of(size_t node) const;
 
-    void run_until(Point until);
-    void run(Span span) { run_until(now_ + span); }
+    void run_until(TimePoint until);
+    void run(Duration span) { run_until(now_ + span); }
     // The next event alone; false: there is none before that time.
-    bool step(Point until);
+    bool step(TimePoint until);
 
     void start(size_t node);
     // All members, each of which already knows all others to be alive: a fleet that has long been up.
     void start_all_with_known_members();
     void crash(size_t node, bool power = false);  // power: what was not synced is lost
     void stop(size_t node);                       // as by SIGTERM
-    void freeze(size_t node, Span span);
+    void freeze(size_t node, Duration span);
     void freeze_in_effect(size_t node,
-                          Span span);      // at its next effect, between the check's cause and the effect
+                          Duration span);  // at its next effect, between the check's cause and the effect
     void clock(size_t node, double rate);  // true seconds become so many of its own
     // To be changed. A link that was never asked for has the values of a default Link and takes no room.
     Link& link(size_t from, size_t to) { return links_[from * nodes_.size() + to]; }
@@ -131,7 +131,7 @@
     // The agent of one member is behind the others; nothing: it is not.
     void discovery_of(size_t node, std::optional<uint64_t> version);
     // The list as discovery has it at a version: each version changes one entry, some are gone.
-    EndpointTexts discovery_lines(uint64_t version) const;
+    EndpointMap discovery_lines(uint64_t version) const;
 
     // Who may act for it now, by its own clock.
     std::vector<size_t> holders(const std::string& duty) const;
@@ -140,7 +140,7 @@
     uint64_t list_of(size_t node) const;
     // An entry of its replica changes as no delta did. It may differ from others until that is repaired.
     void corrupt_list(size_t node, const std::string& uid, const std::string& text);
-    const EndpointTexts& shown_list(size_t node) const;  // as its balancer uses it, with deltas
+    const EndpointMap& shown_list(size_t node) const;  // as its balancer uses it, with deltas
     std::string show(size_t node);
 
     const std::vector<Broken>& broken() const { return broken_; }
@@ -158,13 +158,13 @@
     };
     std::vector<Traffic> traffic;  // of each member
     // Duty, true time: since when nobody holds it.
-    std::map<std::string, Span> longest_gap() const;
-    std::vector<Span> gaps;  // each time without a holder, ended
+    std::map<std::string, Duration> longest_gap() const;
+    std::vector<Duration> gaps;  // each time without a holder, ended
 
   private:
     struct Node;
     struct Event {
-        Point at;
+        TimePoint at;
         uint64_t order;
         size_t node;
         uint64_t run;  // of the node; what comes for an older one is gone with it
@@ -173,11 +173,11 @@
         bool operator<(const Event& o) const { return at != o.at ? at > o.at : order > o.order; }
     };
 
-    void later(Span after, size_t node, std::function<void()> what, bool checked = true);
+    void later(Duration after, size_t node, std::function<void()> what, bool checked = true);
     void carry_out(size_t node, std::vector<FleetEffect> effects);
-    void act(size_t node, const LeasedEffect& act, Span travels = {});
+    void act(size_t node, const LeasedEffect& act, Duration travels = {});
     void send(size_t from, const Send& send);
-    void call_voter_agent(size_t node, const std::function<std::vector<VoterAgentEffect>(Point)>& call);
+    void call_voter_agent(size_t node, const std::function<std::vector<VoterAgentEffect>(TimePoint)>& call);
     void tick(size_t node);
     void ask_discovery(size_t node);
     EndpointListFetched discovery_answer(size_t node);
@@ -188,13 +188,13 @@
     const Link& link_between(size_t from, size_t to) const;
     void holders_changed(size_t node, const LogEvent& noted);
     void check();
-    Point lease_ends(size_t node) const;
+    TimePoint lease_ends(size_t node) const;
     void breaks(const std::string& rule);
     void note(const std::string& text);
 
     const Options options_;
     std::ranlux24_base chance_;
-    Point now_{1'000'000'000};
+    TimePoint now_{1'000'000'000};
     uint64_t order_ = 0;
     std::vector<std::unique_ptr<Node>> nodes_;
     std::unordered_map<size_t, Link> links_;  // that were asked for
@@ -206,12 +206,12 @@
     // Duties that are checked, and who may hold them: members that have gained one and not lost it. Their
     // leases may have ended since.
     struct Watched {
-        Point without;  // since when nobody holds it; zero: somebody does
+        TimePoint without;  // since when nobody holds it; zero: somebody does
         std::vector<size_t> candidates;
     };
     std::map<std::string, Watched> watched_;
     bool check_due_ = true;  // something other than time has changed who holds a duty
-    Point check_at_;         // the first time at which a lease may end
+    TimePoint check_at_;     // the first time at which a lease may end
     uint64_t discovery_ = 1;
     std::string discovery_list_ = "list 1";
     std::map<EndpointRevision, uint64_t> digests_;  // of the states that replicas have had
--- a/simulation/subsets.cpp
+++ b/simulation/subsets.cpp
@@ -104,7 +104,7 @@
 {
     SubsetConfig rule;
     rule.size = size;
-    return choose(rule, f.members, self, f.upstreams, 1);
+    return select_subset(rule, f.members, self, f.upstreams, 1);
 }
 
 Fleet make(size_t members, size_t upstreams, bool unequal, std::ranlux24_base& chance)
@@ -125,7 +125,7 @@
         double sum = 0;
         for (size_t u = 0; u < load.size(); ++u) sum += all[m][u] * f.upstreams[u].size;
         for (size_t u = 0; u < load.size(); ++u)
-            if (sum > 0) load[u] += f.members[m].weight * all[m][u] / sum;
+            if (sum > 0) load[u] += f.members[m].traffic_weight * all[m][u] / sum;
     }
     return load;
 }
--- a/simulator_adapter/instance.cpp
+++ b/simulator_adapter/instance.cpp
@@ -13,7 +13,7 @@
     switch (code) {
         case 100: return AttemptResult::succeeded;
         case 301: return AttemptResult::errored;
-        case 302: return AttemptResult::full;
+        case 302: return AttemptResult::declined;
         case 303: return AttemptResult::timed_out;
         case 304: return AttemptResult::unreachable;
         case 305: return AttemptResult::reset;
@@ -23,14 +23,17 @@
     throw Malformed("unknown outcome " + std::to_string(code));
 }
 
-uint32_t wire_span(Span span) { return static_cast<uint32_t>(std::clamp<int64_t>(span.us, 0, INT32_MAX)); }
+uint32_t wire_span(Duration span)
+{
+    return static_cast<uint32_t>(std::clamp<int64_t>(span.us, 0, INT32_MAX));
+}
 
 }  // namespace
 
 Instance::Instance(uint16_t name, uint64_t seed, std::string_view setup, Writer& out)
     : name_(name),
       out_(out),
-      setup_(decode_settings(split_lines(setup))),
+      setup_(decode_settings(parse_flat_settings(setup))),
       balancer_(setup_.settings, seed, *this)
 {
 }
@@ -42,25 +45,25 @@
     return at->second;
 }
 
-void Instance::roster(Point now, uint8_t scope, const std::vector<Entry>& entries)
+void Instance::roster(TimePoint now, uint8_t scope, const std::vector<Entry>& entries)
 {
-    if (scope == 3) return balancer_.list_answered(now, false);
+    if (scope == 3) return balancer_.on_endpoint_list_fetched(now, false);
     if (scope > 3) throw Malformed("unknown scope of a list");
     listings_.clear();
     for (const Entry& e : entries) {
         if (e.state > 2) throw Malformed("unknown state of an upstream");
         EndpointState l{
             upstream(e.upstream), e.upstream, static_cast<EndpointPhase>(e.state), e.zone, e.cell, 1, {}};
-        if (setup_.sizes_listed && std::isfinite(e.nominal) && e.nominal > 0) l.size = e.nominal;
-        l.kind = e.kind;
-        if (e.ready_at) l.started = Point{static_cast<int64_t>(e.ready_at)};
+        if (setup_.capacities_listed && std::isfinite(e.nominal) && e.nominal > 0) l.capacity = e.nominal;
+        l.machine_type = e.kind;
+        if (e.ready_at) l.started_at = TimePoint{static_cast<int64_t>(e.ready_at)};
         listings_.push_back(l);
     }
     if (scope == 0)
-        balancer_.list_changed(now, listings_);
+        balancer_.update_endpoints(now, listings_);
     else
-        balancer_.list_is(now, listings_);
-    if (scope != 2) balancer_.list_answered(now, true);
+        balancer_.set_endpoints(now, listings_);
+    if (scope != 2) balancer_.on_endpoint_list_fetched(now, true);
 }
 
 LoadReport Instance::report(Reader& in) const
@@ -69,20 +72,20 @@
     const auto n = in.get<uint8_t>();
     for (size_t i = 0; i < n; ++i) {
         const auto value = in.get<float>();
-        if (i < setup_.report.size() && setup_.report[i] && std::isfinite(value))
-            report.*setup_.report[i] = std::max(0.0, static_cast<double>(value));
+        if (i < setup_.load_report_members.size() && setup_.load_report_members[i] && std::isfinite(value))
+            report.*setup_.load_report_members[i] = std::max(0.0, static_cast<double>(value));
     }
     return report;
 }
 
-void Instance::demand(Point now, Reader& in)
+void Instance::demand(TimePoint now, Reader& in)
 {
     const auto id = in.get<uint32_t>();
     InvocationRequest ask;
     ask.operation = in.get<uint8_t>();
     ask.tenant = in.get<uint32_t>();
-    ask.key = in.get<uint64_t>();
-    ask.time_left = Span{in.get<uint32_t>()};
+    ask.subject_key = in.get<uint64_t>();
+    ask.time_left = Duration{in.get<uint32_t>()};
     in.get<uint32_t>();  // the expected work
     in.get<uint16_t>();  // marks
     if (ask.operation >= setup_.settings.operations.size()) throw Malformed("unknown operation");
@@ -97,28 +100,28 @@
     balancer_.accept(now, inv, ask);
 }
 
-void Instance::reply(Point now, Reader& in)
+void Instance::reply(TimePoint now, Reader& in)
 {
     const auto id = in.get<uint32_t>();
     const auto forward = in.get<uint16_t>();
     in.get<uint32_t>();  // the upstream is known from the forward
     const auto result = result_of(in.get<uint16_t>());
-    const Span took{in.get<uint32_t>()};
+    const Duration took{in.get<uint32_t>()};
     const bool over = in.get<uint8_t>();
     const auto load = report(in);
     const auto at = invocation_of_.find(id);
     if (at == invocation_of_.end() || forward >= invocations_[at->second].forwards)
         throw Malformed("an outcome of a forward that was never sent");
-    balancer_.ended(now, at->second, forward, result, took, over, load);
+    balancer_.on_forward_ended(now, at->second, forward, result, took, over, load);
 }
 
-void Instance::gone(Point now, Reader& in)
+void Instance::gone(TimePoint now, Reader& in)
 {
     const auto at = invocation_of_.find(in.get<uint32_t>());
-    if (at != invocation_of_.end()) balancer_.client_left(now, at->second);
+    if (at != invocation_of_.end()) balancer_.on_client_disconnected(now, at->second);
 }
 
-void Instance::probed(Point now, Reader& in)
+void Instance::probed(TimePoint now, Reader& in)
 {
     in.get<uint32_t>();  // time taken
     const auto id = in.get<uint32_t>();
@@ -126,49 +129,52 @@
     const auto load = report(in);
     const auto at = upstream_of_.find(id);
     if (at == upstream_of_.end()) throw Malformed("a probe's result from an unknown upstream");
-    balancer_.probed(now, at->second, result, load);
+    balancer_.on_probe_completed(now, at->second, result, load);
 }
 
-void Instance::forward(InvocationId inv, UpstreamId upstream_id, Span limit)
+void Instance::forward(InvocationId inv, UpstreamId upstream_id, Duration limit)
 {
     ++invocations_[inv].forwards;
     act(91).put(invocations_[inv].id).put(wire_span(limit)).put(upstreams_[upstream_id]);
 }
 
-void Instance::throttle(InvocationId inv, Span retry_after)
+void Instance::throttle(InvocationId inv, Duration retry_after)
 {
     act(81).put(invocations_[inv].id).put(wire_span(retry_after));
 }
 
-void Instance::error(InvocationId inv) { act(83).put(invocations_[inv].id); }
+void Instance::fail(InvocationId inv) { act(83).put(invocations_[inv].id); }
 
-void Instance::cancel(InvocationId inv, uint32_t forward)
+void Instance::cancel_forward(InvocationId inv, uint32_t forward)
 {
     act(80).put(invocations_[inv].id).put(static_cast<uint16_t>(forward));
 }
 
-void Instance::released(InvocationId inv)
+void Instance::release_invocation(InvocationId inv)
 {
     invocation_of_.erase(invocations_[inv].id);
     free_.push_back(inv);
 }
 
-void Instance::wake(Point at, uint64_t name) { act(84).put(name).put(static_cast<uint64_t>(at.us)); }
+void Instance::start_timer(TimePoint at, uint64_t name)
+{
+    act(84).put(name).put(static_cast<uint64_t>(at.us));
+}
 
 void Instance::probe(UpstreamId upstream_id) { act(87).put(upstreams_[upstream_id]); }
 
-void Instance::close_idle(UpstreamId upstream_id) { act(86).put(upstreams_[upstream_id]); }
+void Instance::close_idle_connections(UpstreamId upstream_id) { act(86).put(upstreams_[upstream_id]); }
 
-void Instance::watch_list() { act(85).put(uint8_t{1}); }
+void Instance::watch_endpoint_list() { act(85).put(uint8_t{1}); }
 
-void Instance::told(Point now, Reader& in)
+void Instance::told(TimePoint now, Reader& in)
 {
     const auto peer = in.get<uint32_t>();
     const auto size = in.get<uint16_t>();
-    balancer_.told(now, peer, in.take(size));
+    balancer_.on_peer_message(now, peer, in.take(size));
 }
 
-void Instance::tell(const std::string& message)
+void Instance::broadcast(const std::string& message)
 {
     Writer& w = act(89).put(uint16_t{0xffff}).put(static_cast<uint16_t>(message.size()));
     for (const char c : message) w.put(c);
--- a/simulator_adapter/instance.h
+++ b/simulator_adapter/instance.h
@@ -28,14 +28,14 @@
   public:
     Instance(uint16_t name, uint64_t seed, std::string_view setup, Writer& out);
 
-    void begin(Point now) { balancer_.started(now); }
-    void roster(Point now, uint8_t scope, const std::vector<Entry>& entries);
-    void demand(Point now, Reader& in);
-    void reply(Point now, Reader& in);
-    void gone(Point now, Reader& in);
-    void probed(Point now, Reader& in);
-    void told(Point now, Reader& in);
-    void wakeup(Point now, Reader& in) { balancer_.woken(now, in.get<uint64_t>()); }
+    void begin(TimePoint now) { balancer_.start(now); }
+    void roster(TimePoint now, uint8_t scope, const std::vector<Entry>& entries);
+    void demand(TimePoint now, Reader& in);
+    void reply(TimePoint now, Reader& in);
+    void gone(TimePoint now, Reader& in);
+    void probed(TimePoint now, Reader& in);
+    void told(TimePoint now, Reader& in);
+    void wakeup(TimePoint now, Reader& in) { balancer_.on_timer_fired(now, in.get<uint64_t>()); }
 
   private:
     struct Invocation {
@@ -43,17 +43,17 @@
         uint32_t forwards = 0;
     };
 
-    void forward(InvocationId inv, UpstreamId upstream_id, Span limit) override;
-    void throttle(InvocationId inv, Span retry_after) override;
-    void error(InvocationId inv) override;
-    void cancel(InvocationId inv, uint32_t forward) override;
-    void limit(InvocationId, uint32_t, Span) override {}  // requests come whole here
-    void released(InvocationId inv) override;
-    void wake(Point at, uint64_t name) override;
+    void forward(InvocationId inv, UpstreamId upstream_id, Duration limit) override;
+    void throttle(InvocationId inv, Duration retry_after) override;
+    void fail(InvocationId inv) override;
+    void cancel_forward(InvocationId inv, uint32_t forward) override;
+    void set_forward_timeout(InvocationId, uint32_t, Duration) override {}  // requests come whole here
+    void release_invocation(InvocationId inv) override;
+    void start_timer(TimePoint at, uint64_t name) override;
     void probe(UpstreamId upstream_id) override;
-    void close_idle(UpstreamId upstream_id) override;
-    void watch_list() override;
-    void tell(const std::string& message) override;
+    void close_idle_connections(UpstreamId upstream_id) override;
+    void watch_endpoint_list() override;
+    void broadcast(const std::string& message) override;
 
     Writer& act(uint8_t code) { return out_.record(code).put(name_); }
     UpstreamId upstream(uint32_t id);
--- a/simulator_adapter/main.cpp
+++ b/simulator_adapter/main.cpp
@@ -18,7 +18,7 @@
 class Host
 {
   public:
-    const Writer& batch(Point now, uint32_t records, std::string_view body)
+    const Writer& batch(TimePoint now, uint32_t records, std::string_view body)
     {
         out_.clear();
         Reader in(body);
@@ -28,7 +28,7 @@
     }
 
   private:
-    void event(Point now, Reader& in)
+    void event(TimePoint now, Reader& in)
     {
         const auto code = in.get<uint8_t>();
         if (code == 22) return ledger(in);
@@ -78,7 +78,7 @@
         }
     }
 
-    void roster(Point now, Reader& in, Instance& instance)
+    void roster(TimePoint now, Reader& in, Instance& instance)
     {
         const auto scope = in.get<uint8_t>();
         in.get<uint32_t>();  // version
@@ -104,7 +104,7 @@
         Reader in({header, header_bytes});
         const auto records = in.get<uint32_t>();
         const auto length = in.get<uint32_t>();
-        const Point now{static_cast<int64_t>(in.get<uint64_t>())};
+        const TimePoint now{static_cast<int64_t>(in.get<uint64_t>())};
         if (length > most_bytes) throw Malformed("a batch is too long");
         body.resize(length);
         if (std::fread(body.data(), 1, length, stdin) < length)
--- a/src/balance/balancer.cpp
+++ b/src/balance/balancer.cpp
@@ -17,46 +17,48 @@
 namespace
 {
 
-constexpr double step = 0.1;                // one signal of the design
-constexpr double sure_step = 0.34;          // a signal of an exception, which needs no second opinion
-constexpr Span expiry = seconds(1.5);       // an entry holds this long after its last signal
-constexpr Span divert_expiry = seconds(5);  // the same for signals that only divert
-constexpr Span fall_every = seconds(0.5);   // and then lets twice as much through, each time
-constexpr double first_trickle = 0.02;      // what a full reduction lets through when it starts to fall
-constexpr Span report_age = seconds(0.5);   // a report's distance from the others' mean halves in about this
-constexpr Span slowness_age = seconds(8);   // what last answers took is half forgotten in this
+constexpr double step = 0.1;                    // one signal of the design
+constexpr double sure_step = 0.34;              // a signal of an exception, which needs no second opinion
+constexpr Duration expiry = seconds(1.5);       // an entry holds this long after its last signal
+constexpr Duration divert_expiry = seconds(5);  // the same for signals that only divert
+constexpr Duration fall_every = seconds(0.5);   // and then lets twice as much through, each time
+constexpr double first_trickle = 0.02;          // what a full reduction lets through when it starts to fall
+constexpr Duration report_age =
+    seconds(0.5);  // a report's distance from the others' mean halves in about this
+constexpr Duration slowness_age = seconds(8);       // what last answers took is half forgotten in this
 constexpr double own_gain = 0.1, kind_gain = 0.01;  // of one answer: in the means of upstream and kind
 constexpr double tells_load = 0.25;                 // a mean of reported loads that says something
-constexpr size_t recent = 16, enough = 5;   // answers an upstream is judged by, about; fewer say nothing
-constexpr double well_above = 1.8;          // times the fellows' median
-constexpr double long_queue = 3;            // and this many more, where the mean is next to none
-constexpr Span distrust_for = seconds(10);  // idle connections, once they were seen to hang
-constexpr size_t least_width = 8;           // upstreams used at the least, in the own zone and beyond it
-constexpr double meet_within = 1;           // seconds, in which own traffic meets each of them
+constexpr size_t recent = 16, enough = 5;       // answers an upstream is judged by, about; fewer say nothing
+constexpr double well_above = 1.8;              // times the fellows' median
+constexpr double long_queue = 3;                // and this many more, where the mean is next to none
+constexpr Duration distrust_for = seconds(10);  // idle connections, once they were seen to hang
+constexpr size_t least_width = 8;               // upstreams used at the least, in the own zone and beyond it
+constexpr double meet_within = 1;               // seconds, in which own traffic meets each of them
 constexpr double crossing_weighs = 200;  // in the pick: the own zone is favoured by e to this times the price
-constexpr Span lately = seconds(10);     // an upstream sent to since then is in use
-constexpr Span probe_every = seconds(1);     // about, where reports come by probe alone
-constexpr Span tell_every = seconds(0.1);    // changes of own work out, where messages are allowed
-constexpr Span tell_all_every = seconds(2);  // about: all of it, and what tenants ask
-constexpr Span believed = seconds(5);        // what another instance told, after its last message
-constexpr double least_late = 0.02;          // seconds: a pause of this machine, and no sign of an upstream's
-constexpr double overdue_at = 2;             // high quantiles of answer times: no more counted as held
-constexpr size_t most_subjects = 32;         // keys that failed lately, of which something is kept
-constexpr double nearly_late = 0.7;          // of the latency objective
-constexpr double most_spent = 0.02;          // on messages, of what an invocation is worth
-constexpr double most_probed = 0.0005;       // the same on probes
-constexpr size_t least_message = 8;          // bytes, as counted
-constexpr double usual_crowd = 5;  // held by an upstream: more is left to others, where that is known
-constexpr Span rate_over = seconds(4);
-constexpr Span may_send_for = seconds(3600);  // a request that is still coming: who reads it ends it
-constexpr double cold_spend = 0.7;            // of the multiple that would push a cold upstream over
-constexpr Span first_backoff = seconds(0.5), longest_backoff = seconds(2);  // of asking for the list, about
+constexpr Duration lately = seconds(10);         // an upstream sent to since then is in use
+constexpr Duration probe_every = seconds(1);     // about, where reports come by probe alone
+constexpr Duration tell_every = seconds(0.1);    // changes of own work out, where messages are allowed
+constexpr Duration tell_all_every = seconds(2);  // about: all of it, and what tenants ask
+constexpr Duration believed = seconds(5);        // what another instance told, after its last message
+constexpr double least_late = 0.02;     // seconds: a pause of this machine, and no sign of an upstream's
+constexpr double overdue_at = 2;        // high quantiles of answer times: no more counted as held
+constexpr size_t most_subjects = 32;    // keys that failed lately, of which something is kept
+constexpr double nearly_late = 0.7;     // of the latency objective
+constexpr double most_spent = 0.02;     // on messages, of what an invocation is worth
+constexpr double most_probed = 0.0005;  // the same on probes
+constexpr size_t least_message = 8;     // bytes, as counted
+constexpr double usual_crowd = 5;       // held by an upstream: more is left to others, where that is known
+constexpr Duration rate_over = seconds(4);
+constexpr Duration may_send_for = seconds(3600);  // a request that is still coming: who reads it ends it
+constexpr double cold_spend = 0.7;                // of the multiple that would push a cold upstream over
+constexpr Duration first_backoff = seconds(0.5),
+                   longest_backoff = seconds(2);       // of asking for the list, about
 constexpr double retry_share = 0.1, most_retries = 5;  // second tries: of own traffic, and saved up
 constexpr uint32_t most_redirects = 3;                 // after answers that prove nothing ran
 
 // Between two looks at the limit of outstanding work: so many answers, or fewer if they took long to come.
 constexpr double round_of = 60, least_round = 12;
-constexpr Span long_round = seconds(3);
+constexpr Duration long_round = seconds(3);
 constexpr double pressed = 0.2;  // of the way from the calm answer time to the latency objective: the aim
 constexpr double never_pressed = 0.2;  // of the latency objective: a mean answer time under it is well
 constexpr double least_of_good = 0.5;  // the least limit, as a part of what went well
@@ -72,16 +74,16 @@
 
 bool proves_not_run(AttemptResult r)
 {
-    return r == AttemptResult::full || r == AttemptResult::unreachable || r == AttemptResult::not_sent;
+    return r == AttemptResult::declined || r == AttemptResult::unreachable || r == AttemptResult::not_sent;
 }
 
 // Lives as long as one forward.
 struct Forward {
     UpstreamId upstream_id = 0;
-    Point sent;
+    TimePoint sent;
     bool out = true, overdue = false, proven_not_run = false;
     bool rested = false;  // sent to an upstream that nothing was out to for longer than an answer takes
-    std::function<void(Point, AttemptResult)> next;  // what to do with its result
+    std::function<void(TimePoint, AttemptResult)> next;  // what to do with its result
 };
 
 // Lives from its acceptance until it is answered and nothing is out for it.
@@ -91,7 +93,7 @@
     uint32_t max_forwards = 1;
     uint32_t operation = 0;
     uint64_t key = 0;
-    Point arrived, leaves, useful;  // the client's time is up; an answer later is worth nothing
+    TimePoint arrived, leaves, useful;  // the client's time is up; an answer later is worth nothing
     bool over = true;
     bool early = false;  // accepted while little was out
     uint32_t redirects = 0;
@@ -100,7 +102,7 @@
 
 struct Entry {
     double reduction = 0;
-    Point expires;
+    TimePoint expires;
     bool hard = false;  // raised by full answers or paired timeouts and resets: refusal is allowed
 };
 
@@ -109,7 +111,7 @@
     uint64_t key = 0;
     double failed = 0, answered = 0;  // of its last answers: their share, how many
     Entry entry;
-    Point failed_at;
+    TimePoint failed_at;
 };
 
 // Lives as long as the list names the upstream (its past is kept when it leaves).
@@ -117,20 +119,20 @@
     EndpointState listing;
     bool known = false;
     Entry entry;
-    std::optional<Point> unpaired;  // a timeout or reset that waits for its fellow
+    std::optional<TimePoint> unpaired;  // a timeout or reset that waits for its fellow
     std::optional<double> load;
     double busy = 0;  // its load by the places in use, where a queue is reported
     bool load_counts_own = false;
-    Point load_at;
+    TimePoint load_at;
     uint32_t out = 0, overdue = 0, out_at_report = 0;
     size_t answered = 0;
     double errors = 0, slowness = 1;  // of the last answers: their share, the mean
-    Point slowness_at;
-    Point last_end{INT64_MIN / 2};
-    Point waiting_since;  // the later of its last answer and the first send still out
+    TimePoint slowness_at;
+    TimePoint last_end{INT64_MIN / 2};
+    TimePoint waiting_since;  // the later of its last answer and the first send still out
 
     double cold_tokens = 0;
-    Point cold_at;
+    TimePoint cold_at;
 
     uint32_t peers_out = 0;  // the other instances' work out, as they told it
     uint8_t told_out = 0;    // own work out, as it was told last
@@ -140,25 +142,25 @@
 struct Peer {
     std::vector<uint8_t> out;   // by upstream
     std::vector<double> rates;  // by tenant
-    Point heard{INT64_MIN / 2};
+    TimePoint heard{INT64_MIN / 2};
 };
 
 class Rate
 {
   public:
-    void count(Point now) { sum_ = decayed(now) + 1, at_ = now; }
-    double rate(Point now) const { return decayed(now) / rate_over.seconds(); }
+    void count(TimePoint now) { sum_ = decayed(now) + 1, at_ = now; }
+    double rate(TimePoint now) const { return decayed(now) / rate_over.seconds(); }
 
   private:
-    double decayed(Point now) const { return sum_ > 0 ? sum_ * std::exp(-((now - at_) / rate_over)) : 0; }
+    double decayed(TimePoint now) const { return sum_ > 0 ? sum_ * std::exp(-((now - at_) / rate_over)) : 0; }
     double sum_ = 0;
-    Point at_;
+    TimePoint at_;
 };
 
 struct Tenant {
     double quota = 0, came = 0, rate = 0;  // invocations
     double saved = 1;                      // of its part, by then
-    Point at;
+    TimePoint at;
 };
 
 struct OperationView {
@@ -185,7 +187,7 @@
     Settings set;
     BalancerDelegate& out;
     std::ranlux24_base chance;
-    Point now, born;
+    TimePoint now, born;
 
     std::vector<Invocation> invs;
     std::vector<Upstream> ups;
@@ -201,7 +203,7 @@
     double mean_load = 0, mean_errors = 0;
     // Of the own zone and of the others: mean reported load, and by places in use, where a queue is reported.
     std::array<double, 2> zone_load{}, zone_busy{};
-    Point fellows_at{INT64_MIN / 2};
+    TimePoint fellows_at{INT64_MIN / 2};
 
     Rate warm_sends, asked;
 
@@ -209,12 +211,12 @@
     double late_any = 0;  // seconds, a high quantile of all answer times
 
     double broke_rested = 0, broke_busy = 0;  // shares of forwards never answered
-    Point distrust_idle_until{INT64_MIN / 2};
+    TimePoint distrust_idle_until{INT64_MIN / 2};
 
-    Span slowest_objective;
+    Duration slowest_objective;
     double pressure = usual_calm, slow_pressure = 0;  // mean of answer time over latency objective
     double calm = usual_calm;                         // what it is with next to no load
-    Point round_at, share_at, weighed_at{INT64_MIN / 2}, told_at{INT64_MIN / 2};
+    TimePoint round_at, share_at, weighed_at{INT64_MIN / 2}, told_at{INT64_MIN / 2};
     std::vector<double> round_latencies;
     double first_felt = 0, first_n = 0;
     double capacity = 0;          // upstreams' worth, see weigh_room
@@ -245,10 +247,10 @@
 
     double uniform_random() { return std::generate_canonical<double, 24>(chance); }
 
-    void schedule(Point at, std::function<void()> what)
+    void schedule(TimePoint at, std::function<void()> what)
     {
         timers.emplace(next_name, std::move(what));
-        out.wake(at, next_name++);
+        out.start_timer(at, next_name++);
     }
 
     // ---- the rules: what every send, throttling reply and answer passes ----
@@ -256,18 +258,20 @@
     // Its start may have been later than it is told (rule 5).
     bool is_cold(const Upstream& u) const
     {
-        return u.listing.started && now - *u.listing.started < set.cold + set.ready_margin;
+        return u.listing.started_at &&
+               now - *u.listing.started_at < set.slow_start_duration + set.start_time_margin;
     }
 
     // The part of its capacity an upstream has at least, by its last start.
     double warm_share(const Upstream& u) const
     {
         if (!is_cold(u)) return 1;
-        const double age = std::max(0.0, (now - *u.listing.started - set.ready_margin) / set.cold);
-        return set.cold_share + (1 - set.cold_share) * age;
+        const double age =
+            std::max(0.0, (now - *u.listing.started_at - set.start_time_margin) / set.slow_start_duration);
+        return set.slow_start_min_share + (1 - set.slow_start_min_share) * age;
     }
 
-    bool is_far(const Upstream& u) const { return set.crossing_price > 0 && u.listing.zone != set.zone; }
+    bool is_far(const Upstream& u) const { return set.cross_zone_price > 0 && u.listing.zone != set.zone; }
 
     // What it would send each upstream in use a second if none were cold, no more than it sends a warm one
     // now. Guards against many that each see few warm ones left, and take what these bear for the usual.
@@ -289,9 +293,9 @@
     bool cold_budget(Upstream& u)
     {
         if (!is_cold(u)) return true;
-        const double a_second = even_rate() * warm_share(u) * set.fall_multiple * cold_spend;
+        const double a_second = even_rate() * warm_share(u) * set.collapse_multiple * cold_spend;
         u.cold_tokens += (now - u.cold_at).seconds() * a_second;
-        u.cold_tokens = std::min(u.cold_tokens, std::max(1.0, a_second * set.fall.seconds()));
+        u.cold_tokens = std::min(u.cold_tokens, std::max(1.0, a_second * set.collapse_window.seconds()));
         u.cold_at = now;
         return u.cold_tokens >= 1;
     }
@@ -299,8 +303,8 @@
     bool in_group(const Invocation& inv, UpstreamId a, UpstreamId b) const
     {
         const auto &x = ups[a].listing, &y = ups[b].listing;
-        if (inv.op.group == DeduplicationScope::zone) return x.zone == y.zone;
-        if (inv.op.group == DeduplicationScope::cell) return x.cell == y.cell;
+        if (inv.op.deduplication_scope == DeduplicationScope::zone) return x.zone == y.zone;
+        if (inv.op.deduplication_scope == DeduplicationScope::cell) return x.cell == y.cell;
         return true;
     }
 
@@ -309,10 +313,11 @@
     {
         for (const Forward& f : inv.forwards) {
             if (f.proven_not_run) continue;
-            if (f.out && !(inv.may_overlap && set.may_overlap)) return false;
-            if (inv.op.repeat == Idempotency::idempotent) continue;
-            if (inv.op.repeat == Idempotency::non_idempotent) return false;
-            if (!in_group(inv, f.upstream_id, upstream_id) || now - f.sent >= inv.op.window) return false;
+            if (f.out && !(inv.may_overlap && set.may_overlap_forwards)) return false;
+            if (inv.op.idempotency == Idempotency::idempotent) continue;
+            if (inv.op.idempotency == Idempotency::non_idempotent) return false;
+            if (!in_group(inv, f.upstream_id, upstream_id) || now - f.sent >= inv.op.deduplication_window)
+                return false;
         }
         return true;
     }
@@ -320,8 +325,9 @@
     bool may_throttle(const Invocation& inv) const
     {
         for (const Forward& f : inv.forwards) {
-            if (f.proven_not_run || inv.op.repeat == Idempotency::idempotent) continue;
-            if (inv.op.repeat == Idempotency::non_idempotent || inv.op.group != DeduplicationScope::all)
+            if (f.proven_not_run || inv.op.idempotency == Idempotency::idempotent) continue;
+            if (inv.op.idempotency == Idempotency::non_idempotent ||
+                inv.op.deduplication_scope != DeduplicationScope::all)
                 return false;
         }
         return true;
@@ -336,8 +342,8 @@
     }
 
     // The gate: nothing is forwarded but here.
-    bool send(InvocationId id, UpstreamId upstream_id, Span at_most,
-              std::function<void(Point, AttemptResult)> next)
+    bool send(InvocationId id, UpstreamId upstream_id, Duration at_most,
+              std::function<void(TimePoint, AttemptResult)> next)
     {
         Invocation& inv = invs[id];
         if (!may_send(inv, upstream_id)) return false;
@@ -348,7 +354,7 @@
             warm_sends.count(now);
         bool rested = u.out == 0 && (now - u.last_end).seconds() > ops[inv.operation].usual;
         if (rested && now < distrust_idle_until) {
-            out.close_idle(upstream_id);
+            out.close_idle_connections(upstream_id);
             rested = false;
         }
         if (u.out++ == 0) u.waiting_since = now;
@@ -364,7 +370,7 @@
     }
 
     // Guards against answers that are lost in silence: their upstreams would seem to hold them to the end.
-    void overdue_if_out(InvocationId id, size_t nth, Point sent)
+    void overdue_if_out(InvocationId id, size_t nth, TimePoint sent)
     {
         if (nth >= invs[id].forwards.size()) return;
         Forward& f = invs[id].forwards[nth];
@@ -374,14 +380,14 @@
     }
 
     // Rule 1: an invocation is finished here or by its first success, once.
-    void finish(InvocationId id, bool throttled, Span retry_after = {})
+    void finish(InvocationId id, bool throttled, Duration retry_after = {})
     {
         Invocation& inv = invs[id];
         if (inv.over) return;
         if (throttled && may_throttle(inv))
             out.throttle(id, std::min(retry_after, set.max_retry_after));
         else
-            out.error(id);
+            out.fail(id);
         close(id);
     }
 
@@ -390,7 +396,7 @@
         Invocation& inv = invs[id];
         inv.over = true;
         for (uint32_t i = 0; i < inv.forwards.size(); ++i)
-            if (inv.forwards[i].out && set.may_cancel) out.cancel(id, i);
+            if (inv.forwards[i].out && set.may_cancel) out.cancel_forward(id, i);
         release(id);
     }
 
@@ -399,7 +405,7 @@
         Invocation& inv = invs[id];
         if (!inv.over) return;
         if (std::none_of(inv.forwards.begin(), inv.forwards.end(), [](auto& f) { return f.out; }))
-            out.released(id);
+            out.release_invocation(id);
     }
 
     // ---- what is learnt from answers ----
@@ -476,7 +482,7 @@
 
     static std::optional<double> load_of(const LoadReport& r)
     {
-        if (r.queue || r.inflight) return r.queue ? r.queue : r.inflight;
+        if (r.queue_length || r.in_flight) return r.queue_length ? r.queue_length : r.in_flight;
         return r.utilisation ? std::optional(busy(*r.utilisation)) : std::nullopt;
     }
 
@@ -484,12 +490,13 @@
     {
         refresh_fellows();
         if (const auto load = load_of(r)) {
-            u.load = load, u.load_at = now, u.load_counts_own = !r.queue, u.out_at_report = u.out;
-            u.busy = r.queue ? busy(r.utilisation.value_or(0)) : 0;
-            queues_told = queues_told || r.queue;
-            if (r.queue && *r.queue > long_queue + well_above * mean_load) raise(u, step, false);
+            u.load = load, u.load_at = now, u.load_counts_own = !r.queue_length, u.out_at_report = u.out;
+            u.busy = r.queue_length ? busy(r.utilisation.value_or(0)) : 0;
+            queues_told = queues_told || r.queue_length;
+            if (r.queue_length && *r.queue_length > long_queue + well_above * mean_load)
+                raise(u, step, false);
         }
-        times_told = times_told || r.latency_ms;
+        times_told = times_told || r.mean_latency_ms;
     }
 
     // What the others look like; often enough to follow, seldom enough to be cheap.
@@ -518,7 +525,7 @@
         u.answered = std::min(recent, u.answered + 1);
         u.errors += ((time ? 0 : 1) - u.errors) / static_cast<double>(u.answered);
         if (time) {
-            Kind& k = kinds[u.listing.kind];
+            Kind& k = kinds[u.listing.machine_type];
             const double t = std::min(*time, 5.0);
             k.slowness += std::max(kind_gain, 1 / ++k.answered) * (t - k.slowness);
             u.slowness = slowness(u) + own_gain * (t - slowness(u)), u.slowness_at = now;
@@ -536,7 +543,7 @@
         if (broke_rested > 0.2 && broke_rested > 3 * broke_busy) distrust_idle_until = now + distrust_for;
     }
 
-    void learn(const Invocation& inv, Upstream& u, AttemptResult result, Span took, bool stuck)
+    void learn(const Invocation& inv, Upstream& u, AttemptResult result, Duration took, bool stuck)
     {
         OperationView& op = ops[inv.operation];
         const double t = took.seconds();
@@ -552,7 +559,7 @@
             case AttemptResult::errored:
                 if (!stuck) judge(u, {});
                 break;
-            case AttemptResult::full:
+            case AttemptResult::declined:
                 raise(u, step, true);
                 // Guards against a tier that turns most away, and looks well by the times of its answers.
                 return record_latency(inv, 1);
@@ -570,7 +577,7 @@
             default: return;
         }
         if (stuck) return;  // its own trouble, not load
-        if (inv.op.latency_objective > Span{} &&
+        if (inv.op.latency_objective > Duration{} &&
             (result == AttemptResult::succeeded || result == AttemptResult::timed_out))
             record_latency(inv, took / inv.op.latency_objective);
     }
@@ -580,7 +587,7 @@
     // About two for each upstream from all instances together: less would leave them idle.
     double two_per_upstream() const
     {
-        return 2 * capacity / (heard > 0 ? 1 : std::max(1.0, set.balancers * listed));
+        return 2 * capacity / (heard > 0 ? 1 : std::max(1.0, set.balancer_count * listed));
     }
 
     // Own work out; where the others tell theirs, all of it.
@@ -639,7 +646,7 @@
     void record_latency(const Invocation& inv, double of_objective)
     {
         of_objective = std::min(of_objective, 2.0);
-        const Span since_start = inv.arrived - born;
+        const Duration since_start = inv.arrived - born;
         // Those accepted right after the start meet the least load; all of them count, the quick come first.
         if (inv.early || since_start < inv.op.latency_objective * 0.25) first_felt += of_objective, ++first_n;
         round_latencies.push_back(of_objective);
@@ -702,7 +709,7 @@
                 if (tenant < p.rates.size()) all += p.rates[tenant];
             return uniform_random() * all > t.quota;
         }
-        const double part = t.quota * std::max(own_part, 1.0 / std::max(1u, set.balancers));
+        const double part = t.quota * std::max(own_part, 1.0 / std::max(1u, set.balancer_count));
         t.saved = std::min(std::max(saved_up, 2 * part), t.saved + (now - t.at).seconds() * part);
         t.at = now;
         const bool beyond = t.saved + uniform_random() < 1;
@@ -722,7 +729,7 @@
                (over_share && around > shared_from * most);
     }
 
-    Span retry_after() { return set.max_retry_after * (0.5 + 0.5 * uniform_random()); }
+    Duration retry_after() { return set.max_retry_after * (0.5 + 0.5 * uniform_random()); }
 
     // ---- the pick ----
 
@@ -742,7 +749,7 @@
     // what their kind's took, of which a thin instance sees more. Harm: where a kind is met in trouble alone.
     double slowness(const Upstream& u) const
     {
-        const double usual = kinds[u.listing.kind].slowness;
+        const double usual = kinds[u.listing.machine_type].slowness;
         return usual + (u.slowness - usual) * std::exp2(-((now - u.slowness_at) / slowness_age));
     }
 
@@ -775,7 +782,7 @@
         weights.clear();
         for (const auto* order : {&near, &far}) {
             size_t wanted = width(), reach = wanted;
-            const double turn = set.self * 0.6180339887498949;  // spreads any run of numbers evenly
+            const double turn = set.self_index * 0.6180339887498949;  // spreads any run of numbers evenly
             const auto first =
                 static_cast<size_t>((turn - std::floor(turn)) * static_cast<double>(order->size()));
             for (size_t n = 0; n < order->size(); ++n) {
@@ -785,9 +792,9 @@
                 const bool near_enough = (reach > 0 && reach--) || (heard == 0 && !queues_told);
                 if (u.listing.phase != EndpointPhase::ready || !keep(t)) continue;
                 if ((is_cold(u) && !near_enough) || crowded(inv, u) || !may_send(inv, t)) continue;
-                const double idle = u.listing.size / (u.listing.size + expected_load(u));
+                const double idle = u.listing.capacity / (u.listing.capacity + expected_load(u));
                 const double slow = mean_load < tells_load || !times_told ? fourth(slowness(u)) : 1;
-                const double weight = u.listing.size * warm_share(u) * evenness(idle, u) / slow;
+                const double weight = u.listing.capacity * warm_share(u) * evenness(idle, u) / slow;
                 total += weight;
                 weights.emplace_back(t, weight);
                 if (reduction(u) < 0.5 && --wanted == 0) break;
@@ -840,11 +847,11 @@
         if (id >= invs.size()) invs.resize(id + 1);
         Invocation& inv = invs[id];
         inv.op = set.operations[ask.operation];
-        inv.may_overlap = set.may_overlap;
+        inv.may_overlap = set.may_overlap_forwards;
         inv.max_forwards = set.max_forwards;
         inv.operation = ask.operation;
-        inv.key = ask.key;
-        count_time(inv, ask.sending ? may_send_for : ask.time_left, !ask.sending);
+        inv.key = ask.subject_key;
+        count_time(inv, ask.is_incomplete ? may_send_for : ask.time_left, !ask.is_incomplete);
         inv.over = false;
         update_capacity();
         inv.early = held() < two_per_upstream();
@@ -855,11 +862,12 @@
         around += (held() - around) / smooth;
         retry_tokens = std::min(most_retries, retry_tokens + retry_share);
         const bool over_share = over_tenant_share(ask.tenant);
-        if (const double r = key_reduction(ask.key); r > 0 && uniform_random() < r)
+        if (const double r = key_reduction(ask.subject_key); r > 0 && uniform_random() < r)
             return finish(id, true, retry_after());
         if (over_concurrency_limit(over_share) || refused()) return finish(id, true, retry_after());
-        if (set.message_price > 0)
-            may_spend = std::min(may_spend + most_spent / set.message_price * max_peer_message_bytes, 1e6);
+        if (set.peer_message_price > 0)
+            may_spend =
+                std::min(may_spend + most_spent / set.peer_message_price * max_peer_message_bytes, 1e6);
         may_probe = std::min(may_probe + (set.probe_price > 0 ? most_probed / set.probe_price : 1e6),
                              static_cast<double>(ups.size()));
         route(id);
@@ -867,35 +875,35 @@
 
     // Rule 5: the client may wait for longer than it is told, its client timeout at most. Guards against
     // invocations given up for time that only a clock says is gone; the true end cuts their forwards.
-    void count_time(Invocation& inv, Span left, bool by_objective)
+    void count_time(Invocation& inv, Duration left, bool by_objective)
     {
         inv.arrived = now;
         inv.useful = inv.leaves =
-            now + std::max(left, std::min(left + set.left_margin, inv.op.client_timeout));
-        if (by_objective && inv.op.latency_objective > Span{} && inv.op.late_billed_value <= 0)
+            now + std::max(left, std::min(left + set.time_left_margin, inv.op.client_timeout));
+        if (by_objective && inv.op.latency_objective > Duration{} && inv.op.late_response_value <= 0)
             inv.useful = std::min(inv.leaves, now + inv.op.latency_objective);
     }
 
     // Work that could still run is waited for to the end; work whose answer is worthless is given up.
-    Span attempt_timeout(const Invocation& inv) const
+    Duration attempt_timeout(const Invocation& inv) const
     {
-        return (inv.op.repeat == Idempotency::non_idempotent ? inv.leaves : inv.useful) - now;
+        return (inv.op.idempotency == Idempotency::non_idempotent ? inv.leaves : inv.useful) - now;
     }
 
-    void sent(InvocationId id, Span left)
+    void sent(InvocationId id, Duration left)
     {
         count_time(invs[id], left, true);
         for (uint32_t i = 0; i < invs[id].forwards.size(); ++i)
-            if (invs[id].forwards[i].out) out.limit(id, i, attempt_timeout(invs[id]));
+            if (invs[id].forwards[i].out) out.set_forward_timeout(id, i, attempt_timeout(invs[id]));
     }
 
     void route(InvocationId id)
     {
         const auto upstream_id = pick(invs[id]);
         if (!upstream_id) return finish(id, true, retry_after());
-        const Span wait = attempt_timeout(invs[id]);
-        if (wait <= Span{} ||
-            !send(id, *upstream_id, wait, [this, id](Point, AttemptResult r) { after_forward(id, r); }))
+        const Duration wait = attempt_timeout(invs[id]);
+        if (wait <= Duration{} ||
+            !send(id, *upstream_id, wait, [this, id](TimePoint, AttemptResult r) { after_forward(id, r); }))
             finish(id, true, retry_after());
     }
 
@@ -907,9 +915,9 @@
                 return finish(id, true, retry_after());
             return route(id);
         }
-        if (result == AttemptResult::unusable) return finish(id, false);
+        if (result == AttemptResult::invalid_request) return finish(id, false);
         const double needed = ops[inv.operation].usual;
-        if (inv.op.repeat != Idempotency::non_idempotent && retry_tokens >= 1 &&
+        if (inv.op.idempotency != Idempotency::non_idempotent && retry_tokens >= 1 &&
             key_reduction(inv.key) <= 0 && (inv.useful - now).seconds() > needed) {
             retry_tokens -= 1;
             return route(id);
@@ -917,7 +925,7 @@
         finish(id, true, retry_after());
     }
 
-    void ended(InvocationId id, uint32_t nth, AttemptResult result, Span took, bool over,
+    void ended(InvocationId id, uint32_t nth, AttemptResult result, Duration took, bool over,
                const LoadReport& report)
     {
         Invocation& inv = invs[id];
@@ -935,7 +943,7 @@
         --outstanding;
         tell_soon();
         if (result == AttemptResult::succeeded || result == AttemptResult::errored ||
-            result == AttemptResult::full || result == AttemptResult::unusable)
+            result == AttemptResult::declined || result == AttemptResult::invalid_request)
             u.waiting_since = now;
         u.last_end = now;
         const bool broke = result == AttemptResult::timed_out || result == AttemptResult::reset;
@@ -955,14 +963,14 @@
     {
         if (l.upstream_id >= ups.size()) ups.resize(l.upstream_id + 1);
         Upstream& u = ups[l.upstream_id];
-        if (u.known && u.listing.id != l.id) {
+        if (u.known && u.listing.global_id != l.global_id) {
             // Another one in the place of one that has gone. Guards against growing with all that ever were.
             std::erase(near, l.upstream_id), std::erase(far, l.upstream_id);
             std::erase_if(told_names, [&](const auto& n) { return n.second == l.upstream_id; });
             for (Peer& p : peers) hold(p, l.upstream_id, 0);
             u = Upstream{};
         }
-        if (l.started && l.started != u.listing.started) {
+        if (l.started_at && l.started_at != u.listing.started_at) {
             // A new life: what the last one showed says nothing of it.
             Upstream next;
             next.known = u.known;
@@ -973,13 +981,13 @@
             u.cold_tokens = uniform_random();  // so that instances told together do not all send at once
         }
         u.listing = l;
-        if (kinds.size() <= l.kind) kinds.resize(l.kind + 1);
+        if (kinds.size() <= l.machine_type) kinds.resize(l.machine_type + 1);
         if (!std::exchange(u.known, true)) place(l.upstream_id);
     }
 
     void place(UpstreamId upstream_id)
     {
-        const auto rank = [this](UpstreamId t) { return ups[t].listing.id * 0x9e3779b97f4a7c15u; };
+        const auto rank = [this](UpstreamId t) { return ups[t].listing.global_id * 0x9e3779b97f4a7c15u; };
         const std::pair<uint16_t, UpstreamId> name{static_cast<uint16_t>(rank(upstream_id) >> 48),
                                                    upstream_id};
         told_names.insert(std::lower_bound(told_names.begin(), told_names.end(), name), name);
@@ -995,24 +1003,25 @@
         for (const EndpointState& l : all) list(l);
     }
 
-    Span backoff = first_backoff;
+    Duration backoff = first_backoff;
 
     void list_answered(bool well)
     {
-        if (!set.list_must_be_asked) return;
-        if (!well) schedule(now + backoff * (0.5 + uniform_random()), [this] { out.watch_list(); });
-        backoff = well ? first_backoff : std::min({set.ask_within * 0.5, longest_backoff, backoff * 2});
+        if (!set.must_watch_endpoint_list) return;
+        if (!well) schedule(now + backoff * (0.5 + uniform_random()), [this] { out.watch_endpoint_list(); });
+        backoff = well ? first_backoff
+                       : std::min({set.max_watch_retry_interval * 0.5, longest_backoff, backoff * 2});
     }
 
     void start()
     {
         born = share_at = now;
-        if (set.list_must_be_asked)
-            schedule(now + first_backoff * uniform_random(), [this] { out.watch_list(); });
+        if (set.must_watch_endpoint_list)
+            schedule(now + first_backoff * uniform_random(), [this] { out.watch_endpoint_list(); });
         report_by_settings();
     }
 
-    bool probes() const { return set.reports_by_probe && set.may_probe && !set.may_message_peers; }
+    bool probes() const { return set.load_reports_by_probe && set.may_probe && !set.may_message_peers; }
 
     void report_by_settings()
     {
@@ -1025,7 +1034,7 @@
     void take_over(const IndexMapping& operations, const IndexMapping& tenants_were)
     {
         const auto ops_were = std::exchange(ops, std::vector<OperationView>(set.operations.size() + 1));
-        const auto told_were = std::exchange(tenants, std::vector<Tenant>(set.quotas.size()));
+        const auto told_were = std::exchange(tenants, std::vector<Tenant>(set.tenant_quotas.size()));
         const auto gone = static_cast<uint32_t>(set.operations.size());
         std::vector<uint32_t> now_at(ops_were.size(), gone);
         for (uint32_t i = 0; i < operations.size(); ++i)
@@ -1033,34 +1042,34 @@
         for (Invocation& inv : invs) {
             if ((inv.operation = now_at[inv.operation]) == gone) continue;
             const Operation& op = set.operations[inv.operation];
-            inv.op.repeat = std::max(inv.op.repeat, op.repeat);
-            inv.op.group = std::max(inv.op.group, op.group);
-            inv.op.window = std::min(inv.op.window, op.window);
+            inv.op.idempotency = std::max(inv.op.idempotency, op.idempotency);
+            inv.op.deduplication_scope = std::max(inv.op.deduplication_scope, op.deduplication_scope);
+            inv.op.deduplication_window = std::min(inv.op.deduplication_window, op.deduplication_window);
         }
         for (uint32_t i = 0; i < tenants.size(); ++i) {
             if (i < tenants_were.size() && tenants_were[i]) tenants[i] = told_were[*tenants_were[i]];
-            tenants[i].quota = set.quotas[i];
+            tenants[i].quota = set.tenant_quotas[i];
         }
         slowest_objective = {};
         for (const Operation& op : set.operations)
             slowest_objective = std::max(slowest_objective, op.latency_objective);
-        near_met = std::exp(std::min(10.0, set.crossing_price * crossing_weighs));
+        near_met = std::exp(std::min(10.0, set.cross_zone_price * crossing_weighs));
         near_told = std::pow(near_met, 3.0 / 8);
     }
 
     void settings_are(Settings settings, const IndexMapping& operations, const IndexMapping& tenants_were)
     {
-        const bool asked_before = set.list_must_be_asked;
+        const bool asked_before = set.must_watch_endpoint_list;
         set = std::move(settings);
         take_over(operations, tenants_were);
         queues_told = times_told = false;
         // Tenants have other places, and the others may have other settings yet: what they tell comes anew.
-        for (Peer& p : peers) forget(p), p.heard = Point{INT64_MIN / 2};
+        for (Peer& p : peers) forget(p), p.heard = TimePoint{INT64_MIN / 2};
         heard = 0;
         near.clear(), far.clear(), told_names.clear();
         for (UpstreamId t = 0; t < ups.size(); ++t)
             if (ups[t].known) place(t);
-        if (set.list_must_be_asked && !asked_before) out.watch_list();
+        if (set.must_watch_endpoint_list && !asked_before) out.watch_endpoint_list();
         report_by_settings();
     }
 
@@ -1095,7 +1104,7 @@
         tell_due = false;
         if (!set.may_message_peers) return;
         told_at = now;
-        if (!all && set.message_price > 0 && may_spend < 0) return;
+        if (!all && set.peer_message_price > 0 && may_spend < 0) return;
         PeerMessage message{all, {}, {}};
         if (all) {
             // The others forget what does not fit in here: it follows as changes.
@@ -1114,9 +1123,9 @@
         }
         if (!all && message.out.empty()) return;
         const auto bytes = encode_peer_message(message);
-        may_spend -=
-            static_cast<double>(std::max(least_message, bytes.size()) * (std::max(2u, set.balancers) - 1));
-        out.tell(bytes);
+        may_spend -= static_cast<double>(std::max(least_message, bytes.size()) *
+                                         (std::max(2u, set.balancer_count) - 1));
+        out.broadcast(bytes);
     }
 
     void tell_all()
@@ -1149,7 +1158,8 @@
     void told(uint32_t from, std::string_view bytes)
     {
         const auto message = decode_peer_message(bytes);
-        if (!set.may_message_peers || from >= set.balancers || from == set.self || !message) return;
+        if (!set.may_message_peers || from >= set.balancer_count || from == set.self_index || !message)
+            return;
         if (from >= peers.size()) peers.resize(from + 1);
         Peer& p = peers[from];
         if (message->all) forget(p), p.rates = message->rates;
@@ -1179,58 +1189,68 @@
 
 Balancer::~Balancer() = default;
 
-Balancer::State& Balancer::at(Point now)
+Balancer::State& Balancer::at(TimePoint now)
 {
     state_->now = now;
     return *state_;
 }
 
-void Balancer::started(Point now) { at(now).start(); }
+void Balancer::start(TimePoint now) { at(now).start(); }
 
-void Balancer::settings_are(Point now, Settings settings, const IndexMapping& operations,
-                            const IndexMapping& tenants)
+void Balancer::update_settings(TimePoint now, Settings settings, const IndexMapping& operations,
+                               const IndexMapping& tenants)
 {
     at(now).settings_are(std::move(settings), operations, tenants);
 }
 
-void Balancer::list_is(Point now, const std::vector<EndpointState>& all) { at(now).list_is(all); }
+void Balancer::set_endpoints(TimePoint now, const std::vector<EndpointState>& all) { at(now).list_is(all); }
 
-void Balancer::list_changed(Point now, const std::vector<EndpointState>& changes)
+void Balancer::update_endpoints(TimePoint now, const std::vector<EndpointState>& changes)
 {
     for (const EndpointState& l : changes) at(now).list(l);
 }
 
-void Balancer::list_answered(Point now, bool well) { at(now).list_answered(well); }
+void Balancer::on_endpoint_list_fetched(TimePoint now, bool well) { at(now).list_answered(well); }
 
-void Balancer::accept(Point now, InvocationId inv, const InvocationRequest& ask) { at(now).accept(inv, ask); }
+void Balancer::accept(TimePoint now, InvocationId inv, const InvocationRequest& ask)
+{
+    at(now).accept(inv, ask);
+}
 
-void Balancer::ended(Point now, InvocationId inv, uint32_t forward, AttemptResult result, Span took,
-                     bool over, const LoadReport& report)
+void Balancer::on_forward_ended(TimePoint now, InvocationId inv, uint32_t forward, AttemptResult result,
+                                Duration took, bool over, const LoadReport& report)
 {
     at(now).ended(inv, forward, result, took, over, report);
 }
 
-void Balancer::client_left(Point now, InvocationId inv)
+void Balancer::on_client_disconnected(TimePoint now, InvocationId inv)
 {
     if (!at(now).invs[inv].over) state_->close(inv);
 }
 
-void Balancer::probed(Point now, UpstreamId upstream_id, AttemptResult result, const LoadReport& report)
+void Balancer::on_probe_completed(TimePoint now, UpstreamId upstream_id, AttemptResult result,
+                                  const LoadReport& report)
 {
     if (result == AttemptResult::succeeded) at(now).reported(state_->ups[upstream_id], report);
 }
 
-void Balancer::told(Point now, uint32_t peer, std::string_view message) { at(now).told(peer, message); }
+void Balancer::on_peer_message(TimePoint now, uint32_t peer, std::string_view message)
+{
+    at(now).told(peer, message);
+}
 
-void Balancer::sent(Point now, InvocationId inv, Span time_left) { at(now).sent(inv, time_left); }
+void Balancer::on_request_complete(TimePoint now, InvocationId inv, Duration time_left)
+{
+    at(now).sent(inv, time_left);
+}
 
-double Balancer::reduction(Point now, UpstreamId upstream_id)
+double Balancer::reduction(TimePoint now, UpstreamId upstream_id)
 {
     return upstream_id < state_->ups.size() ? at(now).reduction(state_->ups[upstream_id]) : 0;
 }
 
-void Balancer::share_of_list(double part) { state_->listed = part; }
+void Balancer::set_subset_fraction(double part) { state_->listed = part; }
 
-void Balancer::woken(Point now, uint64_t name) { at(now).wake(name); }
+void Balancer::on_timer_fired(TimePoint now, uint64_t name) { at(now).wake(name); }
 
 }  // namespace firtide
--- a/src/balance/balancer.h
+++ b/src/balance/balancer.h
@@ -27,41 +27,41 @@
 enum class AttemptResult {
     succeeded,
     errored,
-    full,
+    declined,
     timed_out,
     unreachable,
     reset,
     cancelled,
     not_sent,
-    unusable
+    invalid_request
 };
 enum class EndpointPhase { gone, ready, draining };
 
 struct EndpointState {
     UpstreamId upstream_id = 0;
-    uint64_t id = 0;  // the same at every instance
+    uint64_t global_id = 0;  // the same at every instance
     EndpointPhase phase = EndpointPhase::gone;
     uint32_t zone = 0;
     uint32_t cell = 0;
-    double size = 1;
-    std::optional<Point> started;  // absent: long ago
-    uint32_t kind = 0;             // of machine
+    double capacity = 1;
+    std::optional<TimePoint> started_at;  // absent: long ago
+    uint32_t machine_type = 0;            // of machine
 };
 
 struct LoadReport {
-    std::optional<double> queue;
-    std::optional<double> inflight;
+    std::optional<double> queue_length;
+    std::optional<double> in_flight;
     std::optional<double> utilisation;
-    std::optional<double> latency_ms;
-    std::optional<double> errors;
+    std::optional<double> mean_latency_ms;
+    std::optional<double> errors_per_second;
 };
 
 struct InvocationRequest {
     uint32_t operation = 0;
     uint32_t tenant = 0;
-    Span time_left;        // from its last byte
-    bool sending = false;  // that has not come yet: sent() will tell of it
-    uint64_t key = 0;      // of its subject: those with the same go together; 0: none
+    Duration time_left;          // from its last byte
+    bool is_incomplete = false;  // that has not come yet: sent() will tell of it
+    uint64_t subject_key = 0;    // of its subject: those with the same go together; 0: none
 };
 
 // Where each of some things was before; none: it is new.
@@ -71,17 +71,18 @@
 {
   public:
     virtual ~BalancerDelegate() = default;
-    virtual void forward(InvocationId inv, UpstreamId upstream_id, Span limit) = 0;
-    virtual void throttle(InvocationId inv, Span retry_after) = 0;
-    virtual void error(InvocationId inv) = 0;
-    virtual void cancel(InvocationId inv, uint32_t forward) = 0;
-    virtual void limit(InvocationId inv, uint32_t forward, Span limit) = 0;  // of one that is out, anew
-    virtual void released(InvocationId inv) = 0;
-    virtual void wake(Point at, uint64_t name) = 0;
+    virtual void forward(InvocationId inv, UpstreamId upstream_id, Duration limit) = 0;
+    virtual void throttle(InvocationId inv, Duration retry_after) = 0;
+    virtual void fail(InvocationId inv) = 0;
+    virtual void cancel_forward(InvocationId inv, uint32_t forward) = 0;
+    virtual void set_forward_timeout(InvocationId inv, uint32_t forward,
+                                     Duration limit) = 0;  // of one that is out, anew
+    virtual void release_invocation(InvocationId inv) = 0;
+    virtual void start_timer(TimePoint at, uint64_t name) = 0;
     virtual void probe(UpstreamId upstream_id) = 0;
-    virtual void close_idle(UpstreamId upstream_id) = 0;  // connections
-    virtual void watch_list() = 0;
-    virtual void tell(const std::string& message) = 0;  // every other instance; it may be lost
+    virtual void close_idle_connections(UpstreamId upstream_id) = 0;  // connections
+    virtual void watch_endpoint_list() = 0;
+    virtual void broadcast(const std::string& message) = 0;  // every other instance; it may be lost
 };
 
 class Balancer
@@ -90,28 +91,30 @@
     Balancer(Settings settings, uint64_t seed, BalancerDelegate& outlet);
     ~Balancer();
 
-    void started(Point now);
+    void start(TimePoint now);
     // New settings, from now on. What is open finishes under its operation as it was when accepted, and under
     // the stricter of both settings where these differ.
-    void settings_are(Point now, Settings settings, const IndexMapping& operations,
-                      const IndexMapping& tenants);
-    void list_is(Point now, const std::vector<EndpointState>& all);
-    void list_changed(Point now, const std::vector<EndpointState>& changes);
-    void list_answered(Point now, bool well);
-    void accept(Point now, InvocationId inv, const InvocationRequest& ask);
-    void sent(Point now, InvocationId inv, Span time_left);  // the last byte of a request has come
-    void ended(Point now, InvocationId inv, uint32_t forward, AttemptResult result, Span took, bool over,
-               const LoadReport& report);
-    void client_left(Point now, InvocationId inv);
-    void probed(Point now, UpstreamId upstream_id, AttemptResult result, const LoadReport& report);
-    void woken(Point now, uint64_t name);
-    void told(Point now, uint32_t peer, std::string_view message);  // by another instance
-    double reduction(Point now, UpstreamId upstream_id);            // of its entry, 1 where it stands still
-    void share_of_list(double part);  // what is listed is so much of what all balancers share
+    void update_settings(TimePoint now, Settings settings, const IndexMapping& operations,
+                         const IndexMapping& tenants);
+    void set_endpoints(TimePoint now, const std::vector<EndpointState>& all);
+    void update_endpoints(TimePoint now, const std::vector<EndpointState>& changes);
+    void on_endpoint_list_fetched(TimePoint now, bool well);
+    void accept(TimePoint now, InvocationId inv, const InvocationRequest& ask);
+    void on_request_complete(TimePoint now, InvocationId inv,
+                             Duration time_left);  // the last byte of a request has come
+    void on_forward_ended(TimePoint now, InvocationId inv, uint32_t forward, AttemptResult result,
+                          Duration took, bool over, const LoadReport& report);
+    void on_client_disconnected(TimePoint now, InvocationId inv);
+    void on_probe_completed(TimePoint now, UpstreamId upstream_id, AttemptResult result,
+                            const LoadReport& report);
+    void on_timer_fired(TimePoint now, uint64_t name);
+    void on_peer_message(TimePoint now, uint32_t peer, std::string_view message);  // by another instance
+    double reduction(TimePoint now, UpstreamId upstream_id);  // of its entry, 1 where it stands still
+    void set_subset_fraction(double part);  // what is listed is so much of what all balancers share
 
   private:
     struct State;
-    State& at(Point now);
+    State& at(TimePoint now);
     std::unique_ptr<State> state_;
 };
 
--- a/src/balance/decode_settings.cpp
+++ b/src/balance/decode_settings.cpp
@@ -43,7 +43,7 @@
         return as;
     }
 
-    Span span(const std::string& key, Span absent) const
+    Duration span(const std::string& key, Duration absent) const
     {
         return {static_cast<int64_t>(number(key, static_cast<double>(absent.us)))};
     }
@@ -88,18 +88,18 @@
 LoadReportField report_field(const std::string& name)
 {
     static const std::map<std::string_view, LoadReportField> known = {
-        {"depth", &LoadReport::queue},
-        {"concurrent", &LoadReport::inflight},
+        {"depth", &LoadReport::queue_length},
+        {"concurrent", &LoadReport::in_flight},
         {"load_share", &LoadReport::utilisation},
-        {"mean_ms", &LoadReport::latency_ms},
-        {"err_ps", &LoadReport::errors}};
+        {"mean_ms", &LoadReport::mean_latency_ms},
+        {"err_ps", &LoadReport::errors_per_second}};
     const auto at = known.find(name);
     return at == known.end() ? nullptr : at->second;
 }
 
 }  // namespace
 
-FlatSettings split_lines(std::string_view text)
+FlatSettings parse_flat_settings(std::string_view text)
 {
     FlatSettings values;
     while (!text.empty()) {
@@ -121,63 +121,63 @@
     for (size_t i = 0; i < in.count("operations"); ++i) {
         const auto at = "operations." + std::to_string(i) + ".";
         Operation op;
-        op.repeat = in.choice<Idempotency>(at + "repeat",
-                                           {{"free", Idempotency::idempotent},
-                                            {"guarded", Idempotency::deduplicated},
-                                            {"single_shot", Idempotency::non_idempotent}},
-                                           op.repeat);
-        op.group = in.choice<DeduplicationScope>(at + "group",
-                                                 {{"all", DeduplicationScope::all},
-                                                  {"zone", DeduplicationScope::zone},
-                                                  {"cell", DeduplicationScope::cell}},
-                                                 op.group);
-        op.window = in.span(at + "window_us", op.window);
+        op.idempotency = in.choice<Idempotency>(at + "repeat",
+                                                {{"free", Idempotency::idempotent},
+                                                 {"guarded", Idempotency::deduplicated},
+                                                 {"single_shot", Idempotency::non_idempotent}},
+                                                op.idempotency);
+        op.deduplication_scope = in.choice<DeduplicationScope>(at + "group",
+                                                               {{"all", DeduplicationScope::all},
+                                                                {"zone", DeduplicationScope::zone},
+                                                                {"cell", DeduplicationScope::cell}},
+                                                               op.deduplication_scope);
+        op.deduplication_window = in.span(at + "window_us", op.deduplication_window);
         op.latency_objective = in.span(at + "latency_objective_us", op.latency_objective);
-        op.late_billed_value = in.number(at + "late_billed_value", op.late_billed_value);
+        op.late_response_value = in.number(at + "late_billed_value", op.late_response_value);
         op.client_timeout = in.span(at + "client_timeout_us", op.client_timeout);
         s.operations.push_back(op);
-        out.operations.emplace_back(in.text(at + "name"));
+        out.operation_names.emplace_back(in.text(at + "name"));
     }
     for (size_t i = 0; i < in.count("projects"); ++i) {
         const auto at = "projects." + std::to_string(i) + ".";
-        s.quotas.push_back(in.number(at + "quota_per_s", 0));
-        out.tenants.emplace_back(in.text(at + "name"));
+        s.tenant_quotas.push_back(in.number(at + "quota_per_s", 0));
+        out.tenant_names.emplace_back(in.text(at + "name"));
     }
-    out.zones = in.names("dcs");
+    out.zone_names = in.names("dcs");
     out.connect_timeout = in.span("policy_limits.connect_timeout_us", out.connect_timeout);
-    out.idle_close = in.span("policy_limits.conn_idle_us", out.idle_close);
-    s.balancers = static_cast<uint32_t>(in.number("balancers", s.balancers));
-    s.self = static_cast<uint32_t>(in.number("self_index", s.self));
+    out.upstream_idle_timeout = in.span("policy_limits.conn_idle_us", out.upstream_idle_timeout);
+    s.balancer_count = static_cast<uint32_t>(in.number("balancers", s.balancer_count));
+    s.self_index = static_cast<uint32_t>(in.number("self_index", s.self_index));
     s.tier = static_cast<uint32_t>(in.number("tier", s.tier));
     s.zone = static_cast<uint32_t>(in.number("zone", s.zone));
-    s.crossing_price = in.number("prices.cross_zone", s.crossing_price);
+    s.cross_zone_price = in.number("prices.cross_zone", s.cross_zone_price);
     s.probe_price = in.number("prices.probe", s.probe_price);
-    s.message_price = in.number("prices.peer", s.message_price);
-    s.reports_by_probe =
+    s.peer_message_price = in.number("prices.peer", s.peer_message_price);
+    s.load_reports_by_probe =
         in.choice<bool>("telemetry.source", {{"piggyback", false}, {"pull", true}, {"silent", false}}, false);
-    s.list_must_be_asked =
+    s.must_watch_endpoint_list =
         in.choice<bool>("registry_mode", {{"automatic", false}, {"subscribe", true}}, false);
     s.may_cancel = in.flag("policy_limits.cancel");
-    s.may_overlap = in.flag("policy_limits.may_duplicate");
+    s.may_overlap_forwards = in.flag("policy_limits.may_duplicate");
     s.may_probe = in.flag("policy_limits.may_probe");
     s.may_message_peers = in.flag("policy_limits.peers");
     s.max_forwards = static_cast<uint32_t>(in.number("policy_limits.max_forwards", s.max_forwards));
     if (in.flag("policy_limits.retry_after"))
         s.max_retry_after = in.span("policy_limits.max_retry_after_us", s.max_retry_after);
-    s.ask_within = in.span("contract.ask_within_us", s.ask_within);
-    s.cold_share = in.number("contract.cold_share", s.cold_share);
-    if (s.cold_share > 1) throw SettingError("contract.cold_share: 1 at most is expected");
-    if (s.balancers < 1) throw SettingError("balancers: 1 or more is expected");
-    s.cold = in.span("contract.cold_us", s.cold);
-    s.fall_multiple = in.number("contract.fall_multiple", s.fall_multiple);
-    s.fall = in.span("contract.fall_us", s.fall);
-    s.left_margin = in.span("contract.left_margin_us", s.left_margin);
-    s.ready_margin = in.span("contract.ready_margin_us", s.ready_margin);
+    s.max_watch_retry_interval = in.span("contract.ask_within_us", s.max_watch_retry_interval);
+    s.slow_start_min_share = in.number("contract.cold_share", s.slow_start_min_share);
+    if (s.slow_start_min_share > 1) throw SettingError("contract.cold_share: 1 at most is expected");
+    if (s.balancer_count < 1) throw SettingError("balancers: 1 or more is expected");
+    s.slow_start_duration = in.span("contract.cold_us", s.slow_start_duration);
+    s.collapse_multiple = in.number("contract.fall_multiple", s.collapse_multiple);
+    s.collapse_window = in.span("contract.fall_us", s.collapse_window);
+    s.time_left_margin = in.span("contract.left_margin_us", s.time_left_margin);
+    s.start_time_margin = in.span("contract.ready_margin_us", s.start_time_margin);
     s.reply_slots = in.whole("policy_limits.reply_slots", s.reply_slots);
-    out.sizes_listed = in.choice<bool>(
+    out.capacities_listed = in.choice<bool>(
         "weights", {{"silent", false}, {"nominal", true}, {"rough", true}, {"live", false}}, false);
-    out.report_names = in.names("telemetry.fields");
-    for (const auto& name : out.report_names) out.report.push_back(report_field(name));
+    out.load_report_fields = in.names("telemetry.fields");
+    for (const auto& name : out.load_report_fields) out.load_report_members.push_back(report_field(name));
     return out;
 }
 
--- a/src/balance/decode_settings.h
+++ b/src/balance/decode_settings.h
@@ -23,19 +23,21 @@
 
 struct ServiceConfig {
     Settings settings;
-    uint32_t edition = 0;  // counts what was loaded since the start
+    uint32_t config_version = 0;  // counts what was loaded since the start
     std::vector<std::string>
-        report_names;                     // of the figures of a load report, in the order in which they come
-    std::vector<LoadReportField> report;  // and where each goes
-    bool sizes_listed = false;
-
-    std::vector<std::string> operations, tenants, zones;  // names; a number stands for the place in these
-    Span connect_timeout = seconds(1);
-    Span idle_close = seconds(5);  // an upstream closes a connection that has stood idle this long
+        load_report_fields;  // of the figures of a load report, in the order in which they come
+    std::vector<LoadReportField> load_report_members;  // and where each goes
+    bool capacities_listed = false;
+
+    std::vector<std::string> operation_names, tenant_names,
+        zone_names;  // names; a number stands for the place in these
+    Duration connect_timeout = seconds(1);
+    Duration upstream_idle_timeout =
+        seconds(5);  // an upstream closes a connection that has stood idle this long
 };
 
 // Lines of key=value.
-FlatSettings split_lines(std::string_view text);
+FlatSettings parse_flat_settings(std::string_view text);
 
 ServiceConfig decode_settings(const FlatSettings& values);
 
--- a/src/base/config_error.h
+++ b/src/base/config_error.h
@@ -13,14 +13,14 @@
 };
 
 struct ConfigError {
-    ConfigLocation at;
-    std::string what;
+    ConfigLocation location;
+    std::string message;
 };
 
 // "line 3: limits.clients: ..."
-inline std::string text_of(const ConfigError& fault)
+inline std::string to_string(const ConfigError& fault)
 {
-    return "line " + std::to_string(fault.at.line) + ": " + fault.at.key + ": " + fault.what;
+    return "line " + std::to_string(fault.location.line) + ": " + fault.location.key + ": " + fault.message;
 }
 
 }  // namespace firtide
--- a/src/base/toml_table.h
+++ b/src/base/toml_table.h
@@ -17,12 +17,12 @@
 
 // A fault in an operator file: ends the reading, and is a value again where that began.
 struct TomlConfigError {
-    ConfigError fault;
+    ConfigError error;
 };
 
 inline uint32_t line_of(const toml::node& node) { return static_cast<uint32_t>(node.source().begin.line); }
 
-[[noreturn]] inline void wrong(const std::string& key, uint32_t line, const std::string& what)
+[[noreturn]] inline void throw_config_error(const std::string& key, uint32_t line, const std::string& what)
 {
     throw TomlConfigError{{{key, line}, what}};
 }
@@ -36,44 +36,46 @@
     {
         for (const auto& [key, node] : from)
             if (std::find(known.begin(), known.end(), key.str()) == known.end())
-                wrong(name(key.str()), line_of(node), "unknown key");
+                throw_config_error(full_key(key.str()), line_of(node), "unknown key");
     }
 
-    std::string name(std::string_view key) const
+    std::string full_key(std::string_view key) const
     {
         return path_.empty() ? std::string(key) : path_ + "." + std::string(key);
     }
-    ConfigLocation place() const { return {path_, line_of(from_)}; }
+    ConfigLocation location() const { return {path_, line_of(from_)}; }
     bool has(std::string_view key) const { return from_.get(key) != nullptr; }
     uint32_t line(std::string_view key) const
     {
         const auto* node = from_.get(key);
         return node ? line_of(*node) : line_of(from_);
     }
-    std::string text(std::string_view key) const
+    std::string string(std::string_view key) const
     {
         const auto* node = from_.get(key);
-        if (!node) wrong(name(key), line_of(from_), "is missing");
+        if (!node) throw_config_error(full_key(key), line_of(from_), "is missing");
         const auto* value = node->as_string();
-        if (!value || value->get().empty()) wrong(name(key), line_of(*node), "a text is expected");
+        if (!value || value->get().empty())
+            throw_config_error(full_key(key), line_of(*node), "a text is expected");
         return value->get();
     }
-    bool flag(std::string_view key, bool absent) const
+    bool boolean(std::string_view key, bool absent) const
     {
         const auto* node = from_.get(key);
         if (!node) return absent;
-        if (!node->is_boolean()) wrong(name(key), line_of(*node), "true or false is expected");
+        if (!node->is_boolean())
+            throw_config_error(full_key(key), line_of(*node), "true or false is expected");
         return node->as_boolean()->get();
     }
-    uint32_t count(std::string_view key, uint32_t absent, uint32_t least, uint32_t most) const
+    uint32_t integer(std::string_view key, uint32_t absent, uint32_t least, uint32_t most) const
     {
         const auto* node = from_.get(key);
         if (!node) return absent;
         const auto* value = node->as_integer();
         if (!value || value->get() < least || value->get() > most)
-            wrong(name(key), line_of(*node),
-                  "a whole number from " + std::to_string(least) + " to " + std::to_string(most) +
-                      " is expected");
+            throw_config_error(full_key(key), line_of(*node),
+                               "a whole number from " + std::to_string(least) + " to " +
+                                   std::to_string(most) + " is expected");
         return static_cast<uint32_t>(value->get());
     }
     double number(std::string_view key, double absent, double least, double most) const
@@ -82,16 +84,17 @@
         if (!node) return absent;
         const auto value = node->value<double>();
         if (!node->is_number() || !value || !(*value >= least && *value <= most))
-            wrong(name(key), line_of(*node),
-                  "a number from " + short_text(least) + " to " + short_text(most) + " is expected");
+            throw_config_error(
+                full_key(key), line_of(*node),
+                "a number from " + short_text(least) + " to " + short_text(most) + " is expected");
         return *value;
     }
-    Span ms(std::string_view key, Span absent) const
+    Duration milliseconds(std::string_view key, Duration absent) const
     {
-        return Span{int64_t{1000} * count(key, static_cast<uint32_t>(absent.us / 1000), 1, 3'600'000)};
+        return Duration{int64_t{1000} * integer(key, static_cast<uint32_t>(absent.us / 1000), 1, 3'600'000)};
     }
     // A whole number of bytes, or as "64KB" or "1MB".
-    uint32_t bytes(std::string_view key, uint32_t absent, uint32_t least, uint32_t most) const
+    uint32_t byte_size(std::string_view key, uint32_t absent, uint32_t least, uint32_t most) const
     {
         const auto* node = from_.get(key);
         if (!node) return absent;
@@ -99,76 +102,80 @@
         if (const auto* number = node->as_integer()) {
             value = number->get();
         } else {
-            const auto said = text(key);
+            const auto said = string(key);
             const char* end = said.data() + said.size();
             const auto read = std::from_chars(said.data(), end, value);
             const std::string_view name_of_unit(read.ptr, static_cast<size_t>(end - read.ptr));
             unit = name_of_unit == "KB" ? 1024 : name_of_unit == "MB" ? 1024 * 1024 : 0;
             if (read.ec != std::errc{} || unit == 0)
-                wrong(name(key), line(key),
-                      "a size as 65536, \"64KB\" or \"1MB\" is expected, not '" + said + "'");
+                throw_config_error(full_key(key), line(key),
+                                   "a size as 65536, \"64KB\" or \"1MB\" is expected, not '" + said + "'");
         }
         if (value < least / unit || value > most / unit || value * unit < least)
-            wrong(name(key), line(key),
-                  "must be from " + std::to_string(least) + " to " + std::to_string(most) + " bytes");
+            throw_config_error(
+                full_key(key), line(key),
+                "must be from " + std::to_string(least) + " to " + std::to_string(most) + " bytes");
         return static_cast<uint32_t>(value * unit);
     }
     // As "250ms", "3s" or "2m".
-    Span span(std::string_view key, Span absent, Span least, Span most) const
+    Duration duration(std::string_view key, Duration absent, Duration least, Duration most) const
     {
         if (!has(key)) return absent;
-        const auto said = text(key);
+        const auto said = string(key);
         double value = 0;
         const char* end = said.data() + said.size();
         const auto read = std::from_chars(said.data(), end, value);
         const std::string_view unit(read.ptr, static_cast<size_t>(end - read.ptr));
         const double times = unit == "ms" ? 1e-3 : unit == "s" ? 1 : unit == "m" ? 60 : 0;
         if (read.ec != std::errc{} || times == 0)
-            wrong(name(key), line(key),
-                  "a time as \"250ms\", \"3s\" or \"2m\" is expected, not '" + said + "'");
-        const Span got = firtide::seconds(value * times);
+            throw_config_error(full_key(key), line(key),
+                               "a time as \"250ms\", \"3s\" or \"2m\" is expected, not '" + said + "'");
+        const Duration got = firtide::seconds(value * times);
         if (got < least || got > most)
-            wrong(name(key), line(key),
-                  "must be from " + short_text(seconds_of(least)) + " to " + short_text(seconds_of(most)) +
-                      " s");
+            throw_config_error(full_key(key), line(key),
+                               "must be from " + short_text(seconds_of(least)) + " to " +
+                                   short_text(seconds_of(most)) + " s");
         return got;
     }
     // An IPv4 address and a port, as it stands; whether it can be had shows when it is used.
     std::string endpoint(std::string_view key) const
     {
-        const auto said = text(key);
+        const auto said = string(key);
         const auto colon = said.rfind(':');
         uint32_t port = 0;
         const char* end = said.data() + said.size();
         if (colon == std::string::npos || colon == 0 ||
             std::from_chars(said.data() + colon + 1, end, port).ptr != end || port == 0 || port > 65535)
-            wrong(name(key), line(key), "address:port is expected, not '" + said + "'");
+            throw_config_error(full_key(key), line(key), "address:port is expected, not '" + said + "'");
         return said;
     }
     // Each table of an array of tables; none where the key is absent.
     template <class Each>
-    void each(std::string_view key, Each what) const
+    void for_each_table(std::string_view key, Each what) const
     {
         const auto* node = from_.get(key);
         if (!node) return;
         const auto* all = node->as_array();
-        if (!all) wrong(name(key), line_of(*node), "tables are expected, as in [[" + name(key) + "]]");
+        if (!all)
+            throw_config_error(full_key(key), line_of(*node),
+                               "tables are expected, as in [[" + full_key(key) + "]]");
         for (size_t i = 0; i < all->size(); ++i) {
             const auto* table = all->get(i)->as_table();
-            if (!table) wrong(name(key), line_of(*all->get(i)), "a table is expected");
-            what(*table, name(key) + "[" + std::to_string(i) + "]");
+            if (!table) throw_config_error(full_key(key), line_of(*all->get(i)), "a table is expected");
+            what(*table, full_key(key) + "[" + std::to_string(i) + "]");
         }
     }
     const toml::table* table(std::string_view key) const
     {
         const auto* node = from_.get(key);
-        if (node && !node->is_table()) wrong(name(key), line_of(*node), "a table is expected");
+        if (node && !node->is_table())
+            throw_config_error(full_key(key), line_of(*node), "a table is expected");
         return node ? node->as_table() : nullptr;
     }
 
   private:
     // As it was written: a division rounds to the nearest, so 50 ms are 0.05 and no less.
-    static double seconds_of(Span span) { return static_cast<double>(span.us) / 1e6; }
+    static double seconds_of(Duration span) { return static_cast<double>(span.us) / 1e6; }
     static std::string short_text(double value)
     {
         char bytes[32];
--- a/src/fleet/admin_service.cpp
+++ b/src/fleet/admin_service.cpp
@@ -5,7 +5,7 @@
 namespace
 {
 
-constexpr Span answer_grace = seconds(10);  // beyond three leases
+constexpr Duration answer_grace = seconds(10);  // beyond three leases
 constexpr double answer_leases = 3;
 
 // Names of commands on the wire.
@@ -36,7 +36,7 @@
     if (request.name == transfer_command && !context_.config.duty_of(request.first))
         return context_.reply(request.caller, "FAILURE no such duty\n");
     const AdminCommand command{++last_number_, request.name, request.first, request.second};
-    const Point deadline = context_.now + context_.config.lease.length * answer_leases + answer_grace;
+    const TimePoint deadline = context_.now + context_.config.lease.length * answer_leases + answer_grace;
     callers_[command.number] = {request.caller, deadline};
     if (lease_manager_.is_leader()) return on_command(context_.self, command);
     const auto last_leader = context_.lease_client.leader();
@@ -54,7 +54,7 @@
     if (!lease_manager_.is_leader()) return "this member does not lead";
     if (command.name != add_voter_command) return {};
     const auto member = context_.config.member_of(std::string_view(command.first));
-    if (member && context_.config.members[*member].voter) return {};
+    if (member && context_.config.members[*member].is_voter) return {};
     return "the leader's fleet file has no such voter";
 }
 
--- a/src/fleet/admin_service.h
+++ b/src/fleet/admin_service.h
@@ -35,7 +35,7 @@
   private:
     struct Caller {
         uint64_t id = 0;
-        Point deadline;
+        TimePoint deadline;
     };
     // A command that was received, and its number at its sender.
     struct Origin {
--- a/src/fleet/config.h
+++ b/src/fleet/config.h
@@ -18,11 +18,11 @@
 using DutyIndex = uint32_t;  // place among the duties
 
 struct LeaseConfig {
-    Span length = seconds(3);
+    Duration length = seconds(3);
     double drift = 0.02;  // clocks' rates differ by this part at the most
 
     // By its own clock a holder stops so long after it asked.
-    Span holder_duration() const { return length * (1 - 2 * drift); }
+    Duration holder_duration() const { return length * (1 - 2 * drift); }
 };
 
 enum class DutyKind : uint8_t {
@@ -37,21 +37,21 @@
     std::string name;
     DutyKind kind = DutyKind::other;
     std::string subscriber;  // address of the program beside each balancer that is notified; empty: none
-    Span every = seconds(1);
+    Duration every = seconds(1);
     uint32_t line = 0;
 };
 
 struct EndpointListConfig {
-    Span stale = seconds(4);  // older than that, and each asks discovery itself
+    Duration stale = seconds(4);  // older than that, and each asks discovery itself
 };
 // The list goes round as deltas, and members repair each other's replicas.
 struct EndpointDeltaConfig {
-    uint32_t history = 1000;     // changes that a member keeps to repair others
-    Span repair = seconds(1);    // a member that finds itself behind asks again after so long
-    uint32_t chunk = 64 * 1024;  // bytes of entries in one message
+    uint32_t history = 1000;       // changes that a member keeps to repair others
+    Duration repair = seconds(1);  // a member that finds itself behind asks again after so long
+    uint32_t chunk = 64 * 1024;    // bytes of entries in one message
 };
 struct ProbeConfig {
-    Span every = seconds(1);
+    Duration every = seconds(1);
     uint32_t parts = 4;
 };
 struct DrainConfig {
@@ -73,7 +73,7 @@
     std::optional<QuotaConfig> turns;
     std::optional<StartupConfig> recovery;
 
-    size_t voters() const { return members.voters(); }
+    size_t voters() const { return members.voter_count(); }
     std::optional<MemberIndex> member_of(MemberKey key) const { return members.member_of(key); }
     std::optional<MemberIndex> member_of(std::string_view named) const { return members.member_of(named); }
     std::optional<DutyIndex> duty_of(std::string_view name) const;
--- a/src/fleet/consensus/raft_codec.cpp
+++ b/src/fleet/consensus/raft_codec.cpp
@@ -28,7 +28,7 @@
         message.term, message.prev_log_index, message.prev_log_term, message.leader_commit, {}};
     for (unsigned i = 0; i < message.n_entries; ++i) {
         const raft_entry& entry = message.entries[i];
-        request.entries.push_back({entry.term, entry.type, raft_library::text_of(entry.buf)});
+        request.entries.push_back({entry.term, entry.type, raft_library::to_string(entry.buf)});
     }
     return request;
 }
@@ -42,7 +42,7 @@
 {
     return {message.term,       message.last_index,
             message.last_term,  raft_library::servers_of(message.conf),
-            message.conf_index, raft_library::text_of(message.data)};
+            message.conf_index, raft_library::to_string(message.data)};
 }
 
 TimeoutNow to_wire(const raft_timeout_now& message)
--- a/src/fleet/consensus/raft_environment.cpp
+++ b/src/fleet/consensus/raft_environment.cpp
@@ -94,7 +94,7 @@
     if (const int error = raft_configuration_encode(configuration, &encoded)) return error;
     Store& store = of(io).store_;
     store.set_term(bootstrap_term, 0);
-    store.append({{bootstrap_term, RAFT_CHANGE, raft_library::text_of(encoded)}});
+    store.append({{bootstrap_term, RAFT_CHANGE, raft_library::to_string(encoded)}});
     raft_free(encoded.base);
     return status_of(store.sync());
 }
@@ -122,7 +122,7 @@
                           raft_io_send_cb done)
 {
     if (auto bytes = encode_raft_message(*message))
-        of(io).effects_.emplace_back(SendRaft{message->server_id, std::move(*bytes), 0});
+        of(io).effects_.emplace_back(SendRaftMessage{message->server_id, std::move(*bytes), 0});
     of(io).completions_.emplace_back([request, done] {
         if (done) done(request, 0);
     });
@@ -134,7 +134,7 @@
 {
     std::vector<LogEntry> added;
     for (unsigned i = 0; i < count; ++i)
-        added.push_back({entries[i].term, entries[i].type, raft_library::text_of(entries[i].buf)});
+        added.push_back({entries[i].term, entries[i].type, raft_library::to_string(entries[i].buf)});
     Store& store = of(io).store_;
     store.append(added);
     of(io).completions_.emplace_back([&store, request, done] { done(request, status_of(store.sync())); });
@@ -155,7 +155,7 @@
     stored.term = snapshot->term;
     stored.configuration = pack(raft_library::servers_of(snapshot->configuration));
     stored.configuration_index = snapshot->configuration_index;
-    for (unsigned i = 0; i < snapshot->n_bufs; ++i) stored.data += raft_library::text_of(snapshot->bufs[i]);
+    for (unsigned i = 0; i < snapshot->n_bufs; ++i) stored.data += raft_library::to_string(snapshot->bufs[i]);
     const bool installed = of(io).store_.install_snapshot(std::move(stored), trailing);
     of(io).completions_.emplace_back([request, done, installed] { done(request, status_of(installed)); });
     return 0;
--- a/src/fleet/consensus/raft_environment.h
+++ b/src/fleet/consensus/raft_environment.h
@@ -24,7 +24,7 @@
     RaftEnvironment& operator=(const RaftEnvironment&) = delete;
 
     raft_io* io() { return &io_; }
-    void set_now(Point now) { now_ = now; }
+    void set_now(TimePoint now) { now_ = now; }
 
     // Lets the library look at the clock.
     void tick();
@@ -66,7 +66,7 @@
     raft_io io_{};
     raft_io_tick_cb on_tick_ = nullptr;
     raft_io_recv_cb on_receive_ = nullptr;
-    Point now_;
+    TimePoint now_;
     std::deque<std::function<void()>> completions_;
 };
 
--- a/src/fleet/consensus/raft_library.cpp
+++ b/src/fleet/consensus/raft_library.cpp
@@ -33,7 +33,10 @@
     return copies;
 }
 
-std::string text_of(const raft_buffer& buffer) { return {static_cast<const char*>(buffer.base), buffer.len}; }
+std::string to_string(const raft_buffer& buffer)
+{
+    return {static_cast<const char*>(buffer.base), buffer.len};
+}
 
 std::vector<RaftServer> servers_of(const raft_configuration& configuration)
 {
--- a/src/fleet/consensus/raft_library.h
+++ b/src/fleet/consensus/raft_library.h
@@ -20,7 +20,7 @@
 // One batch for all entries, as the library wants them. Null where there are none.
 raft_entry* copy_entries(const std::vector<LogEntry>& entries);
 
-std::string text_of(const raft_buffer& buffer);
+std::string to_string(const raft_buffer& buffer);
 
 // Voters and other servers, out of and into the library's form. `into` is initialised; the library releases
 // it.
--- a/src/fleet/consensus/store.cpp
+++ b/src/fleet/consensus/store.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-const char* text_of(OpenResult result)
+const char* to_string(OpenResult result)
 {
     switch (result) {
         case OpenResult::fresh: return "fresh";
--- a/src/fleet/consensus/store.h
+++ b/src/fleet/consensus/store.h
@@ -24,7 +24,7 @@
     damaged,        // something that was stored is not there any more
     failed,         // the disk fails; see error()
 };
-const char* text_of(OpenResult result);
+const char* to_string(OpenResult result);
 
 // The first failure of the disk. A store that has failed stays failed.
 struct StoreError {
--- a/src/fleet/consensus/voter.cpp
+++ b/src/fleet/consensus/voter.cpp
@@ -15,7 +15,10 @@
 
 std::string member_of(const std::string& address) { return address.substr(0, address.rfind('/')); }
 
-unsigned milliseconds_of(Span span) { return static_cast<unsigned>(span.us / microseconds_per_millisecond); }
+unsigned milliseconds_of(Duration span)
+{
+    return static_cast<unsigned>(span.us / microseconds_per_millisecond);
+}
 
 RaftRole role_of(unsigned state)
 {
@@ -62,7 +65,7 @@
     std::optional<VoterFault> start_fault;
     VoterState reported;
 
-    Core(Store& to_store, VoterTimes times, uint64_t seed, StateMachine& applied_to)
+    Core(Store& to_store, VoterTiming times, uint64_t seed, StateMachine& applied_to)
         : store(to_store), machine(applied_to), environment(to_store, effects, seed)
     {
         fsm.version = 1;
@@ -73,8 +76,8 @@
         const StoreOwner& owner = store.owner();
         const std::string address = address_of({owner.disk, owner.member, true});
         raft_init(&library, environment.io(), &fsm, owner.disk, address.c_str());
-        raft_set_election_timeout(&library, milliseconds_of(times.election));
-        raft_set_heartbeat_timeout(&library, milliseconds_of(times.heartbeat));
+        raft_set_election_timeout(&library, milliseconds_of(times.election_timeout));
+        raft_set_heartbeat_timeout(&library, milliseconds_of(times.heartbeat_interval));
         raft_set_pre_vote(&library, true);
         raft_set_snapshot_threshold(&library, snapshot_threshold);
         raft_set_snapshot_trailing(&library, snapshot_trailing);
@@ -96,7 +99,7 @@
     {
         auto& self = *static_cast<Core*>(fsm->data);
         *result = nullptr;
-        const std::string bytes = raft_library::text_of(*entry);
+        const std::string bytes = raft_library::to_string(*entry);
         self.machine.apply(bytes);
         self.effects.emplace_back(EntryCommitted{bytes});
         return 0;
@@ -113,7 +116,7 @@
     static int restore(raft_fsm* fsm, raft_buffer* buffer)
     {
         auto& self = *static_cast<Core*>(fsm->data);
-        const std::string bytes = raft_library::text_of(*buffer);
+        const std::string bytes = raft_library::to_string(*buffer);
         self.machine.restore(bytes);
         self.effects.emplace_back(StateRestored{bytes});
         raft_free(buffer->base);
@@ -163,14 +166,14 @@
     }
 };
 
-Voter::Voter(Store& store, VoterTimes times, uint64_t seed, StateMachine& machine)
+Voter::Voter(Store& store, VoterTiming times, uint64_t seed, StateMachine& machine)
     : core_(std::make_unique<Core>(store, times, seed, machine))
 {
 }
 
 Voter::~Voter() = default;
 
-std::vector<VoterEffect> Voter::run(Point now, const std::function<void()>& call)
+std::vector<VoterEffect> Voter::run(TimePoint now, const std::function<void()>& call)
 {
     Core& core = *core_;
     core.environment.set_now(now);
@@ -182,9 +185,10 @@
     }
     // What is sent rests on what was written meanwhile.
     if (!core.store.sync())
-        std::erase_if(core.effects, [](const VoterEffect& effect) { return std::get_if<SendRaft>(&effect); });
+        std::erase_if(core.effects,
+                      [](const VoterEffect& effect) { return std::get_if<SendRaftMessage>(&effect); });
     for (VoterEffect& effect : core.effects)
-        if (auto* sent = std::get_if<SendRaft>(&effect)) sent->writes = core.store.synced_writes();
+        if (auto* sent = std::get_if<SendRaftMessage>(&effect)) sent->writes = core.store.synced_writes();
     return std::exchange(core.effects, {});
 }
 
@@ -199,7 +203,7 @@
     return error == 0;
 }
 
-std::vector<VoterEffect> Voter::start(Point now)
+std::vector<VoterEffect> Voter::start(TimePoint now)
 {
     return run(now, [this] {
         if (raft_start(&core_->library) != 0) core_->start_fault = VoterFault{raft_errmsg(&core_->library)};
@@ -207,17 +211,17 @@
     });
 }
 
-std::vector<VoterEffect> Voter::tick(Point now)
+std::vector<VoterEffect> Voter::tick(TimePoint now)
 {
     return run(now, [this] { core_->environment.tick(); });
 }
 
-std::vector<VoterEffect> Voter::receive(Point now, DiskId from, std::string_view bytes)
+std::vector<VoterEffect> Voter::receive(TimePoint now, DiskId from, std::string_view bytes)
 {
     return run(now, [&] { core_->environment.receive(core_->library.configuration, from, bytes); });
 }
 
-std::vector<VoterEffect> Voter::propose(Point now, uint64_t id, const std::string& bytes)
+std::vector<VoterEffect> Voter::propose(TimePoint now, uint64_t id, const std::string& bytes)
 {
     return run(now, [&] {
         auto request = std::make_unique<PendingApply>(id, core_->effects);
@@ -234,7 +238,7 @@
     });
 }
 
-std::vector<VoterEffect> Voter::add_voter(Point now, uint64_t id, const VoterConfig& voter)
+std::vector<VoterEffect> Voter::add_voter(TimePoint now, uint64_t id, const VoterConfig& voter)
 {
     return run(now, [&] {
         auto request = std::make_unique<PendingChange>(id, core_->effects);
@@ -248,7 +252,7 @@
     });
 }
 
-std::vector<VoterEffect> Voter::remove_voter(Point now, uint64_t id, DiskId disk)
+std::vector<VoterEffect> Voter::remove_voter(TimePoint now, uint64_t id, DiskId disk)
 {
     return run(now, [&] {
         auto request = std::make_unique<PendingChange>(id, core_->effects);
@@ -257,7 +261,7 @@
     });
 }
 
-std::vector<VoterEffect> Voter::step_down(Point now)
+std::vector<VoterEffect> Voter::step_down(TimePoint now)
 {
     return run(now, [&] {
         raft* library = &core_->library;
--- a/src/fleet/consensus/voter.h
+++ b/src/fleet/consensus/voter.h
@@ -23,7 +23,7 @@
 struct VoterConfig {
     DiskId disk = 0;
     std::string member;  // id
-    bool votes = false;
+    bool is_voter = false;
 
     bool operator==(const VoterConfig&) const = default;
 };
@@ -48,7 +48,7 @@
 
 // ---- effects ----
 
-struct SendRaft {
+struct SendRaftMessage {
     DiskId to = 0;
     std::string bytes;
     uint64_t writes = 0;  // of the sender's disk when this was said
@@ -68,7 +68,7 @@
     std::string error;
 };
 // VoterState is returned whenever it has changed.
-using VoterEffect = std::variant<SendRaft, EntryCommitted, StateRestored, ProposalResult, VoterState>;
+using VoterEffect = std::variant<SendRaftMessage, EntryCommitted, StateRestored, ProposalResult, VoterState>;
 
 // What the log's entries make, in the voter's own copy.
 class StateMachine
@@ -80,16 +80,16 @@
     virtual void restore(std::string_view snapshot) = 0;
 };
 
-struct VoterTimes {
-    Span election = seconds(0.4);  // timeout: from one to two times it
-    Span heartbeat = seconds(0.1);
+struct VoterTiming {
+    Duration election_timeout = seconds(0.4);  // timeout: from one to two times it
+    Duration heartbeat_interval = seconds(0.1);
 };
 
 class Voter
 {
   public:
     // `store` and `machine` must outlive the voter.
-    Voter(Store& store, VoterTimes times, uint64_t seed, StateMachine& machine);
+    Voter(Store& store, VoterTiming times, uint64_t seed, StateMachine& machine);
     ~Voter();
     Voter(const Voter&) = delete;
     Voter& operator=(const Voter&) = delete;
@@ -98,23 +98,23 @@
     // Returns false where that fails.
     [[nodiscard]] bool bootstrap(const std::vector<VoterConfig>& voters);
 
-    [[nodiscard]] std::vector<VoterEffect> start(Point now);
-    [[nodiscard]] std::vector<VoterEffect> tick(Point now);  // every 20 ms or so
+    [[nodiscard]] std::vector<VoterEffect> start(TimePoint now);
+    [[nodiscard]] std::vector<VoterEffect> tick(TimePoint now);  // every 20 ms or so
     // Bytes that are no message change nothing.
-    [[nodiscard]] std::vector<VoterEffect> receive(Point now, DiskId from, std::string_view bytes);
-    [[nodiscard]] std::vector<VoterEffect> propose(Point now, uint64_t id, const std::string& bytes);
+    [[nodiscard]] std::vector<VoterEffect> receive(TimePoint now, DiskId from, std::string_view bytes);
+    [[nodiscard]] std::vector<VoterEffect> propose(TimePoint now, uint64_t id, const std::string& bytes);
 
     // Changes of the configuration, one at a time; each ends with a ProposalResult. A server that is not in
     // the configuration is added without a vote at first; one that is gets its vote.
-    [[nodiscard]] std::vector<VoterEffect> add_voter(Point now, uint64_t id, const VoterConfig& voter);
-    [[nodiscard]] std::vector<VoterEffect> remove_voter(Point now, uint64_t id, DiskId disk);
+    [[nodiscard]] std::vector<VoterEffect> add_voter(TimePoint now, uint64_t id, const VoterConfig& voter);
+    [[nodiscard]] std::vector<VoterEffect> remove_voter(TimePoint now, uint64_t id, DiskId disk);
 
     // Hands leadership to any other voter. Does nothing where this one does not lead.
-    [[nodiscard]] std::vector<VoterEffect> step_down(Point now);
+    [[nodiscard]] std::vector<VoterEffect> step_down(TimePoint now);
 
   private:
     struct Core;
-    std::vector<VoterEffect> run(Point now, const std::function<void()>& call);
+    std::vector<VoterEffect> run(TimePoint now, const std::function<void()>& call);
 
     std::unique_ptr<Core> core_;
 };
