--- a/src/fleet/consensus/voter_agent.cpp
+++ b/src/fleet/consensus/voter_agent.cpp
@@ -10,9 +10,9 @@
 namespace
 {
 
-constexpr Span report_interval = seconds(0.25);
-constexpr Span report_validity = seconds(2);
-constexpr Span reopen_interval = seconds(2);  // after a failure of the disk
+constexpr Duration report_interval = seconds(0.25);
+constexpr Duration report_validity = seconds(2);
+constexpr Duration reopen_interval = seconds(2);  // after a failure of the disk
 
 bool is_known_stage(uint8_t stage) { return stage <= static_cast<uint8_t>(VoterStage::refused); }
 
@@ -35,27 +35,27 @@
     LeaseTable table_;
 };
 
-VoterAgent::VoterAgent(const FleetConfig& config, FileSystem& files, VoterTimes times, uint64_t seed)
+VoterAgent::VoterAgent(const FleetConfig& config, FileSystem& files, VoterTiming times, uint64_t seed)
     : config_(config), files_(files), times_(times), random_(static_cast<uint32_t>(seed ^ seed >> 32))
 {
 }
 
 VoterAgent::~VoterAgent() = default;
 
-std::vector<VoterAgentEffect> VoterAgent::start(Point now)
+std::vector<VoterAgentEffect> VoterAgent::start(TimePoint now)
 {
     open_store(now);
     return finish(now);
 }
 
-std::vector<VoterAgentEffect> VoterAgent::tick(Point now)
+std::vector<VoterAgentEffect> VoterAgent::tick(TimePoint now)
 {
     if (voter_ && !store_->failed()) take(voter_->tick(now));
     if (now - last_report_ >= report_interval) send_reports(now);
     return finish(now);
 }
 
-std::vector<VoterAgentEffect> VoterAgent::handle(Point now, const VoterAgentCall& call)
+std::vector<VoterAgentEffect> VoterAgent::handle(TimePoint now, const VoterAgentCall& call)
 {
     const bool accepted = std::visit([&](const auto& each) { return on(now, each); }, call);
     if (!accepted) return {};
@@ -75,7 +75,7 @@
     return disk;
 }
 
-void VoterAgent::open_store(Point now)
+void VoterAgent::open_store(TimePoint now)
 {
     voter_.reset();
     leases_ = std::make_unique<LeaseStateMachine>();
@@ -98,12 +98,12 @@
             return;
         default:
             stage_ = VoterStage::refused;
-            fault_ = VoterFault{std::string("the voter's file is ") + text_of(result)};
+            fault_ = VoterFault{std::string("the voter's file is ") + to_string(result)};
             return;
     }
 }
 
-void VoterAgent::start_voter(Point now, const std::vector<VoterConfig>& bootstrap)
+void VoterAgent::start_voter(TimePoint now, const std::vector<VoterConfig>& bootstrap)
 {
     voter_.reset();
     voter_ = std::make_unique<Voter>(*store_, times_, random_(), *leases_);
@@ -117,13 +117,13 @@
 {
     const MemberKey own = config_.members[config_.self].key;
     return std::none_of(config_.members.begin(), config_.members.end(),
-                        [&](const MemberConfig& member) { return member.voter && member.key < own; });
+                        [&](const MemberConfig& member) { return member.is_voter && member.key < own; });
 }
 
-bool VoterAgent::all_disks_empty(Point now) const
+bool VoterAgent::all_disks_empty(TimePoint now) const
 {
     for (MemberIndex member = 0; member < config_.members.size(); ++member) {
-        if (!config_.members[member].voter || member == config_.self) continue;
+        if (!config_.members[member].is_voter || member == config_.self) continue;
         const auto heard = peer_reports_.find(member);
         if (heard == peer_reports_.end() || now - heard->second.received > report_validity) return false;
         if (heard->second.report.stage != static_cast<uint8_t>(VoterStage::empty)) return false;
@@ -131,7 +131,7 @@
     return true;
 }
 
-void VoterAgent::update_stage(Point now)
+void VoterAgent::update_stage(TimePoint now)
 {
     if (store_->failed() && stage_ != VoterStage::failed) {
         stage_ = VoterStage::failed;
@@ -150,7 +150,7 @@
     }
 }
 
-void VoterAgent::bootstrap_log(Point now)
+void VoterAgent::bootstrap_log(TimePoint now)
 {
     std::vector<VoterConfig> voters{{store_->owner().disk, config_.id, true}};
     for (const auto& [member, heard] : peer_reports_)
@@ -161,7 +161,7 @@
 
 // A disk that was restored from a copy, or whose last writes were lost, could vote twice in a term. Other
 // voters have seen more writes of it than it has itself.
-void VoterAgent::check_disk(Point now)
+void VoterAgent::check_disk(TimePoint now)
 {
     size_t answers = 0;
     uint64_t seen_by_others = 0;
@@ -185,10 +185,10 @@
 
 // ---- calls ----
 
-bool VoterAgent::on(Point now, const DiskReportReceived& received)
+bool VoterAgent::on(TimePoint now, const DiskReportReceived& received)
 {
     const DiskReport& report = received.report;
-    if (!config_.members[received.from].voter || !is_known_stage(report.stage)) return false;
+    if (!config_.members[received.from].is_voter || !is_known_stage(report.stage)) return false;
     peer_reports_[received.from] = {report, now};
     uint64_t& writes = seen_writes_[report.disk];
     writes = std::max(writes, report.writes);
@@ -198,11 +198,11 @@
     return true;
 }
 
-bool VoterAgent::on(Point now, const BootstrapReceived& received)
+bool VoterAgent::on(TimePoint now, const BootstrapReceived& received)
 {
     const PersistentState& state = store_->state();
     const bool is_new = stage_ == VoterStage::empty && state.term == 0 && state.last_index() == 0;
-    if (!config_.members[received.from].voter || !is_new) return false;
+    if (!config_.members[received.from].is_voter || !is_new) return false;
     std::vector<VoterConfig> voters;
     bool includes_this = false;
     for (const BootstrapVoter& voter : received.config.voters) {
@@ -215,7 +215,7 @@
     return true;
 }
 
-bool VoterAgent::on(Point now, const RaftMessage& message)
+bool VoterAgent::on(TimePoint now, const RaftMessage& message)
 {
     uint64_t& writes = seen_writes_[message.from];
     writes = std::max(writes, message.writes);
@@ -226,7 +226,7 @@
     return true;
 }
 
-bool VoterAgent::on(Point now, const Proposal& proposal)
+bool VoterAgent::on(TimePoint now, const Proposal& proposal)
 {
     if (stage_ == VoterStage::voting && !store_->failed())
         take(voter_->propose(now, proposal.id, pack(proposal.commands)));
@@ -235,7 +235,7 @@
     return true;
 }
 
-bool VoterAgent::on(Point now, const VoterConfigChange& change)
+bool VoterAgent::on(TimePoint now, const VoterConfigChange& change)
 {
     if (change.kind == VoterConfigChange::Kind::add)
         add_voter(now, change.id, change.member);
@@ -244,7 +244,7 @@
     return true;
 }
 
-void VoterAgent::add_voter(Point now, uint64_t id, const std::string& member)
+void VoterAgent::add_voter(TimePoint now, uint64_t id, const std::string& member)
 {
     const auto index = config_.member_of(std::string_view(member));
     const auto heard = index ? peer_reports_.find(*index) : peer_reports_.end();
@@ -257,7 +257,7 @@
     const auto& voters = raft_state_.voters;
     const auto known = std::find_if(voters.begin(), voters.end(),
                                     [&](const VoterConfig& each) { return each.disk == voter.disk; });
-    if (known != voters.end() && known->votes) {
+    if (known != voters.end() && known->is_voter) {
         effects_.emplace_back(ProposalResult{id, true, "it votes already"});
         return;
     }
@@ -266,7 +266,7 @@
     take(voter_->add_voter(now, id, voter));
 }
 
-void VoterAgent::remove_voter(Point now, uint64_t id, const std::string& member)
+void VoterAgent::remove_voter(TimePoint now, uint64_t id, const std::string& member)
 {
     const auto& voters = raft_state_.voters;
     const auto known = std::find_if(voters.begin(), voters.end(),
@@ -281,7 +281,7 @@
 void VoterAgent::take(std::vector<VoterEffect> effects)
 {
     for (VoterEffect& effect : effects) {
-        if (auto* send = std::get_if<SendRaft>(&effect)) {
+        if (auto* send = std::get_if<SendRaftMessage>(&effect)) {
             effects_.emplace_back(std::move(*send));
         } else if (auto* state = std::get_if<VoterState>(&effect)) {
             raft_state_ = std::move(*state);
@@ -290,12 +290,12 @@
         } else if (leases_->table().version() != reported_table_) {
             // Reported before the result of the proposal that has changed it.
             reported_table_ = leases_->table().version();
-            effects_.emplace_back(TableUpdated{leases_->table()});
+            effects_.emplace_back(LeaseTableUpdated{leases_->table()});
         }
     }
 }
 
-void VoterAgent::send_reports(Point now)
+void VoterAgent::send_reports(TimePoint now)
 {
     last_report_ = now;
     DiskReport report;
@@ -314,7 +314,7 @@
 }
 
 // Goes on with the next step of each promotion whose last one has succeeded.
-void VoterAgent::continue_promotions(Point now)
+void VoterAgent::continue_promotions(TimePoint now)
 {
     std::vector<std::pair<uint64_t, Promotion>> succeeded;
     for (const VoterAgentEffect& effect : effects_) {
@@ -328,7 +328,7 @@
     for (const auto& [id, promotion] : succeeded) continue_promotion(now, id, promotion);
 }
 
-void VoterAgent::continue_promotion(Point now, uint64_t id, const Promotion& promotion)
+void VoterAgent::continue_promotion(TimePoint now, uint64_t id, const Promotion& promotion)
 {
     const DiskId old_disk = old_disk_of(promotion.voter);
     const bool promotes = promotion.step == Promotion::Step::add;
@@ -352,7 +352,7 @@
     return old_disk;
 }
 
-void VoterAgent::report_status(Point now)
+void VoterAgent::report_status(TimePoint now)
 {
     VoterStatus status{raft_state_, stage_, store_->owner().disk, fault_};
     if (stage_ != VoterStage::voting) status.raft.role = RaftRole::none;
@@ -364,7 +364,7 @@
     if (stage_changed) send_reports(now);
 }
 
-std::vector<VoterAgentEffect> VoterAgent::finish(Point now)
+std::vector<VoterAgentEffect> VoterAgent::finish(TimePoint now)
 {
     update_stage(now);
     continue_promotions(now);
--- a/src/fleet/consensus/voter_agent.h
+++ b/src/fleet/consensus/voter_agent.h
@@ -48,7 +48,7 @@
     BootstrapConfig config;
 };
 // The lease table as committed.
-struct TableUpdated {
+struct LeaseTableUpdated {
     LeaseTable table;
 };
 struct VoterStatus {
@@ -60,27 +60,27 @@
     bool operator==(const VoterStatus&) const = default;
 };
 // VoterStatus is returned whenever it has changed.
-using VoterAgentEffect = std::variant<SendRaft, BroadcastDiskReport, BroadcastBootstrapConfig, TableUpdated,
-                                      ProposalResult, VoterStatus>;
+using VoterAgentEffect = std::variant<SendRaftMessage, BroadcastDiskReport, BroadcastBootstrapConfig,
+                                      LeaseTableUpdated, ProposalResult, VoterStatus>;
 
 class VoterAgent
 {
   public:
     // `config` and `files` must outlive the agent.
-    VoterAgent(const FleetConfig& config, FileSystem& files, VoterTimes times, uint64_t seed);
+    VoterAgent(const FleetConfig& config, FileSystem& files, VoterTiming times, uint64_t seed);
     ~VoterAgent();
     VoterAgent(const VoterAgent&) = delete;
     VoterAgent& operator=(const VoterAgent&) = delete;
 
-    [[nodiscard]] std::vector<VoterAgentEffect> start(Point now);
-    [[nodiscard]] std::vector<VoterAgentEffect> tick(Point now);  // every 20 ms or so
-    [[nodiscard]] std::vector<VoterAgentEffect> handle(Point now, const VoterAgentCall& call);
+    [[nodiscard]] std::vector<VoterAgentEffect> start(TimePoint now);
+    [[nodiscard]] std::vector<VoterAgentEffect> tick(TimePoint now);  // every 20 ms or so
+    [[nodiscard]] std::vector<VoterAgentEffect> handle(TimePoint now, const VoterAgentCall& call);
 
   private:
     class LeaseStateMachine;
     struct PeerReport {
         DiskReport report;
-        Point received;
+        TimePoint received;
     };
     // Adding a voter takes up to three changes of the configuration.
     struct Promotion {
@@ -91,36 +91,36 @@
     };
 
     // Each returns false where the call is ignored.
-    bool on(Point now, const DiskReportReceived& received);
-    bool on(Point now, const BootstrapReceived& received);
-    bool on(Point now, const RaftMessage& message);
-    bool on(Point now, const Proposal& proposal);
-    bool on(Point now, const VoterConfigChange& change);
-    void add_voter(Point now, uint64_t id, const std::string& member);
-    void remove_voter(Point now, uint64_t id, const std::string& member);
+    bool on(TimePoint now, const DiskReportReceived& received);
+    bool on(TimePoint now, const BootstrapReceived& received);
+    bool on(TimePoint now, const RaftMessage& message);
+    bool on(TimePoint now, const Proposal& proposal);
+    bool on(TimePoint now, const VoterConfigChange& change);
+    void add_voter(TimePoint now, uint64_t id, const std::string& member);
+    void remove_voter(TimePoint now, uint64_t id, const std::string& member);
 
     // ---- stages ----
-    void open_store(Point now);
-    void start_voter(Point now, const std::vector<VoterConfig>& bootstrap);
-    void update_stage(Point now);
-    void bootstrap_log(Point now);
-    void check_disk(Point now);
-    bool all_disks_empty(Point now) const;
+    void open_store(TimePoint now);
+    void start_voter(TimePoint now, const std::vector<VoterConfig>& bootstrap);
+    void update_stage(TimePoint now);
+    void bootstrap_log(TimePoint now);
+    void check_disk(TimePoint now);
+    bool all_disks_empty(TimePoint now) const;
     bool bootstraps() const;
     DiskId draw_disk_id();
 
     // ---- effects ----
     void take(std::vector<VoterEffect> effects);
-    void send_reports(Point now);
-    void continue_promotions(Point now);
-    void continue_promotion(Point now, uint64_t id, const Promotion& promotion);
+    void send_reports(TimePoint now);
+    void continue_promotions(TimePoint now);
+    void continue_promotion(TimePoint now, uint64_t id, const Promotion& promotion);
     DiskId old_disk_of(const VoterConfig& voter) const;
-    void report_status(Point now);
-    std::vector<VoterAgentEffect> finish(Point now);
+    void report_status(TimePoint now);
+    std::vector<VoterAgentEffect> finish(TimePoint now);
 
     const FleetConfig& config_;
     FileSystem& files_;
-    const VoterTimes times_;
+    const VoterTiming times_;
     std::ranlux24_base random_;
     std::unique_ptr<Store> store_;
     std::unique_ptr<LeaseStateMachine> leases_;
@@ -129,7 +129,7 @@
     std::optional<VoterFault> fault_;
     std::map<MemberIndex, PeerReport> peer_reports_;
     std::map<DiskId, uint64_t> seen_writes_;  // of each disk, by whoever told of it
-    Point last_report_, opened_at_, failed_at_;
+    TimePoint last_report_, opened_at_, failed_at_;
     std::optional<uint64_t> reported_table_;  // version
     VoterState raft_state_;
     std::optional<VoterStatus> reported_status_;
--- a/src/fleet/duty_runner.cpp
+++ b/src/fleet/duty_runner.cpp
@@ -37,7 +37,7 @@
 void DutyRunner::start_probes(const std::string& name, Task& task)
 {
     // Slices keep in step, though ticks come between their times.
-    const Span slice = context_.config.probe->every * (1.0 / probe_slices);
+    const Duration slice = context_.config.probe->every * (1.0 / probe_slices);
     task.next = std::max(task.next, context_.now - slice) + slice;
     context_.emit(LeasedEffect{name, task.epoch, probe_duration, StartProbes{part_of(name), task.slice}});
     task.slice = (task.slice + 1) % probe_slices;
@@ -59,7 +59,7 @@
     const bool gained = change.kind == LeaseChange::Kind::gained;
     if (gained) {
         // The last holder's probes may still be out.
-        const Point first = kind == DutyKind::probe ? context_.now + probe_duration : context_.now;
+        const TimePoint first = kind == DutyKind::probe ? context_.now + probe_duration : context_.now;
         tasks_[change.duty] = {change.epoch, 0, first, 0};
     } else {
         tasks_.erase(change.duty);
@@ -92,13 +92,13 @@
         return context_.reply(caller, "FAILURE a turn is asked for, or taken, already\n");
     permit_caller_ = caller;
     wants_permit_ = true;
-    context_.lease_client.request(drain_family);
+    context_.lease_client.request_family(drain_family);
 }
 
 void DutyRunner::return_drain_permit()
 {
     wants_permit_ = false;
-    context_.lease_client.cancel_request(drain_family);
+    context_.lease_client.cancel_family_request(drain_family);
     if (permit_caller_) context_.reply(*std::exchange(permit_caller_, std::nullopt), "FAILURE called off\n");
     for (const auto& [duty, epoch] : context_.lease_client.held_duties(context_.now))
         if (duty.starts_with(drain_prefix))
@@ -111,7 +111,7 @@
     if (permit_caller_ != caller) return;
     permit_caller_.reset();
     wants_permit_ = false;
-    context_.lease_client.cancel_request(drain_family);
+    context_.lease_client.cancel_family_request(drain_family);
 }
 
 void DutyRunner::on_permit_gained(const LeaseChange& change)
@@ -129,7 +129,7 @@
 {
     if (!wants_permit_) return;
     wants_permit_ = false;
-    context_.lease_client.cancel_request(drain_family);
+    context_.lease_client.cancel_family_request(drain_family);
     context_.emit(EndDrain{});
 }
 
--- a/src/fleet/duty_runner.h
+++ b/src/fleet/duty_runner.h
@@ -36,7 +36,7 @@
     struct Task {
         Epoch epoch = 0;
         uint64_t last_number = 0;
-        Point next;
+        TimePoint next;
         uint32_t slice = 0;
     };
 
--- a/src/fleet/endpoints/endpoint_distribution.cpp
+++ b/src/fleet/endpoints/endpoint_distribution.cpp
@@ -8,17 +8,17 @@
 {
 
 constexpr size_t max_snapshot_bytes = 32 << 20;
-constexpr uint32_t max_attempts = 3;         // at one chunk, before another member is asked for all of them
-constexpr Span offer_lifetime = seconds(5);  // after it was last asked for
-constexpr double wait_to_publish = 3;        // times `repair`
-constexpr double wait_while_empty = 1;       // the same, where nobody is known to have a list
+constexpr uint32_t max_attempts = 3;  // at one chunk, before another member is asked for all of them
+constexpr Duration offer_lifetime = seconds(5);  // after it was last asked for
+constexpr double wait_to_publish = 3;            // times `repair`
+constexpr double wait_while_empty = 1;           // the same, where nobody is known to have a list
 
 }  // namespace
 
 // ---- from discovery ----
 
 std::vector<EndpointDelta> EndpointDistribution::publish(Epoch epoch, const EndpointListVersion& version,
-                                                         const EndpointTexts& texts,
+                                                         const EndpointMap& texts,
                                                          const std::optional<std::vector<std::string>>& uids)
 {
     const bool follows = uids && followed_ == replica_.revision() && !needs_snapshot_;
@@ -39,12 +39,12 @@
     return deltas;
 }
 
-void EndpointDistribution::use_local(const EndpointListVersion& version, const EndpointTexts& texts)
+void EndpointDistribution::use_local(const EndpointListVersion& version, const EndpointMap& texts)
 {
     drop_local();
     followed_.reset();
     unreported_ = true;
-    if (version == replica_.version() && !replica_.partial() && replica_.texts() == texts) return;
+    if (version == replica_.version() && !replica_.partial() && replica_.endpoints() == texts) return;
     LocalList own{version, {}};
     const EndpointChanges changes = replica_.difference(texts);
     mark_changed(changes);
@@ -61,7 +61,7 @@
     unreported_ = true;
 }
 
-bool EndpointDistribution::must_wait_to_publish(Point now, Epoch epoch, Point gained) const
+bool EndpointDistribution::must_wait_to_publish(TimePoint now, Epoch epoch, TimePoint gained) const
 {
     if (replica_.revision().epoch == epoch) return false;
     const bool progresses = assembly_ && pending_request_ && now - pending_request_->at < config_.repair;
@@ -72,7 +72,7 @@
 
 // ---- deltas ----
 
-EndpointDistribution::Reaction EndpointDistribution::handle(Point now, MemberIndex from,
+EndpointDistribution::Reaction EndpointDistribution::handle(TimePoint now, MemberIndex from,
                                                             const EndpointDelta& delta)
 {
     if (delta.answer) {
@@ -130,7 +130,7 @@
     unreported_ = true;
 }
 
-bool EndpointDistribution::on_unchanged(Point now, MemberIndex from, const EndpointRevision& revision)
+bool EndpointDistribution::on_unchanged(TimePoint now, MemberIndex from, const EndpointRevision& revision)
 {
     if (revision > replica_.revision()) {
         newer_[from] = revision;
@@ -142,7 +142,7 @@
     return !local_;
 }
 
-void EndpointDistribution::on_peer_revision(Point now, MemberIndex from, const EndpointRevision& revision,
+void EndpointDistribution::on_peer_revision(TimePoint now, MemberIndex from, const EndpointRevision& revision,
                                             uint64_t digest)
 {
     if (revision < replica_.revision()) return (void)newer_.erase(from);
@@ -167,7 +167,7 @@
     std::erase_if(newer_, [&](const auto& known) { return known.second <= replica_.revision(); });
 }
 
-void EndpointDistribution::request(Point now, MemberIndex member)
+void EndpointDistribution::request(TimePoint now, MemberIndex member)
 {
     pending_request_ = PendingRequest{member, now, false};
     EndpointDeltaRequest want;
@@ -182,7 +182,7 @@
     sends_.push_back({member, std::move(want)});
 }
 
-void EndpointDistribution::request_if_due(Point now, MemberIndex member)
+void EndpointDistribution::request_if_due(TimePoint now, MemberIndex member)
 {
     if (!pending_request_ || now - pending_request_->at >= config_.repair) request(now, member);
 }
@@ -196,7 +196,7 @@
     return next == newer_.end() ? newer_.begin()->first : next->first;
 }
 
-void EndpointDistribution::tick(Point now)
+void EndpointDistribution::tick(TimePoint now)
 {
     if (offer_ && now - offer_->asked > offer_lifetime) offer_.reset();
     if (!behind() || (pending_request_ && now - pending_request_->at < config_.repair)) return;
@@ -210,7 +210,7 @@
     if (source) request(now, *source);
 }
 
-EndpointDistribution::Reaction EndpointDistribution::handle(Point now, MemberIndex from,
+EndpointDistribution::Reaction EndpointDistribution::handle(TimePoint now, MemberIndex from,
                                                             const EndpointSnapshotChunk& chunk)
 {
     if (!pending_request_ || pending_request_->member != from) return {};
@@ -228,7 +228,7 @@
     Assembly& assembly = *assembly_;
     for (const EndpointEntry& entry : chunk.entries) {
         assembly.bytes += entry.uid.size() + entry.text.size();
-        assembly.snapshot.texts[entry.uid] = entry.text;
+        assembly.snapshot.endpoints[entry.uid] = entry.text;
     }
     assembly.attempts = 0;
     if (assembly.bytes > max_snapshot_bytes) {
@@ -243,10 +243,10 @@
     return {false, finish(now) && !local_};
 }
 
-bool EndpointDistribution::finish(Point now)
+bool EndpointDistribution::finish(TimePoint now)
 {
     const Assembly assembly = std::move(*std::exchange(assembly_, std::nullopt));
-    if (local_) keep_local_of(replica_.difference(assembly.snapshot.texts));
+    if (local_) keep_local_of(replica_.difference(assembly.snapshot.endpoints));
     const auto changes = replica_.replace(assembly.snapshot);
     if (!changes) {
         newer_.erase(assembly.from);
@@ -262,7 +262,8 @@
 
 // ---- repair of others ----
 
-void EndpointDistribution::handle(Point now, MemberIndex from, const EndpointDeltaRequest& want, Span age)
+void EndpointDistribution::handle(TimePoint now, MemberIndex from, const EndpointDeltaRequest& want,
+                                  Duration age)
 {
     // What is wrong, or older than what its receiver has, repairs nobody.
     if (needs_snapshot_ || replica_.version().older_than(want.version)) return;
@@ -291,8 +292,8 @@
 }
 
 // One chunk at a time, each asked for: a slow road is never filled with what its receiver can't take.
-void EndpointDistribution::answer_with_snapshot(Point now, MemberIndex to, const EndpointDeltaRequest& want,
-                                                Span age)
+void EndpointDistribution::answer_with_snapshot(TimePoint now, MemberIndex to,
+                                                const EndpointDeltaRequest& want, Duration age)
 {
     const auto offered = offer_ ? offer_->chunks.front().revision : EndpointRevision{};
     const bool goes_on =
@@ -312,13 +313,13 @@
     if (local_)
         if (const auto at = local_->differences.find(uid); at != local_->differences.end())
             return at->second ? &*at->second : nullptr;
-    const auto at = replica_.texts().find(uid);
-    return at == replica_.texts().end() ? nullptr : &at->second;
+    const auto at = replica_.endpoints().find(uid);
+    return at == replica_.endpoints().end() ? nullptr : &at->second;
 }
 
-EndpointTexts EndpointDistribution::local_texts() const
+EndpointMap EndpointDistribution::local_texts() const
 {
-    EndpointTexts texts = replica_.texts();
+    EndpointMap texts = replica_.endpoints();
     for (const auto& [uid, text] : local_->differences)
         if (text)
             texts[uid] = *text;
@@ -329,8 +330,8 @@
 
 std::string EndpointDistribution::full_text() const
 {
-    if (local_) return full_list_text(local_->version.number, local_texts());
-    return full_list_text(replica_.version().number, replica_.texts());
+    if (local_) return encode_full_list(local_->version.number, local_texts());
+    return encode_full_list(replica_.version().number, replica_.endpoints());
 }
 
 std::optional<ApplyEndpointList> EndpointDistribution::take_use()
@@ -341,10 +342,10 @@
     const uint64_t number = version().number;
     const auto uids = std::exchange(changed_uids_, {});
     if (!std::exchange(reported_, true)) return ApplyEndpointList{number, full_text(), true};
-    EndpointTexts changed;
+    EndpointMap changed;
     for (const std::string& uid : uids)
         if (const auto* line = text_of_uid(uid)) changed[uid] = *line;
-    return ApplyEndpointList{number, list_changes_text(number, uids, changed), false};
+    return ApplyEndpointList{number, encode_list_changes(number, uids, changed), false};
 }
 
 }  // namespace firtide::fleet
--- a/src/fleet/endpoints/endpoint_distribution.h
+++ b/src/fleet/endpoints/endpoint_distribution.h
@@ -19,7 +19,7 @@
 struct ApplyEndpointList {
     uint64_t version = 0;  // in force from now on, also where nothing has changed
     std::string text;
-    bool all = true;
+    bool is_full = true;
 };
 
 class EndpointDistribution
@@ -36,26 +36,26 @@
     // Discovery's answer at the holder: the deltas to push to the successors. `uids`: all that can differ
     // from the last answer that was published; nothing: any.
     std::vector<EndpointDelta> publish(Epoch epoch, const EndpointListVersion& version,
-                                       const EndpointTexts& texts,
+                                       const EndpointMap& texts,
                                        const std::optional<std::vector<std::string>>& uids);
     // Discovery's answer at a member that asks on its own: used here alone, until the fleet's list is as new.
-    void use_local(const EndpointListVersion& version, const EndpointTexts& texts);
+    void use_local(const EndpointListVersion& version, const EndpointMap& texts);
 
     // An answer of discovery was refused: what the next one names as changed counts from that one.
     void skip() { followed_.reset(); }
 
-    Reaction handle(Point now, MemberIndex from, const EndpointDelta& delta);
-    void handle(Point now, MemberIndex from, const EndpointDeltaRequest& want, Span age);
-    Reaction handle(Point now, MemberIndex from, const EndpointSnapshotChunk& chunk);
+    Reaction handle(TimePoint now, MemberIndex from, const EndpointDelta& delta);
+    void handle(TimePoint now, MemberIndex from, const EndpointDeltaRequest& want, Duration age);
+    Reaction handle(TimePoint now, MemberIndex from, const EndpointSnapshotChunk& chunk);
     // What another member's ping tells of its replica.
-    void on_peer_revision(Point now, MemberIndex from, const EndpointRevision& revision, uint64_t digest);
+    void on_peer_revision(TimePoint now, MemberIndex from, const EndpointRevision& revision, uint64_t digest);
     // The holder's word that its list is unchanged. True: this member uses that list.
-    bool on_unchanged(Point now, MemberIndex from, const EndpointRevision& revision);
-    void tick(Point now);
+    bool on_unchanged(TimePoint now, MemberIndex from, const EndpointRevision& revision);
+    void tick(TimePoint now);
 
     // Whether a new holder should be repaired before it publishes: what it lacks would be published as
     // removed.
-    bool must_wait_to_publish(Point now, Epoch epoch, Point gained) const;
+    bool must_wait_to_publish(TimePoint now, Epoch epoch, TimePoint gained) const;
     bool behind() const { return needs_snapshot_ || !newer_.empty(); }
 
     const EndpointReplica& replica() const { return replica_; }
@@ -76,7 +76,7 @@
     };
     struct PendingRequest {
         MemberIndex member = 0;
-        Point at;
+        TimePoint at;
         bool answered = false;
     };
     // A snapshot that is being received.
@@ -90,20 +90,20 @@
     // A snapshot that is being sent: it stays as it is while the replica goes on.
     struct Offer {
         std::vector<EndpointSnapshotChunk> chunks;
-        Point asked;
+        TimePoint asked;
     };
 
-    void request(Point now, MemberIndex member);
-    void request_if_due(Point now, MemberIndex member);
+    void request(TimePoint now, MemberIndex member);
+    void request_if_due(TimePoint now, MemberIndex member);
     std::optional<MemberIndex> next_source() const;
     void forget_reached();
     void mark_changed(const EndpointChanges& changes);
     void drop_local();
     void drop_local_if_reached(bool by_holder);
     void keep_local_of(const EndpointChanges& changes);
-    void answer_with_snapshot(Point now, MemberIndex to, const EndpointDeltaRequest& want, Span age);
-    bool finish(Point now);  // true: the snapshot is in its place
-    EndpointTexts local_texts() const;
+    void answer_with_snapshot(TimePoint now, MemberIndex to, const EndpointDeltaRequest& want, Duration age);
+    bool finish(TimePoint now);  // true: the snapshot is in its place
+    EndpointMap local_texts() const;
     const std::string* text_of_uid(const std::string& uid) const;
 
     const EndpointDeltaConfig config_;
@@ -113,7 +113,7 @@
     EndpointRevision passed_on_;                     // the newest
     std::map<MemberIndex, EndpointRevision> newer_;  // who is known to have a newer revision
     bool needs_snapshot_ = false;                    // the replica is not what its revision should be
-    std::optional<Point> verified_;
+    std::optional<TimePoint> verified_;
     std::optional<PendingRequest> pending_request_;
     std::optional<Assembly> assembly_;
     std::optional<Offer> offer_;
--- a/src/fleet/endpoints/endpoint_list_service.cpp
+++ b/src/fleet/endpoints/endpoint_list_service.cpp
@@ -10,9 +10,9 @@
 {
 
 constexpr const char* duty = "list";
-constexpr Span broadcast_request_interval = seconds(0.2);
-constexpr Span first_poll_after = seconds(1.5);  // after the start, where no list has come from the fleet
-constexpr double max_poll_spread = 0.5;          // of the stated age
+constexpr Duration broadcast_request_interval = seconds(0.2);
+constexpr Duration first_poll_after = seconds(1.5);  // after the start, where no list has come from the fleet
+constexpr double max_poll_spread = 0.5;              // of the stated age
 constexpr double change_freshness =
     0.5;  // of the stated age: how old the list counts at most, as the holder changes
 constexpr double hint_lifetime = 4;      // times a stage of the startup
@@ -30,7 +30,7 @@
 {
     confirmed_at_ = context_.now;
     if (!context_.config.list) return;
-    const Span stale = context_.config.list->stale;
+    const Duration stale = context_.config.list->stale;
     poll_delay_ = stale * (max_poll_spread * random);
     confirmed_at_ = context_.now - stale + first_poll_after;
 }
@@ -103,7 +103,7 @@
 
 void EndpointListService::on_broadcast(MemberIndex from, Broadcast& broadcast)
 {
-    const Span age{std::max<int64_t>(0, broadcast.age_us)};
+    const Duration age{std::max<int64_t>(0, broadcast.age_us)};
     if (distribution_) {
         if (!broadcast.content.empty()) return;  // of a holder without [deltas]
         const EndpointRevision revision{broadcast.epoch, broadcast.content_number};
@@ -128,7 +128,7 @@
     return true;
 }
 
-void EndpointListService::confirm(Span age)
+void EndpointListService::confirm(Duration age)
 {
     confirmed_at_ = std::max(confirmed_at_, context_.now - age);
     if (polling_ && !context_.held_epoch(duty)) set_polling(false);
@@ -144,7 +144,7 @@
         ++context_.fenced_effects;
         return;
     }
-    context_.fencing.observe(duty, delta.to.epoch);
+    context_.fencing.observe_epoch(duty, delta.to.epoch);
     const auto reaction = distribution_->handle(context_.now, from, delta);
     if (reaction.pass_on) context_.gossip(delta, from);
     if (reaction.confirmed) confirm({std::max<int64_t>(0, delta.age_us)});
@@ -261,7 +261,7 @@
 void EndpointListService::push(Epoch epoch, const std::vector<EndpointDelta>& deltas)
 {
     published_number_ = distribution_->replica().revision().number;
-    context_.fencing.observe(duty, epoch);
+    context_.fencing.observe_epoch(duty, epoch);
     Publish pushed;
     for (size_t i = 0; i < deltas.size() && i < max_pushed_deltas; ++i)
         for (const MemberIndex target : context_.membership.gossip_targets())
@@ -294,7 +294,7 @@
     return persisted_list_;
 }
 
-void EndpointListService::fill(PingPayload& payload) const
+void EndpointListService::fill_ping_payload(PingPayload& payload) const
 {
     if (newest_) {
         payload.list_number = newest_->content_number;
@@ -311,8 +311,9 @@
     if (!distribution_) return "";
     const EndpointReplica& replica = distribution_->replica();
     return "list revision " + std::to_string(replica.revision().epoch) + "." +
-           std::to_string(replica.revision().number) + " entries " + std::to_string(replica.texts().size()) +
-           " behind " + (distribution_->behind() ? "yes" : "no") + "\n";
+           std::to_string(replica.revision().number) + " entries " +
+           std::to_string(replica.endpoints().size()) + " behind " +
+           (distribution_->behind() ? "yes" : "no") + "\n";
 }
 
 const EndpointReplica* EndpointListService::replica() const
--- a/src/fleet/endpoints/endpoint_list_service.h
+++ b/src/fleet/endpoints/endpoint_list_service.h
@@ -40,7 +40,7 @@
     [[nodiscard]] uint64_t version_to_persist() const { return std::max(version_, hint_version_); }
 
     // Adds this member's revision of the list.
-    void fill(PingPayload& payload) const;
+    void fill_ping_payload(PingPayload& payload) const;
     // For show-fleet.
     [[nodiscard]] std::string status() const;
     // Nothing without [deltas].
@@ -57,7 +57,7 @@
     };
 
     void set_polling(bool on);
-    void confirm(Span age);
+    void confirm(Duration age);
     void request_broadcast(MemberIndex from);
     bool has_content(const Broadcast& broadcast) const;
     bool take_full_list(const Broadcast& broadcast);
@@ -79,15 +79,15 @@
 
     std::string source_;  // discovery's address, where this member's own list came from
     uint64_t version_ = 0;
-    Point confirmed_at_;  // when the list in use was confirmed last
-    Span poll_delay_;     // beyond the stated age: differs from member to member
+    TimePoint confirmed_at_;  // when the list in use was confirmed last
+    Duration poll_delay_;     // beyond the stated age: differs from member to member
     bool polling_ = false;
-    Point last_broadcast_request_;
+    TimePoint last_broadcast_request_;
 
     std::optional<Broadcast> newest_;  // with content
     std::string last_published_;
     uint64_t published_number_ = 0;
-    Point lease_gained_;
+    TimePoint lease_gained_;
     std::optional<EndpointListFetched> postponed_;  // by a holder whose replica is being repaired first
 
     uint64_t hint_version_ = 0;
--- a/src/fleet/endpoints/endpoint_replica.cpp
+++ b/src/fleet/endpoints/endpoint_replica.cpp
@@ -29,18 +29,18 @@
     return XXH3_64bits_withSeed(text.data(), text.size(), XXH3_64bits(uid.data(), uid.size()));
 }
 
-uint64_t digest_of(const EndpointTexts& texts)
+uint64_t digest_of(const EndpointMap& texts)
 {
     uint64_t sum = 0;
     for (const auto& [uid, text] : texts) sum += digest_of(uid, text);
     return sum;
 }
 
-EndpointChanges EndpointReplica::difference(const EndpointTexts& whole) const
+EndpointChanges EndpointReplica::difference(const EndpointMap& whole) const
 {
     EndpointChanges changes;
-    auto held = state_.texts.begin();
-    const auto end = state_.texts.end();
+    auto held = state_.endpoints.begin();
+    const auto end = state_.endpoints.end();
     for (const auto& [uid, text] : whole) {
         for (; held != end && held->first < uid; ++held) changes.removed.push_back(held->first);
         const bool known = held != end && held->first == uid;
@@ -51,14 +51,14 @@
     return changes;
 }
 
-EndpointChanges EndpointReplica::difference(const EndpointTexts& whole,
+EndpointChanges EndpointReplica::difference(const EndpointMap& whole,
                                             const std::vector<std::string>& uids) const
 {
     EndpointChanges changes;
     for (const std::string& uid : uids) {
-        const auto held = state_.texts.find(uid);
+        const auto held = state_.endpoints.find(uid);
         const auto seen = whole.find(uid);
-        const bool is_held = held != state_.texts.end();
+        const bool is_held = held != state_.endpoints.end();
         if (seen == whole.end()) {
             if (is_held) changes.removed.push_back(uid);
         } else if (!is_held || held->second != seen->second) {
@@ -73,7 +73,7 @@
                                                     EndpointChanges changes)
 {
     // What a new holder states has to be what it holds, whatever it was told before.
-    if (state_.revision.epoch != epoch) digest_ = digest_of(state_.texts);
+    if (state_.revision.epoch != epoch) digest_ = digest_of(state_.endpoints);
     std::vector<EndpointDelta> deltas(1);
     size_t bytes = 0;
     const auto make_room = [&](size_t size) {
@@ -106,8 +106,8 @@
 {
     uint64_t digest = digest_;
     const auto take_out = [&](const std::string& uid) {
-        const auto held = state_.texts.find(uid);
-        if (held != state_.texts.end()) digest -= digest_of(uid, held->second);
+        const auto held = state_.endpoints.find(uid);
+        if (held != state_.endpoints.end()) digest -= digest_of(uid, held->second);
     };
     for (const EndpointEntry& entry : delta.changed) {
         take_out(entry.uid);
@@ -119,8 +119,8 @@
 
 void EndpointReplica::advance(const EndpointDelta& delta)
 {
-    for (const EndpointEntry& entry : delta.changed) state_.texts[entry.uid] = entry.text;
-    for (const std::string& uid : delta.removed) state_.texts.erase(uid);
+    for (const EndpointEntry& entry : delta.changed) state_.endpoints[entry.uid] = entry.text;
+    for (const std::string& uid : delta.removed) state_.endpoints.erase(uid);
     state_.revision = delta.to;
     state_.version = delta.version;
     state_.partial = delta.partial;
@@ -192,7 +192,7 @@
     head.partial = state_.partial;
     std::vector<EndpointSnapshotChunk> chunks{head};
     size_t bytes = 0;
-    for (const auto& [uid, text] : state_.texts) {
+    for (const auto& [uid, text] : state_.endpoints) {
         EndpointEntry entry{uid, text};
         if (bytes > 0 && bytes + size_of(entry) > config_.chunk) {
             head.index = static_cast<uint32_t>(chunks.size());
@@ -209,8 +209,8 @@
 std::optional<EndpointChanges> EndpointReplica::replace(EndpointSnapshot snapshot)
 {
     if (snapshot.revision < state_.revision || snapshot.version.older_than(state_.version)) return {};
-    if (digest_of(snapshot.texts) != snapshot.digest) return {};
-    EndpointChanges changes = difference(snapshot.texts);
+    if (digest_of(snapshot.endpoints) != snapshot.digest) return {};
+    EndpointChanges changes = difference(snapshot.endpoints);
     state_ = std::move(snapshot);
     digest_ = state_.digest;
     log_.clear();
@@ -220,8 +220,8 @@
 
 void EndpointReplica::corrupt(const std::string& uid, const std::string& text)
 {
-    state_.texts[uid] = text;
-    digest_ = digest_of(state_.texts);
+    state_.endpoints[uid] = text;
+    digest_ = digest_of(state_.endpoints);
 }
 
 }  // namespace firtide::fleet
--- a/src/fleet/endpoints/endpoint_replica.h
+++ b/src/fleet/endpoints/endpoint_replica.h
@@ -26,12 +26,12 @@
     EndpointListVersion version;
     uint64_t digest = 0;
     bool partial = false;
-    EndpointTexts texts;
+    EndpointMap endpoints;
 };
 
 // Of one entry. The digest of a state is the sum over its entries, whatever their order.
 uint64_t digest_of(const std::string& uid, const std::string& text);
-uint64_t digest_of(const EndpointTexts& texts);
+uint64_t digest_of(const EndpointMap& texts);
 
 class EndpointReplica
 {
@@ -51,12 +51,12 @@
     const EndpointListVersion& version() const { return state_.version; }
     uint64_t digest() const { return digest_; }
     bool partial() const { return state_.partial; }
-    const EndpointTexts& texts() const { return state_.texts; }
+    const EndpointMap& endpoints() const { return state_.endpoints; }
 
     // What has to change here to arrive at `whole`.
-    EndpointChanges difference(const EndpointTexts& whole) const;
+    EndpointChanges difference(const EndpointMap& whole) const;
     // The same where nothing but the entries of `uids` can differ.
-    EndpointChanges difference(const EndpointTexts& whole, const std::vector<std::string>& uids) const;
+    EndpointChanges difference(const EndpointMap& whole, const std::vector<std::string>& uids) const;
 
     // As holder at `epoch`: makes one delta of the changes, or several where they exceed a chunk, applies
     // them and returns them. The first of an epoch may be empty.
@@ -75,7 +75,7 @@
     std::optional<EndpointChanges> replace(EndpointSnapshot snapshot);
 
     // Whether the entries are still those that the publisher of this revision had. Goes through all of them.
-    bool intact() const { return digest_of(state_.texts) == state_.digest; }
+    bool intact() const { return digest_of(state_.endpoints) == state_.digest; }
 
     // For tests of divergence: changes an entry as no delta did.
     void corrupt(const std::string& uid, const std::string& text);
--- a/src/fleet/endpoints/endpoint_text.cpp
+++ b/src/fleet/endpoints/endpoint_text.cpp
@@ -38,14 +38,14 @@
 
 }  // namespace
 
-std::string full_list_text(uint64_t version, const EndpointTexts& texts)
+std::string encode_full_list(uint64_t version, const EndpointMap& texts)
 {
     std::string out = begin_list(version, true);
     for (const auto& [uid, line] : texts) add_target(out, line);
     return out + "]}";
 }
 
-std::string list_changes_text(uint64_t version, const std::set<std::string>& uids, const EndpointTexts& texts)
+std::string encode_list_changes(uint64_t version, const std::set<std::string>& uids, const EndpointMap& texts)
 {
     std::string out = begin_list(version, false);
     for (const std::string& uid : uids) {
--- a/src/fleet/endpoints/endpoint_text.h
+++ b/src/fleet/endpoints/endpoint_text.h
@@ -10,12 +10,12 @@
 {
 
 // Entries by uid, each the text of its target.
-using EndpointTexts = std::map<std::string, std::string>;
+using EndpointMap = std::map<std::string, std::string>;
 
-std::string full_list_text(uint64_t version, const EndpointTexts& texts);
+std::string encode_full_list(uint64_t version, const EndpointMap& texts);
 
 // Those of `uids` that `lines` has, as they are there; the others as gone.
-std::string list_changes_text(uint64_t version, const std::set<std::string>& uids,
-                              const EndpointTexts& texts);
+std::string encode_list_changes(uint64_t version, const std::set<std::string>& uids,
+                                const EndpointMap& texts);
 
 }  // namespace firtide::fleet
--- a/src/fleet/endpoints/endpoint_view.cpp
+++ b/src/fleet/endpoints/endpoint_view.cpp
@@ -8,25 +8,25 @@
 namespace
 {
 
-constexpr Span observation_interval = seconds(0.1);
-constexpr Span doubling_time = seconds(0.5);  // of a size that comes back
-constexpr double min_size_factor = 0.02;      // what is left to find out that all is well again
-constexpr double visible_change = 0.05;       // of a size
-constexpr Span another_start = seconds(5);    // two reported starts that far apart are not the same
+constexpr Duration observation_interval = seconds(0.1);
+constexpr Duration doubling_time = seconds(0.5);  // of a size that comes back
+constexpr double min_size_factor = 0.02;          // what is left to find out that all is well again
+constexpr double visible_change = 0.05;           // of a size
+constexpr Duration another_start = seconds(5);    // two reported starts that far apart are not the same
 // Of an upstream in slow start without a token now, where most are: it is drawn if nothing else is there, and
 // then the budget decides. Not shown at all, it would be missing from what the module takes the upstreams to
 // be able to do.
 constexpr double min_drawn_size = 1e-3;
-constexpr Span rate_window = seconds(10);
+constexpr Duration rate_window = seconds(10);
 constexpr double min_counted_requests = 50;  // before a rate is told
 constexpr double whole = 1 - 1e-9;           // a weight that is 1 but for rounding
 constexpr double stalled_reduction = 0.5;    // from which work in flight without an answer is evidence
-constexpr Point long_ago{INT64_MIN / 2};
+constexpr TimePoint long_ago{INT64_MIN / 2};
 
 }  // namespace
 
 EndpointView::EndpointView(Config config)
-    : config_(std::move(config)), subset_size_(config_.subset ? config_.subset->narrow : Span{})
+    : config_(std::move(config)), subset_size_(config_.subset ? config_.subset->narrow : Duration{})
 {
 }
 
@@ -39,10 +39,10 @@
     for (UpstreamId upstream = 0; upstream < all.size(); ++upstream) {
         const EndpointState& state = all[upstream];
         Endpoint& endpoint = endpoints_[upstream];
-        if (endpoint.real.id != state.id) endpoint = {};
+        if (endpoint.real.global_id != state.global_id) endpoint = {};
         endpoint.real = state;
-        const double size = state.phase == EndpointPhase::gone ? 0 : state.size;
-        candidates_[upstream] = {state.id, size, state.zone == config_.zone};
+        const double size = state.phase == EndpointPhase::gone ? 0 : state.capacity;
+        candidates_[upstream] = {state.global_id, size, state.zone == config_.zone};
     }
     subset_outdated_ = due_ = true;
 }
@@ -53,22 +53,22 @@
     subset_outdated_ = due_ = true;
 }
 
-void EndpointView::apply_verdicts(Point now, const std::map<uint64_t, OutlierGossip::Verdict>& verdicts)
+void EndpointView::apply_verdicts(TimePoint now, const std::map<uint64_t, OutlierGossip::Verdict>& verdicts)
 {
     for (Endpoint& endpoint : endpoints_) {
-        const auto verdict = verdicts.find(endpoint.real.id);
+        const auto verdict = verdicts.find(endpoint.real.global_id);
         update_size_factor(now, endpoint);
         endpoint.verdict_reduction = verdict == verdicts.end() ? 0 : verdict->second.reduction;
-        if (verdict == verdicts.end() || !verdict->second.started) continue;
-        const Point start = now - *verdict->second.started;
-        const Point known =
-            std::max(endpoint.reported_start.value_or(long_ago), endpoint.real.started.value_or(long_ago));
+        if (verdict == verdicts.end() || !verdict->second.time_since_start) continue;
+        const TimePoint start = now - *verdict->second.time_since_start;
+        const TimePoint known =
+            std::max(endpoint.reported_start.value_or(long_ago), endpoint.real.started_at.value_or(long_ago));
         if (start - known > another_start) endpoint.reported_start = start;
     }
 }
 
 // Tokens are saved up from the first lease on, whether or not any is wanted.
-void EndpointView::set_quotas(Point now, const std::vector<QuotaLease>& leases)
+void EndpointView::set_quotas(TimePoint now, const std::vector<QuotaLease>& leases)
 {
     quotas_.clear();
     for (const QuotaLease& lease : leases) {
@@ -78,14 +78,14 @@
     std::erase_if(buckets_, [this](const auto& bucket) { return !quotas_.count(bucket.first); });
 }
 
-void EndpointView::restore_reductions(Point now, const std::vector<PersistedReduction>& reductions)
+void EndpointView::restore_reductions(TimePoint now, const std::vector<PersistedReduction>& reductions)
 {
     for (const PersistedReduction& persisted : reductions)
-        restored_[persisted.upstream] = {persisted.reduction, now + Span{persisted.left_us}};
+        restored_[persisted.upstream_hash] = {persisted.reduction, now + Duration{persisted.remaining_us}};
     due_ = true;
 }
 
-void EndpointView::record_answer(Point now, UpstreamId upstream, bool success)
+void EndpointView::record_response(TimePoint now, UpstreamId upstream, bool success)
 {
     if (upstream >= endpoints_.size()) return;
     Endpoint& endpoint = endpoints_[upstream];
@@ -95,69 +95,70 @@
 
 // ---- slow start ----
 
-bool EndpointView::is_warming(Point now, const EndpointState& endpoint) const
+bool EndpointView::is_warming(TimePoint now, const EndpointState& endpoint) const
 {
-    return endpoint.started && now - *endpoint.started < config_.cold;
+    return endpoint.started_at && now - *endpoint.started_at < config_.slow_start_duration;
 }
 
 // What an upstream in slow start can do by now, over what it could at its start.
-double EndpointView::capacity_growth(Point now, const EndpointState& endpoint) const
+double EndpointView::capacity_growth(TimePoint now, const EndpointState& endpoint) const
 {
-    const double age = std::clamp((now - *endpoint.started) / config_.cold, 0.0, 1.0);
-    return (config_.cold_share + (1 - config_.cold_share) * age) / config_.cold_share;
+    const double age = std::clamp((now - *endpoint.started_at) / config_.slow_start_duration, 0.0, 1.0);
+    return (config_.slow_start_min_share + (1 - config_.slow_start_min_share) * age) /
+           config_.slow_start_min_share;
 }
 
 // The budget of an upstream grows as it warms up, alike at every balancer.
-std::optional<QuotaLease> EndpointView::slow_start_quota(Point now, const EndpointState& endpoint) const
+std::optional<QuotaLease> EndpointView::slow_start_quota(TimePoint now, const EndpointState& endpoint) const
 {
-    const auto quota = quotas_.find({Budget::cold, endpoint.id});
+    const auto quota = quotas_.find({Budget::cold, endpoint.global_id});
     if (quota == quotas_.end()) return {};
     QuotaLease scaled = quota->second;
     const double growth = capacity_growth(now, endpoint);
     scaled.rate *= growth;
-    scaled.guaranteed *= growth;
+    scaled.guaranteed_rate *= growth;
     return scaled;
 }
 
-void EndpointView::limit_slow_start(Point now, EndpointState& state)
+void EndpointView::limit_slow_start(TimePoint now, EndpointState& state)
 {
-    if (!config_.turns || state.phase != EndpointPhase::ready || !is_warming(now, state)) return;
-    const BudgetName name{Budget::cold, state.id};
+    if (!config_.quotas || state.phase != EndpointPhase::ready || !is_warming(now, state)) return;
+    const BudgetName name{Budget::cold, state.global_id};
     if (!has_budget(name)) return;
     const auto quota = slow_start_quota(now, state);
     if (quota && buckets_[name].has_token(now, *quota)) return;
     if (mostly_warm_)
         state.phase = EndpointPhase::gone;
     else
-        state.size *= min_drawn_size;
+        state.capacity *= min_drawn_size;
 }
 
-bool EndpointView::take_from_budget(Point now, BudgetName name)
+bool EndpointView::take_from_budget(TimePoint now, BudgetName name)
 {
     if (!has_budget(name)) return true;
     ++asked_.try_emplace(name).first->second;
     const auto quota = quotas_.find(name);
-    return quota != quotas_.end() && buckets_[name].take(now, quota->second);
+    return quota != quotas_.end() && buckets_[name].try_take(now, quota->second);
 }
 
-bool EndpointView::take_from_slow_start_budget(Point now, UpstreamId upstream)
+bool EndpointView::take_from_slow_start_budget(TimePoint now, UpstreamId upstream)
 {
     if (upstream >= shown_.size() || !is_warming(now, shown_[upstream])) return true;
     due_ = true;  // until its next token it is not shown
-    const BudgetName name{Budget::cold, shown_[upstream].id};
+    const BudgetName name{Budget::cold, shown_[upstream].global_id};
     if (!has_budget(name)) return true;
     const auto quota = slow_start_quota(now, shown_[upstream]);
-    return quota && buckets_[name].take(now, *quota);
+    return quota && buckets_[name].try_take(now, *quota);
 }
 
 // ---- what the module is shown ----
 
 // The module draws by about the fifth power of the size where work is in flight. So what one balancer reports
 // lessens an upstream little, and what several agree on nearly takes it away.
-double EndpointView::update_size_factor(Point now, Endpoint& endpoint) const
+double EndpointView::update_size_factor(TimePoint now, Endpoint& endpoint) const
 {
     double reduction = endpoint.verdict_reduction;
-    const auto restored = restored_.find(endpoint.real.id);
+    const auto restored = restored_.find(endpoint.real.global_id);
     if (restored != restored_.end() && now < restored->second.until)
         reduction = std::max(reduction, restored->second.reduction);
     const double exponent = 0.2 + 0.8 * reduction * reduction;
@@ -174,28 +175,28 @@
     return upstream < subset_.size() ? subset_[upstream] : 0;
 }
 
-EndpointState EndpointView::wanted(Point now, UpstreamId upstream)
+EndpointState EndpointView::wanted(TimePoint now, UpstreamId upstream)
 {
     Endpoint& endpoint = endpoints_[upstream];
     EndpointState state = endpoint.real;
     const bool has_newer_start =
-        endpoint.reported_start && (!state.started || *state.started < *endpoint.reported_start);
-    if (has_newer_start) state.started = endpoint.reported_start;
+        endpoint.reported_start && (!state.started_at || *state.started_at < *endpoint.reported_start);
+    if (has_newer_start) state.started_at = endpoint.reported_start;
     const double weight = subset_weight(upstream);
     if (weight <= 0) state.phase = EndpointPhase::gone;
-    if (config_.signals || !restored_.empty()) state.size *= update_size_factor(now, endpoint);
-    state.size *= weight > 0 ? weight : 1;
+    if (config_.outlier_gossip || !restored_.empty()) state.capacity *= update_size_factor(now, endpoint);
+    state.capacity *= weight > 0 ? weight : 1;
     limit_slow_start(now, state);
     return state;
 }
 
-bool EndpointView::is_mostly_warm(Point now) const
+bool EndpointView::is_mostly_warm(TimePoint now) const
 {
     double listed = 0, warming = 0;
     for (const Endpoint& endpoint : endpoints_) {
         if (endpoint.real.phase != EndpointPhase::ready) continue;
-        listed += endpoint.real.size;
-        if (is_warming(now, endpoint.real)) warming += endpoint.real.size;
+        listed += endpoint.real.capacity;
+        if (is_warming(now, endpoint.real)) warming += endpoint.real.capacity;
     }
     return warming * 2 < listed;
 }
@@ -203,16 +204,17 @@
 bool EndpointView::differs_visibly(const EndpointState& next, const EndpointState& shown,
                                    UpstreamId upstream) const
 {
-    const bool same = next.id == shown.id && next.phase == shown.phase && next.started == shown.started &&
-                      next.zone == shown.zone && next.cell == shown.cell && next.kind == shown.kind;
+    const bool same = next.global_id == shown.global_id && next.phase == shown.phase &&
+                      next.started_at == shown.started_at && next.zone == shown.zone &&
+                      next.cell == shown.cell && next.machine_type == shown.machine_type;
     if (!same) return true;
-    if (next.size == shown.size) return false;
+    if (next.capacity == shown.capacity) return false;
     // What is whole again is shown as whole, however little was missing.
-    const bool is_whole = next.size == endpoints_[upstream].real.size;
-    return is_whole || std::abs(next.size - shown.size) > visible_change * shown.size;
+    const bool is_whole = next.capacity == endpoints_[upstream].real.capacity;
+    return is_whole || std::abs(next.capacity - shown.capacity) > visible_change * shown.capacity;
 }
 
-std::vector<EndpointState> EndpointView::update(Point now, const Reduction& reduction)
+std::vector<EndpointState> EndpointView::update(TimePoint now, const Reduction& reduction)
 {
     due_ = false;
     if (config_.subset) update_subset(now, reduction);
@@ -230,7 +232,7 @@
     return changes;
 }
 
-bool EndpointView::due(const Reduction& reduction) const
+bool EndpointView::needs_update(const Reduction& reduction) const
 {
     if (due_ || !config_.subset) return due_;
     for (UpstreamId upstream = 0; upstream < shown_.size(); ++upstream)
@@ -238,7 +240,7 @@
     return !shown_.empty();
 }
 
-bool EndpointView::shows(UpstreamId upstream) const
+bool EndpointView::is_shown(UpstreamId upstream) const
 {
     return upstream < shown_.size() && shown_[upstream].phase != EndpointPhase::gone;
 }
@@ -258,7 +260,7 @@
 
 SubsetWeights EndpointView::choose_subset(double widening) const
 {
-    return choose(*config_.subset, peers_, config_.self, candidates_, widening);
+    return select_subset(*config_.subset, peers_, config_.self_key, candidates_, widening);
 }
 
 bool EndpointView::is_whole_list() const
@@ -269,7 +271,7 @@
 }
 
 // By sizes, and by what upstreams in slow start can do by now.
-double EndpointView::free_share(Point now, const SubsetWeights& subset, const Reduction& reduction) const
+double EndpointView::free_share(TimePoint now, const SubsetWeights& subset, const Reduction& reduction) const
 {
     double all = 0, free = 0;
     bool any_unreduced = false;
@@ -282,13 +284,13 @@
         const double own = reduction(upstream);
         any_unreduced = any_unreduced || own <= 0;
         const bool warming = is_warming(now, endpoint.real);
-        const double able = warming ? capacity_growth(now, endpoint.real) * config_.cold_share : 1;
+        const double able = warming ? capacity_growth(now, endpoint.real) * config_.slow_start_min_share : 1;
         free += size * (1 - std::max(own, endpoint.verdict_reduction)) * able;
     }
     return any_unreduced && all > 0 ? free / all : 0;
 }
 
-void EndpointView::update_subset(Point now, const Reduction& reduction)
+void EndpointView::update_subset(TimePoint now, const Reduction& reduction)
 {
     if (std::exchange(subset_outdated_, false)) {
         subset_ = choose_subset(subset_size_.widening());
@@ -309,10 +311,10 @@
 // ---- what the fleet is told ----
 
 // The mean of all at first, and of the last ten seconds later: weights of the subset must not be chance.
-void EndpointView::update_rate(Point now, double elapsed)
+void EndpointView::update_rate(TimePoint now, double elapsed)
 {
     constexpr double min_elapsed = 0.01;
-    if (rate_since_.us == 0) rate_since_ = now - Span{static_cast<int64_t>(elapsed * 1e6)};
+    if (rate_since_.us == 0) rate_since_ = now - Duration{static_cast<int64_t>(elapsed * 1e6)};
     const double total = std::max(elapsed, (now - rate_since_).seconds());
     const double gain = std::max(elapsed / rate_window.seconds(), elapsed / total);
     total_requests_ += requests_;
@@ -320,38 +322,39 @@
     rate_ += gain * (rate - rate_);
 }
 
-OutlierEvidence EndpointView::evidence_of(Point now, UpstreamId upstream, const Reduction& reduction,
+OutlierEvidence EndpointView::evidence_of(TimePoint now, UpstreamId upstream, const Reduction& reduction,
                                           const InFlight& in_flight) const
 {
     const Endpoint& endpoint = endpoints_[upstream];
     OutlierEvidence evidence;
-    evidence.upstream = endpoint.real.id;
+    evidence.upstream = endpoint.real.global_id;
     evidence.reduction = reduction(upstream);
-    evidence.well = endpoint.well.total();
-    evidence.bad = endpoint.bad.total();
-    evidence.age = now - endpoint.last_bad;
-    evidence.well_age = now - endpoint.last_well;
+    evidence.good_responses = endpoint.well.total();
+    evidence.bad_responses = endpoint.bad.total();
+    evidence.last_bad_response_age = now - endpoint.last_bad;
+    evidence.last_good_response_age = now - endpoint.last_well;
     // An upstream that holds work and gives none back is found out by that, not by an answer.
-    const bool is_silent = evidence.well + evidence.bad == 0;
+    const bool is_silent = evidence.good_responses + evidence.bad_responses == 0;
     if (evidence.reduction >= stalled_reduction && is_silent && in_flight(upstream)) {
-        evidence.bad = 1;
-        evidence.age = {};
+        evidence.bad_responses = 1;
+        evidence.last_bad_response_age = {};
     }
-    if (is_warming(now, endpoint.real)) evidence.started = now - *endpoint.real.started;
+    if (is_warming(now, endpoint.real)) evidence.time_since_start = now - *endpoint.real.started_at;
     return evidence;
 }
 
-void EndpointView::observe_endpoint(Point now, UpstreamId upstream, const OutlierEvidence& evidence,
+void EndpointView::observe_endpoint(TimePoint now, UpstreamId upstream, const OutlierEvidence& evidence,
                                     LocalObservations& observations) const
 {
-    const BudgetName slow_start{Budget::cold, endpoints_[upstream].real.id};
+    const BudgetName slow_start{Budget::cold, endpoints_[upstream].real.global_id};
     const bool shown_warming = upstream < shown_.size() && is_warming(now, shown_[upstream]);
-    if (shown_warming && has_budget(slow_start)) ++observations.asked[slow_start];
-    if (evidence.reduction > 0 || evidence.well > 0 || evidence.bad > 0 || evidence.started)
-        observations.evidence.push_back(evidence);
+    if (shown_warming && has_budget(slow_start)) ++observations.budget_demand[slow_start];
+    if (evidence.reduction > 0 || evidence.good_responses > 0 || evidence.bad_responses > 0 ||
+        evidence.time_since_start)
+        observations.outlier_evidence.push_back(evidence);
 }
 
-void EndpointView::rotate_answer_counts(Point now)
+void EndpointView::rotate_answer_counts(TimePoint now)
 {
     if (now - last_rotation_ < seconds(1)) return;
     last_rotation_ = now;
@@ -361,20 +364,20 @@
     }
 }
 
-std::optional<LocalObservations> EndpointView::observe(Point now, const Reduction& reduction,
+std::optional<LocalObservations> EndpointView::observe(TimePoint now, const Reduction& reduction,
                                                        const InFlight& in_flight)
 {
     if (now - last_observation_ < observation_interval) return {};
     update_rate(now, std::min(1.0, (now - std::exchange(last_observation_, now)).seconds()));
     LocalObservations observations;
-    if (total_requests_ >= min_counted_requests) observations.rate = rate_;
-    observations.asked = std::exchange(asked_, {});
-    observations.widening = subset_size_.steps();
+    if (total_requests_ >= min_counted_requests) observations.request_rate = rate_;
+    observations.budget_demand = std::exchange(asked_, {});
+    observations.widening_steps = subset_size_.steps();
     for (UpstreamId upstream = 0; upstream < endpoints_.size(); ++upstream) {
         if (endpoints_[upstream].real.phase == EndpointPhase::gone) continue;
-        ++observations.listed;
+        ++observations.upstreams_listed;
         if (config_.subset && subset_weight(upstream) <= 0) continue;
-        ++observations.shown;
+        ++observations.upstreams_shown;
         observe_endpoint(now, upstream, evidence_of(now, upstream, reduction, in_flight), observations);
     }
     rotate_answer_counts(now);
--- a/src/fleet/endpoints/subset.cpp
+++ b/src/fleet/endpoints/subset.cpp
@@ -14,7 +14,7 @@
 constexpr double min_peer_weight = 0.05;  // of the mean
 constexpr double enough_free = 0.6, plenty_free = 0.8;
 constexpr uint32_t max_steps = 16;
-constexpr Span step_interval = seconds(0.2);
+constexpr Duration step_interval = seconds(0.2);
 constexpr uint64_t ring_seed = 7;
 
 uint64_t ring_position(uint64_t id) { return XXH3_64bits_withSeed(&id, sizeof id, ring_seed); }
@@ -47,8 +47,8 @@
     double sum = 0;
     for (const SubsetPeer& peer : peers) {
         if (!included(peer)) continue;
-        order.emplace_back(ring_position(peer.key), peer.weight);
-        sum += peer.weight;
+        order.emplace_back(ring_position(peer.key), peer.traffic_weight);
+        sum += peer.traffic_weight;
     }
     if (order.empty()) return 0;
     const double mean = sum / static_cast<double>(order.size());
@@ -84,8 +84,8 @@
 
 }  // namespace
 
-SubsetWeights choose(const SubsetConfig& config, const std::vector<SubsetPeer>& peers, MemberKey self,
-                     const std::vector<SubsetCandidate>& candidates, double widening)
+SubsetWeights select_subset(const SubsetConfig& config, const std::vector<SubsetPeer>& peers, MemberKey self,
+                            const std::vector<SubsetCandidate>& candidates, double widening)
 {
     const auto any = [](const auto&) { return true; };
     const auto in_own_zone = [](const auto& each) { return each.own_zone; };
@@ -104,7 +104,7 @@
 }
 
 // At once where nothing is free; else one step has to show first whether it is enough.
-bool SubsetSize::widen(Point now, double free)
+bool SubsetSize::widen(TimePoint now, double free)
 {
     if (free > 0 && steps_ > 0 && now - last_needed_ < step_interval) return false;
     last_needed_ = now;
@@ -112,7 +112,7 @@
     return true;
 }
 
-bool SubsetSize::adjust(Point now, double free, double narrower_free, bool is_whole_list)
+bool SubsetSize::adjust(TimePoint now, double free, double narrower_free, bool is_whole_list)
 {
     if (free < enough_free && !is_whole_list && steps_ < max_steps) return widen(now, free);
     // Only to where it will not have to widen again.
--- a/src/fleet/endpoints/subset.h
+++ b/src/fleet/endpoints/subset.h
@@ -15,7 +15,7 @@
 struct SubsetPeer {
     MemberKey key = 0;
     bool own_zone = false;
-    double weight = 1;  // of its traffic
+    double traffic_weight = 1;  // of its traffic
 
     bool operator==(const SubsetPeer&) const = default;
 };
@@ -32,29 +32,29 @@
 
 // The subset of one balancer, `widening` times as wide as configured. With the same peers and candidates at
 // every balancer, all weights of one upstream add up to the same, by sizes and weights.
-SubsetWeights choose(const SubsetConfig& config, const std::vector<SubsetPeer>& peers, MemberKey self,
-                     const std::vector<SubsetCandidate>& candidates, double widening);
+SubsetWeights select_subset(const SubsetConfig& config, const std::vector<SubsetPeer>& peers, MemberKey self,
+                            const std::vector<SubsetCandidate>& candidates, double widening);
 
 // How wide the subset is. It widens at once where too little in it can be used, and narrows slowly.
 class SubsetSize
 {
   public:
     // `narrow_after`: without need at the present width, one step back.
-    explicit SubsetSize(Span narrow_after) : narrow_after_(narrow_after) {}
+    explicit SubsetSize(Duration narrow_after) : narrow_after_(narrow_after) {}
 
     [[nodiscard]] double widening() const { return static_cast<double>(1U << steps_); }
     [[nodiscard]] uint32_t steps() const { return steps_; }
     // `free`: the share of the subset that carries no reduction; `narrower_free`: the same of the next
     // narrower one; `is_whole_list`: there is nothing beyond the subset. Returns whether the size has
     // changed.
-    [[nodiscard]] bool adjust(Point now, double free, double narrower_free, bool is_whole_list);
+    [[nodiscard]] bool adjust(TimePoint now, double free, double narrower_free, bool is_whole_list);
 
   private:
-    bool widen(Point now, double free);
+    bool widen(TimePoint now, double free);
 
-    const Span narrow_after_;
+    const Duration narrow_after_;
     uint32_t steps_ = 0;
-    Point last_needed_;
+    TimePoint last_needed_;
 };
 
 }  // namespace firtide::fleet
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -19,7 +19,7 @@
     lease_manager_.set_table(committed_table_);
 }
 
-std::vector<FleetEffect> Fleet::reduce(Point now, FleetEvent event)
+std::vector<FleetEffect> Fleet::reduce(TimePoint now, FleetEvent event)
 {
     context_.now = now;
     std::visit([this](auto& each) { on(each); }, event);
@@ -42,12 +42,12 @@
             on_lease_changed(change);
             has_more = true;
         }
-        for (const HealthChange& change : context_.membership.take_changes())
+        for (const HealthChange& change : context_.membership.take_health_changes())
             context_.emit(LogEvent{LogEvent::Kind::member_health,
                                    context_.config.members[change.member].id,
                                    "",
                                    change.incarnation,
-                                   text_of(change.health),
+                                   to_string(change.health),
                                    {}});
     }
 }
@@ -72,7 +72,7 @@
 {
     const bool gained = change.kind == LeaseChange::Kind::gained;
     const auto kind = gained ? LogEvent::Kind::lease_gained : LogEvent::Kind::lease_lost;
-    context_.emit(LogEvent{kind, change.duty, change.reason, change.epoch, "", change.until});
+    context_.emit(LogEvent{kind, change.duty, change.reason, change.epoch, "", change.lease_end});
     duties_.on_lease_changed(change);
     const auto duty = context_.config.duty_of(change.duty);
     if (!duty) return;
@@ -97,7 +97,7 @@
     PingPayload payload;
     payload.leader = leader_key();
     payload.term = voter_term();
-    endpoints_.fill(payload);
+    endpoints_.fill_ping_payload(payload);
     context_.membership.set_payload(payload);
     context_.membership.tick(context_.now);
     context_.lease_client.tick(context_.now);
@@ -153,7 +153,7 @@
 void Fleet::handle(MemberIndex from, const Ping& ping)
 {
     context_.membership.on_ping(context_.now, from, ping);
-    context_.lease_client.set_leader(ping.leader, ping.term);
+    context_.lease_client.on_leader_hint(ping.leader, ping.term);
     endpoints_.on_ping(from, ping);
 }
 
@@ -228,7 +228,7 @@
     const DutyKind kind = context_.config.duties[*context_.config.duty_of(broadcast.duty)].kind;
     if (kind == DutyKind::list) return endpoints_.on_broadcast(from, broadcast);
     if (kind != DutyKind::probe) return;
-    const Span age{std::max<int64_t>(0, broadcast.age_us)};
+    const Duration age{std::max<int64_t>(0, broadcast.age_us)};
     context_.emit(ApplyProbeReports{broadcast.duty, std::move(broadcast.content), age});
 }
 
@@ -269,7 +269,7 @@
 }
 
 // A voter that is being added knows nobody but those that it has heard of.
-void Fleet::handle(SendRaft& send)
+void Fleet::handle(SendRaftMessage& send)
 {
     const auto receiver = voter_of_disk_.find(send.to);
     if (!voter_status_ || receiver == voter_of_disk_.end()) return;
@@ -280,14 +280,15 @@
 void Fleet::send_to_voters(const Message& message)
 {
     for (MemberIndex member = 0; member < context_.config.members.size(); ++member)
-        if (member != context_.self && context_.config.members[member].voter) context_.send(member, message);
+        if (member != context_.self && context_.config.members[member].is_voter)
+            context_.send(member, message);
 }
 
 void Fleet::handle(const BroadcastDiskReport& broadcast) { send_to_voters(broadcast.report); }
 
 void Fleet::handle(const BroadcastBootstrapConfig& broadcast) { send_to_voters(broadcast.config); }
 
-void Fleet::handle(TableUpdated& updated) { committed_table_ = std::move(updated.table); }
+void Fleet::handle(LeaseTableUpdated& updated) { committed_table_ = std::move(updated.table); }
 
 void Fleet::handle(const ProposalResult& result)
 {
@@ -301,11 +302,11 @@
     const bool was_leader = lease_manager_.is_leader();
     const Term last_term = voter_term();
     if (status.fault != last_fault)
-        context_.log(LogEvent::Kind::voter_fault, text_of(status.stage),
+        context_.log(LogEvent::Kind::voter_fault, to_string(status.stage),
                      status.fault ? status.fault->text : "");
     voter_status_ = std::move(status);
     update_leadership(was_leader, last_term);
-    context_.lease_client.set_leader(leader_key(), voter_term());
+    context_.lease_client.on_leader_hint(leader_key(), voter_term());
 }
 
 void Fleet::update_leadership(bool was_leader, Term last_term)
@@ -336,7 +337,7 @@
 std::string Fleet::status(const std::optional<TrafficCounts>& traffic) const
 {
     std::string text = own_status();
-    if (traffic) text += text_of(*traffic);
+    if (traffic) text += to_string(*traffic);
     for (MemberIndex member = 0; member < context_.config.members.size(); ++member)
         text += member_status(member);
     for (const Duty& duty : context_.config.duties) text += duty_status(duty);
@@ -346,7 +347,7 @@
 std::string Fleet::own_status() const
 {
     const LeaseClient& leases = context_.lease_client;
-    const bool has_majority = leases.is_confirmed(context_.now);
+    const bool has_majority = leases.is_lease_valid(context_.now);
     MemberKey leader = leader_key();
     if (!leader && has_majority && leases.leader()) leader = context_.config.members[*leases.leader()].key;
     const auto leader_member = leader ? context_.config.member_of(leader) : std::nullopt;
@@ -355,21 +356,21 @@
                        " term " + std::to_string(term) + " leader " +
                        (leader_member ? context_.config.members[*leader_member].id : "none") + " majority " +
                        (has_majority ? "yes" : "no");
-    if (voter_status_) text += std::string(" voter ") + text_of(voter_status_->stage);
+    if (voter_status_) text += std::string(" voter ") + to_string(voter_status_->stage);
     if (voter_status_ && voter_status_->fault) text += " trouble: " + voter_status_->fault->text;
     return text + "\n";
 }
 
 std::string Fleet::member_status(MemberIndex member) const
 {
-    const MemberState& state = context_.membership.of(member);
+    const MemberState& state = context_.membership.state_of(member);
     const MemberConfig& config = context_.config.members[member];
     // Whoever was never heard of is not there, whatever becomes of it later.
     const bool was_heard_of = state.incarnation || member == context_.self;
     const Health health = was_heard_of ? state.health : Health::gone;
-    return "member " + config.id + " " + text_of(health) + " zone " +
+    return "member " + config.id + " " + to_string(health) + " zone " +
            (config.zone.empty() ? "-" : config.zone) + " incarnation " + std::to_string(state.incarnation) +
-           (config.voter ? " votes" : "") + "\n";
+           (config.is_voter ? " votes" : "") + "\n";
 }
 
 std::string Fleet::duty_status(const Duty& duty) const
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -34,15 +34,16 @@
     Fleet& operator=(const Fleet&) = delete;
 
     // The effects are to be carried out in their order.
-    [[nodiscard]] std::vector<FleetEffect> reduce(Point now, FleetEvent event);
+    [[nodiscard]] std::vector<FleetEffect> reduce(TimePoint now, FleetEvent event);
 
     // The one place where it is decided whether an effect of a duty may leave. To be asked right before it
     // does, with a clock read for it.
-    [[nodiscard]] bool lease_allows(Point now, const std::string& duty, Epoch epoch, Span duration) const
+    [[nodiscard]] bool lease_allows(TimePoint now, const std::string& duty, Epoch epoch,
+                                    Duration duration) const
     {
         return context_.lease_client.holds(now + duration, duty, epoch);
     }
-    [[nodiscard]] bool holds(Point now, const std::string& duty) const
+    [[nodiscard]] bool holds(TimePoint now, const std::string& duty) const
     {
         return context_.lease_client.held_epoch(now, duty).has_value();
     }
@@ -97,10 +98,10 @@
     void handle(MemberIndex from, const EndpointSnapshotChunk& chunk);
 
     // ---- the voter agent ----
-    void handle(SendRaft& send);
+    void handle(SendRaftMessage& send);
     void handle(const BroadcastDiskReport& broadcast);
     void handle(const BroadcastBootstrapConfig& broadcast);
-    void handle(TableUpdated& updated);
+    void handle(LeaseTableUpdated& updated);
     void handle(const ProposalResult& result);
     void handle(VoterStatus& status);
     void send_to_voters(const Message& message);
--- a/src/fleet/fleet_context.cpp
+++ b/src/fleet/fleet_context.cpp
@@ -8,14 +8,14 @@
 {
 
 // Of monitoring: so that a silent member is gone before its lease can be granted again.
-Span monitoring_period(const FleetConfig& config)
+Duration monitoring_period(const FleetConfig& config)
 {
     return std::clamp(config.lease.length * 0.125, seconds(0.1), seconds(2));
 }
 
 }  // namespace
 
-const char* text_of(LogEvent::Kind kind)
+const char* to_string(LogEvent::Kind kind)
 {
     switch (kind) {
         case LogEvent::Kind::member_health: return "member";
--- a/src/fleet/fleet_context.h
+++ b/src/fleet/fleet_context.h
@@ -38,8 +38,8 @@
 
     const FleetConfig& config;
     const MemberIndex self;
-    Point now;
-    Point started;
+    TimePoint now;
+    TimePoint started;
     Membership membership;
     LeaseClient lease_client;
     FencingGuard fencing;
--- a/src/fleet/fleet_events.h
+++ b/src/fleet/fleet_events.h
@@ -52,8 +52,8 @@
 struct EndpointListFetched {
     std::string source;  // its address: versions of another source say nothing of this one's
     uint64_t version = 0;
-    std::string full_text;                                 // without [deltas]
-    std::shared_ptr<const EndpointTexts> texts = nullptr;  // with [deltas]
+    std::string full_text;                               // without [deltas]
+    std::shared_ptr<const EndpointMap> texts = nullptr;  // with [deltas]
     // With [deltas]: all uids that can differ from the last answer; nothing: any.
     std::optional<std::vector<std::string>> changed = std::nullopt;
 };
@@ -72,7 +72,7 @@
 // What this member has persisted, or why that is not used; nothing: there was none. Before StartupEvent.
 struct SnapshotLoaded {
     std::variant<std::monostate, MemberSnapshot, SnapshotError> snapshot;
-    std::optional<Span> age;  // nothing: no clock can tell, for the machine has been restarted
+    std::optional<Duration> age;  // nothing: no clock can tell, for the machine has been restarted
 };
 // The members as a fleet at rest holds them. For simulations that don't begin with all unknown.
 struct SeedMembership {
@@ -103,7 +103,7 @@
 struct LeasedEffect {
     std::string duty;
     Epoch epoch = 0;
-    Span duration;  // for which the lease has to hold
+    Duration duration;  // for which the lease has to hold
     std::variant<Publish, NotifySubscriber, StartProbes, StartDrain> action;
 };
 
@@ -121,7 +121,7 @@
 struct ApplyProbeReports {
     std::string duty;
     std::string reports;  // encoded ProbeReports
-    Span age;
+    Duration age;
 };
 // Who shares the upstreams.
 struct ApplySubsetPeers {
@@ -165,10 +165,10 @@
     std::string subject, reason;
     uint64_t number = 0;  // an epoch, an incarnation or a term; zero: none
     std::string health;
-    Point until;  // lease_lost: when the lease ended, at the latest
+    TimePoint until;  // lease_lost: when the lease ended, at the latest
 };
 // As it stands in the log.
-const char* text_of(LogEvent::Kind kind);
+const char* to_string(LogEvent::Kind kind);
 
 using FleetEffect =
     std::variant<Send, CallVoterAgent, LeasedEffect, EndDrain, SetDiscoveryPolling, ApplyEndpointList,
@@ -177,8 +177,8 @@
 
 // ---- probes of the fleet ----
 
-inline constexpr uint32_t probe_slices = 10;          // of a period
-inline constexpr Span probe_duration = seconds(0.3);  // until its answer, or its being given up
+inline constexpr uint32_t probe_slices = 10;              // of a period
+inline constexpr Duration probe_duration = seconds(0.3);  // until its answer, or its being given up
 
 // What one probe has found; a broadcast of a probing duty holds a list of them.
 struct ProbeReport {
--- a/src/fleet/host/commands.cpp
+++ b/src/fleet/host/commands.cpp
@@ -18,8 +18,8 @@
     if (!file || !(text << file.rdbuf())) throw CannotStart(path + ": cannot be read");
     auto decoded = decode_fleet_config(text.str());
     if (const auto* fault = std::get_if<ConfigError>(&decoded))
-        throw CannotStart(path + ":" + std::to_string(fault->at.line) + ": " + fault->at.key + ": " +
-                          fault->what);
+        throw CannotStart(path + ":" + std::to_string(fault->location.line) + ": " + fault->location.key +
+                          ": " + fault->message);
     FleetConfig fleet_file = std::move(std::get<FleetConfig>(decoded));
     return fleet_file;
 }
@@ -40,20 +40,22 @@
     if (!file || !(text << file.rdbuf())) throw CannotStart(path + ": cannot be read");
     const auto decoded = decode_member_snapshot(text.str());
     if (const auto* error = std::get_if<SnapshotError>(&decoded))
-        throw CannotStart(path + ": " + error->text);
+        throw CannotStart(path + ": " + error->message);
     const auto& m = std::get<MemberSnapshot>(decoded);
     std::printf("the snapshot is whole: member %s of fleet %s, incarnation %llu\n", m.member.c_str(),
                 m.fleet.c_str(), static_cast<unsigned long long>(m.incarnation));
     if (!dump) return 0;
     std::printf("list version %llu, %zu bytes\naccepted %.1f a second, among %u, upstreams of size %.1f\n",
-                static_cast<unsigned long long>(m.list_version), m.list.size(), m.rate, m.peers, m.size);
-    for (const auto& e : m.epochs)
+                static_cast<unsigned long long>(m.list_version), m.list_text.size(), m.accepted_rate,
+                m.peer_count, m.total_capacity);
+    for (const auto& e : m.seen_epochs)
         std::printf("epoch %llu of %s\n", static_cast<unsigned long long>(e.epoch), e.duty.c_str());
     for (const auto& r : m.reductions)
         std::printf("reduction %.2f of %016llx, %lld ms left\n", static_cast<double>(r.reduction),
-                    static_cast<unsigned long long>(r.upstream), static_cast<long long>(r.left_us / 1000));
-    for (const auto& id : m.open) std::printf("may have run: %s\n", id.c_str());
-    if (!m.list.empty()) std::printf("%s\n", m.list.c_str());
+                    static_cast<unsigned long long>(r.upstream_hash),
+                    static_cast<long long>(r.remaining_us / 1000));
+    for (const auto& id : m.open_request_ids) std::printf("may have run: %s\n", id.c_str());
+    if (!m.list_text.empty()) std::printf("%s\n", m.list_text.c_str());
     return 0;
 }
 
--- a/src/fleet/host/fleet_clock.cpp
+++ b/src/fleet/host/fleet_clock.cpp
@@ -6,7 +6,7 @@
 namespace firtide::fleet
 {
 
-Point fleet_now()
+TimePoint fleet_now()
 {
     constexpr int64_t microseconds_per_second = 1'000'000, nanoseconds_per_microsecond = 1000;
     timespec time{};
--- a/src/fleet/host/fleet_clock.h
+++ b/src/fleet/host/fleet_clock.h
@@ -8,7 +8,7 @@
 namespace firtide::fleet
 {
 
-Point fleet_now();
+TimePoint fleet_now();
 
 // Of the machine since its start; empty where the system does not tell.
 std::string boot_id();
--- a/src/fleet/host/host.cpp
+++ b/src/fleet/host/host.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr Span tick_interval = seconds(0.05);
+constexpr Duration tick_interval = seconds(0.05);
 
 uint64_t draw_seed()
 {
@@ -44,7 +44,7 @@
 
 void Host::start()
 {
-    if (config_.members[config_.self].voter) {
+    if (config_.members[config_.self].is_voter) {
         const auto on_effect = [this](VoterAgentEffect effect) {
             notify(VoterAgentReported{std::move(effect)});
         };
@@ -75,7 +75,7 @@
     reducing_ = false;
 }
 
-bool Host::authorize(const std::string& duty, Epoch epoch, Span duration) const
+bool Host::authorize(const std::string& duty, Epoch epoch, Duration duration) const
 {
     return fleet_.lease_allows(fleet_now(), duty, epoch, duration);
 }
@@ -112,16 +112,16 @@
 SnapshotLoaded Host::load_snapshot()
 {
     std::optional<std::string> bytes;
-    if (const auto error = directory_.files().read(snapshot_file, bytes))
+    if (const auto error = directory_.files().read(snapshot_file_name, bytes))
         return {SnapshotError{"it cannot be read: " + error.message()}, {}};
     if (!bytes) return {};
     auto decoded = decode_member_snapshot(*bytes);
     if (auto* error = std::get_if<SnapshotError>(&decoded)) return {std::move(*error), {}};
     auto& snapshot = std::get<MemberSnapshot>(decoded);
     // The boot clock goes on for as long as the machine does; wall clocks are not asked.
-    std::optional<Span> age;
-    const Span since{fleet_now().us - snapshot.boot_us};
-    if (snapshot.boot == boot_id() && since >= Span{}) age = since;
+    std::optional<Duration> age;
+    const Duration since{fleet_now().us - snapshot.written_at_boot_us};
+    if (snapshot.boot_id == boot_id() && since >= Duration{}) age = since;
     return {std::move(snapshot), age};
 }
 
@@ -219,7 +219,7 @@
     nlohmann::ordered_json line{{"boot_us", fleet_now().us},
                                 {"fleet", config_.name},
                                 {"member", config_.id},
-                                {"event", text_of(event.kind)}};
+                                {"event", to_string(event.kind)}};
     const bool is_lease =
         event.kind == LogEvent::Kind::lease_gained || event.kind == LogEvent::Kind::lease_lost;
     if (is_lease) {
@@ -232,7 +232,7 @@
         if (event.number) line["number"] = event.number;
     }
     if (!event.reason.empty()) line["why"] = event.reason;
-    log_line(line.dump());
+    log_raw_line(line.dump());
 }
 
 }  // namespace firtide::fleet
--- a/src/fleet/host/host.h
+++ b/src/fleet/host/host.h
@@ -49,7 +49,7 @@
     // Events that come while effects are carried out wait for their turn.
     void notify(FleetEvent event);
     // Whether an effect of a duty may leave now: to be asked again for what leaves later than it was decided.
-    [[nodiscard]] bool authorize(const std::string& duty, Epoch epoch, Span duration = {}) const;
+    [[nodiscard]] bool authorize(const std::string& duty, Epoch epoch, Duration duration = {}) const;
 
     [[nodiscard]] const FleetConfig& config() const { return config_; }
     [[nodiscard]] const Fleet& fleet() const { return fleet_; }
@@ -93,7 +93,7 @@
     std::unique_ptr<VoterAgentThread> voter_agent_;
     std::unique_ptr<SnapshotWriter> snapshot_writer_;
     std::error_code reported_snapshot_error_;
-    Timer tick_timer_;
+    EventPtr tick_timer_;
     std::deque<FleetEvent> events_;
     bool reducing_ = false;
 };
--- a/src/fleet/host/snapshot_writer.cpp
+++ b/src/fleet/host/snapshot_writer.cpp
@@ -41,8 +41,8 @@
         if (stopping_) return;
         MemberSnapshot snapshot = std::move(*std::exchange(next_, std::nullopt));
         lock.unlock();
-        snapshot.boot = boot_;
-        const auto error = files_.replace(snapshot_file, encode_member_snapshot(snapshot));
+        snapshot.boot_id = boot_;
+        const auto error = files_.replace(snapshot_file_name, encode_member_snapshot(snapshot));
         lock.lock();
         last_error_ = error;
     }
--- a/src/fleet/host/voter_agent_thread.cpp
+++ b/src/fleet/host/voter_agent_thread.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr Span tick_interval = seconds(0.02);
+constexpr Duration tick_interval = seconds(0.02);
 constexpr size_t max_calls = 4096;  // what is older than these nobody waits for any more
 
 }  // namespace
@@ -74,10 +74,10 @@
 }
 
 // Returns early where calls are there already, or the thread is to stop.
-std::deque<VoterAgentCall> VoterAgentThread::wait_for_calls(Span at_most)
+std::deque<VoterAgentCall> VoterAgentThread::wait_for_calls(Duration at_most)
 {
     std::unique_lock lock(mutex_);
-    if (!stopping_ && calls_.empty() && at_most > Span{})
+    if (!stopping_ && calls_.empty() && at_most > Duration{})
         calls_changed_.wait_for(lock, std::chrono::microseconds(at_most.us));
     return std::exchange(calls_, {});
 }
@@ -88,14 +88,14 @@
         const std::lock_guard lock(mutex_);
         return stopping_;
     };
-    VoterAgent agent(config_, files_, VoterTimes{}, seed);
+    VoterAgent agent(config_, files_, VoterTiming{}, seed);
     post(agent.start(fleet_now()));
-    Point last_tick = fleet_now();
+    TimePoint last_tick = fleet_now();
     while (!is_stopping()) {
         const auto calls = wait_for_calls(last_tick + tick_interval - fleet_now());
         if (is_stopping()) return;
         for (const VoterAgentCall& call : calls) post(agent.handle(fleet_now(), call));
-        const Point now = fleet_now();
+        const TimePoint now = fleet_now();
         if (now - last_tick < tick_interval) continue;
         last_tick = now;
         post(agent.tick(now));
--- a/src/fleet/host/voter_agent_thread.h
+++ b/src/fleet/host/voter_agent_thread.h
@@ -31,7 +31,7 @@
   private:
     // On the thread.
     void run(uint64_t seed);
-    std::deque<VoterAgentCall> wait_for_calls(Span at_most);
+    std::deque<VoterAgentCall> wait_for_calls(Duration at_most);
     void post(std::vector<VoterAgentEffect> effects);
 
     // On the loop.
@@ -41,7 +41,7 @@
     FileSystem& files_;
     std::function<void(VoterAgentEffect)> on_effect_;
     Descriptor wakeup_;
-    Timer wakeup_event_;
+    EventPtr wakeup_event_;
     std::mutex mutex_;  // guards what follows
     std::condition_variable calls_changed_;
     std::deque<VoterAgentCall> calls_;
--- a/src/fleet/lease/fencing_guard.h
+++ b/src/fleet/lease/fencing_guard.h
@@ -19,7 +19,7 @@
     [[nodiscard]] bool accept(const std::string& duty, Epoch epoch, uint64_t number);
 
     // Records that a duty has reached this epoch, without an effect.
-    void observe(const std::string& duty, Epoch epoch) { (void)accept(duty, epoch, 0); }
+    void observe_epoch(const std::string& duty, Epoch epoch) { (void)accept(duty, epoch, 0); }
 
     // The newest epoch seen of a duty; zero where none was.
     [[nodiscard]] Epoch epoch(const std::string& duty) const;
--- a/src/fleet/lease/lease_client.cpp
+++ b/src/fleet/lease/lease_client.cpp
@@ -20,25 +20,25 @@
       random_(static_cast<uint32_t>(seed ^ seed >> 32))
 {
     for (MemberIndex member = 0; member < config.members.size(); ++member)
-        if (config.members[member].voter) voters_.push_back(member);
+        if (config.members[member].is_voter) voters_.push_back(member);
     std::shuffle(voters_.begin(), voters_.end(), random_);
 }
 
-void LeaseClient::start(Point now) { next_renewal_ = lease_end_ = now; }
+void LeaseClient::start(TimePoint now) { next_renewal_ = lease_end_ = now; }
 
 void LeaseClient::restore_epochs(const std::vector<SeenEpoch>& epochs)
 {
     for (const SeenEpoch& seen : epochs) given_up_[seen.duty] = std::max(given_up_[seen.duty], seen.epoch);
 }
 
-void LeaseClient::set_leader(MemberKey leader, Term term)
+void LeaseClient::on_leader_hint(MemberKey leader, Term term)
 {
     if (!leader || term < leader_term_) return;
     leader_term_ = term;
     const auto member = config_.member_of(leader);
     if (!member || leader_ == *member) return;
     leader_ = *member;
-    if (!last_renewal_answered_) next_renewal_ = Point{};
+    if (!last_renewal_answered_) next_renewal_ = TimePoint{};
 }
 
 LeaseRenewRequest LeaseClient::renew_request() const
@@ -56,7 +56,7 @@
     return request;
 }
 
-void LeaseClient::send_renew_request(Point now)
+void LeaseClient::send_renew_request(TimePoint now)
 {
     // A leader that does not answer may have lost its term: another voter may know better.
     if (!last_renewal_answered_) leader_.reset();
@@ -71,7 +71,7 @@
     next_renewal_ = now + config_.lease.length * (lease_timing::retry_interval * jitter);
 }
 
-void LeaseClient::tick(Point now)
+void LeaseClient::tick(TimePoint now)
 {
     now_ = now;
     if (now >= lease_end_)
@@ -90,7 +90,7 @@
     held_.erase(held);
 }
 
-void LeaseClient::release(Point now, const std::string& duty, const std::string& reason)
+void LeaseClient::release(TimePoint now, const std::string& duty, const std::string& reason)
 {
     now_ = now;
     const auto held = held_.find(duty);
@@ -100,7 +100,7 @@
     if (leader_) sends_.push_back({*leader_, LeaseRelease{duty, epoch, instance_}});
 }
 
-void LeaseClient::depart(Point now)
+void LeaseClient::depart(TimePoint now)
 {
     now_ = now;
     departing_ = true;
@@ -109,19 +109,19 @@
     send_renew_request(now);
 }
 
-void LeaseClient::request(const std::string& family)
+void LeaseClient::request_family(const std::string& family)
 {
     requested_.insert(family);
-    next_renewal_ = Point{};
+    next_renewal_ = TimePoint{};
 }
 
-void LeaseClient::cancel_request(const std::string& family)
+void LeaseClient::cancel_family_request(const std::string& family)
 {
     requested_.erase(family);
-    next_renewal_ = Point{};
+    next_renewal_ = TimePoint{};
 }
 
-void LeaseClient::on_renew_response(Point now, MemberIndex from, const LeaseRenewResponse& response)
+void LeaseClient::on_renew_response(TimePoint now, MemberIndex from, const LeaseRenewResponse& response)
 {
     now_ = now;
     if (response.term < term_) return;
@@ -136,7 +136,7 @@
     take_leases(response);
 }
 
-bool LeaseClient::extend_lease(Point now, uint64_t nonce)
+bool LeaseClient::extend_lease(TimePoint now, uint64_t nonce)
 {
     const auto renewal = std::find_if(pending_.begin(), pending_.end(),
                                       [&](const PendingRenewal& pending) { return pending.nonce == nonce; });
@@ -146,7 +146,7 @@
     last_renewal_answered_ = true;
     const bool first_answer = std::exchange(last_answered_nonce_, nonce) == 0;
     const double jitter = 0.9 + 0.2 * uniform_random();
-    const Point lease_start = lease_end_ - config_.lease.holder_duration();
+    const TimePoint lease_start = lease_end_ - config_.lease.holder_duration();
     next_renewal_ =
         std::max(now, lease_start + config_.lease.length * (lease_timing::renewal_interval * jitter));
     // The leader grants only to members that are known to receive its answers, so the first answer is
@@ -197,7 +197,7 @@
     if (leader_) sends_.push_back({*leader_, LeaseRelease{lease.duty, lease.epoch, instance_}});
 }
 
-void LeaseClient::on_redirect(Point now, MemberIndex from, const LeaderRedirect& redirect)
+void LeaseClient::on_redirect(TimePoint now, MemberIndex from, const LeaderRedirect& redirect)
 {
     const auto leader = redirect.leader ? config_.member_of(redirect.leader) : std::nullopt;
     if (leader && *leader != from) {
@@ -211,7 +211,7 @@
     }
 }
 
-void LeaseClient::on_revoke(Point now, MemberIndex from, const LeaseRevoke& revoke)
+void LeaseClient::on_revoke(TimePoint now, MemberIndex from, const LeaseRevoke& revoke)
 {
     now_ = now;
     const auto held = held_.find(revoke.duty);
@@ -224,20 +224,20 @@
         sends_.push_back({from, LeaseRelease{revoke.duty, revoke.epoch, instance_}});
 }
 
-bool LeaseClient::holds(Point now, const std::string& duty, Epoch epoch) const
+bool LeaseClient::holds(TimePoint now, const std::string& duty, Epoch epoch) const
 {
     const auto held = held_.find(duty);
     return held != held_.end() && held->second == epoch && now < lease_end_;
 }
 
-std::optional<Epoch> LeaseClient::held_epoch(Point now, const std::string& duty) const
+std::optional<Epoch> LeaseClient::held_epoch(TimePoint now, const std::string& duty) const
 {
     const auto held = held_.find(duty);
     if (held == held_.end() || now >= lease_end_) return {};
     return held->second;
 }
 
-std::map<std::string, Epoch> LeaseClient::held_duties(Point now) const
+std::map<std::string, Epoch> LeaseClient::held_duties(TimePoint now) const
 {
     return now < lease_end_ ? held_ : std::map<std::string, Epoch>{};
 }
--- a/src/fleet/lease/lease_client.h
+++ b/src/fleet/lease/lease_client.h
@@ -32,7 +32,7 @@
     std::string duty;
     Epoch epoch = 0;
     std::string reason;
-    Point until;  // lost: no later than this, by this member's clock, the lease was over
+    TimePoint lease_end;  // lost: no later than this, by this member's clock, the lease was over
 };
 
 class LeaseClient
@@ -41,36 +41,39 @@
     // `config` must outlive the client.
     LeaseClient(const FleetConfig& config, InstanceId instance, uint64_t seed);
 
-    void start(Point now);
+    void start(TimePoint now);
     // Epochs that were known before this start: a lease at one of them is not accepted again.
     void restore_epochs(const std::vector<SeenEpoch>& epochs);
     // Renews when that is due, and gives up what was not renewed in time. To be called every 50 ms or so.
-    void tick(Point now);
+    void tick(TimePoint now);
 
-    void on_renew_response(Point now, MemberIndex from, const LeaseRenewResponse& response);
-    void on_redirect(Point now, MemberIndex from, const LeaderRedirect& redirect);
-    void on_revoke(Point now, MemberIndex from, const LeaseRevoke& revoke);
+    void on_renew_response(TimePoint now, MemberIndex from, const LeaseRenewResponse& response);
+    void on_redirect(TimePoint now, MemberIndex from, const LeaderRedirect& redirect);
+    void on_revoke(TimePoint now, MemberIndex from, const LeaseRevoke& revoke);
     // What a voter or a ping says of who leads. Of an older term, or zero, it changes nothing.
-    void set_leader(MemberKey leader, Term term);
+    void on_leader_hint(MemberKey leader, Term term);
 
     // Duties that are granted on request only, by their family (the part of a duty's name before the dot).
-    void request(const std::string& family);
-    void cancel_request(const std::string& family);
+    void request_family(const std::string& family);
+    void cancel_family_request(const std::string& family);
 
     // Gives one duty back.
-    void release(Point now, const std::string& duty, const std::string& reason);
+    void release(TimePoint now, const std::string& duty, const std::string& reason);
     // Gives everything back and asks for nothing any more.
-    void depart(Point now);
+    void depart(TimePoint now);
 
     // The check that stands before each effect of a duty, with a clock read for it.
-    [[nodiscard]] bool holds(Point now, const std::string& duty, Epoch epoch) const;
+    [[nodiscard]] bool holds(TimePoint now, const std::string& duty, Epoch epoch) const;
     // The epoch at which this member holds a duty now; nothing where it doesn't.
-    [[nodiscard]] std::optional<Epoch> held_epoch(Point now, const std::string& duty) const;
-    [[nodiscard]] std::map<std::string, Epoch> held_duties(Point now) const;
+    [[nodiscard]] std::optional<Epoch> held_epoch(TimePoint now, const std::string& duty) const;
+    [[nodiscard]] std::map<std::string, Epoch> held_duties(TimePoint now) const;
     // What is left of the lease; zero once it is over.
-    [[nodiscard]] Span time_left(Point now) const { return now < lease_end_ ? lease_end_ - now : Span{}; }
+    [[nodiscard]] Duration time_left(TimePoint now) const
+    {
+        return now < lease_end_ ? lease_end_ - now : Duration{};
+    }
     // Whether a majority has confirmed the lease lately.
-    [[nodiscard]] bool is_confirmed(Point now) const { return now < lease_end_; }
+    [[nodiscard]] bool is_lease_valid(TimePoint now) const { return now < lease_end_; }
 
     // The leader's table, as it was sent last.
     [[nodiscard]] const LeaseTable& table() const { return table_; }
@@ -85,13 +88,13 @@
     // A renewal that is not answered yet.
     struct PendingRenewal {
         uint64_t nonce = 0;
-        Point sent;
+        TimePoint sent;
     };
 
-    void send_renew_request(Point now);
+    void send_renew_request(TimePoint now);
     LeaseRenewRequest renew_request() const;
     // Returns false for an answer to a renewal that is not pending.
-    bool extend_lease(Point now, uint64_t nonce);
+    bool extend_lease(TimePoint now, uint64_t nonce);
     void take_leases(const LeaseRenewResponse& response);
     void accept_lease(const LeaseRecord& lease, Term term);
     bool must_give_back(const LeaseRecord& lease) const;
@@ -115,7 +118,7 @@
     std::deque<PendingRenewal> pending_;
     bool last_renewal_answered_ = true;
     bool departing_ = false;
-    Point now_, next_renewal_, lease_end_;
+    TimePoint now_, next_renewal_, lease_end_;
 
     std::map<std::string, Epoch> held_;
     std::map<std::string, Epoch> given_up_;    // the highest epoch of each duty that is not held any more
--- a/src/fleet/lease/lease_manager.cpp
+++ b/src/fleet/lease/lease_manager.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-constexpr Span max_batch_interval = seconds(0.15);
+constexpr Duration max_batch_interval = seconds(0.15);
 constexpr double settling_intervals = 1.2;  // renewal intervals after an election without new grants
 constexpr double disabled_expiry = 0.3;     // see DisabledChecks::full_expiry
 
@@ -27,7 +27,7 @@
     last_proposal_id_ = uint64_t{random()} << 32;
 }
 
-void LeaseManager::on_elected(Point now, Term term)
+void LeaseManager::on_elected(TimePoint now, Term term)
 {
     is_leader_ = true;
     term_ = term;
@@ -50,7 +50,7 @@
     pending_duties_.clear();
 }
 
-void LeaseManager::tick(Point now)
+void LeaseManager::tick(TimePoint now)
 {
     if (!is_leader_ || !table_) return;
     drive_transfers(now);
@@ -62,7 +62,7 @@
 
 // ---- renewals ----
 
-void LeaseManager::on_renew_request(Point now, MemberIndex from, const LeaseRenewRequest& request)
+void LeaseManager::on_renew_request(TimePoint now, MemberIndex from, const LeaseRenewRequest& request)
 {
     if (!is_leader_) return;
     sessions_.record(now, from, request);
@@ -77,14 +77,14 @@
     pending_renewals_.push_back({from, request});
 }
 
-void LeaseManager::propose_pending_renewals(Point now)
+void LeaseManager::propose_pending_renewals(TimePoint now)
 {
-    const Span batch = std::min(max_batch_interval, config_.lease.length * lease_timing::batch_interval);
+    const Duration batch = std::min(max_batch_interval, config_.lease.length * lease_timing::batch_interval);
     if (!pending_renewals_.empty() && now - last_proposal_ >= batch) propose(now, {});
 }
 
 // Pending renewals are confirmed by whatever is committed next.
-void LeaseManager::propose(Point now, std::vector<LeaseCommand> commands)
+void LeaseManager::propose(TimePoint now, std::vector<LeaseCommand> commands)
 {
     if (commands.empty()) commands.push_back({});
     const uint64_t id = ++last_proposal_id_;
@@ -144,16 +144,16 @@
 // ---- grants ----
 
 // Whether nobody can hold it any more, by whatever clock within the stated drift.
-bool LeaseManager::is_expired(Point now, const LeaseTable::Entry& lease) const
+bool LeaseManager::is_expired(TimePoint now, const LeaseTable::Entry& lease) const
 {
     const auto renewed = sessions_.last_renewal(lease.holder, lease.instance);
-    Point last = renewed ? std::max(elected_at_, *renewed) : elected_at_;
+    TimePoint last = renewed ? std::max(elected_at_, *renewed) : elected_at_;
     if (disabled_checks.wait_after_election && !renewed) last = elected_at_ - config_.lease.length;
-    const Span length = config_.lease.length * (disabled_checks.full_expiry ? disabled_expiry : 1);
+    const Duration length = config_.lease.length * (disabled_checks.full_expiry ? disabled_expiry : 1);
     return now - last > length;
 }
 
-void LeaseManager::assign_leases(Point now)
+void LeaseManager::assign_leases(TimePoint now)
 {
     std::vector<LeaseCommand> commands;
     Loads loads = sessions_.loads(now, *table_);
@@ -162,13 +162,13 @@
     if (!commands.empty()) propose(now, std::move(commands));
 }
 
-void LeaseManager::assign_lease(Point now, const Duty& duty, Loads& loads,
+void LeaseManager::assign_lease(TimePoint now, const Duty& duty, Loads& loads,
                                 std::vector<LeaseCommand>& commands)
 {
     const auto lease = table_->entry(duty.name);
     // After an election, who is live shows within one renewal: the first to ask must not be granted
     // everything.
-    const Span settling = config_.lease.length * (lease_timing::renewal_interval * settling_intervals);
+    const Duration settling = config_.lease.length * (lease_timing::renewal_interval * settling_intervals);
     const bool settled = now - elected_at_ > settling;
     if (lease.holder ? !is_expired(now, lease) : !settled) return;
     if (lease.holder) release_expired(duty, lease, loads, commands);
@@ -190,11 +190,11 @@
 }
 
 // Permits go to the members that have asked, in the order of asking; one for each member.
-void LeaseManager::grant_permit(Point now, const Duty& duty, std::vector<LeaseCommand>& commands)
+void LeaseManager::grant_permit(TimePoint now, const Duty& duty, std::vector<LeaseCommand>& commands)
 {
     const std::string family = family_of(duty.name);
     std::optional<MemberIndex> first;
-    Point first_requested;
+    TimePoint first_requested;
     for (const auto& [member, session] : sessions_.all()) {
         const auto requested = session.requested.find(family);
         if (!sessions_.is_live(now, member) || requested == session.requested.end()) continue;
@@ -259,14 +259,14 @@
     pending_duties_.insert(duty);
 }
 
-void LeaseManager::on_release(Point now, MemberIndex from, const LeaseRelease& release)
+void LeaseManager::on_release(TimePoint now, MemberIndex from, const LeaseRelease& release)
 {
     if (is_leader_) take_back(now, from, release.instance, {release.duty, release.epoch});
 }
 
 // The holder says that it does not hold a lease any more. The next grant is in the same entry of the log, so
 // that nobody holds the duty for as short as possible.
-void LeaseManager::take_back(Point now, MemberIndex from, InstanceId instance, const SeenEpoch& lease)
+void LeaseManager::take_back(TimePoint now, MemberIndex from, InstanceId instance, const SeenEpoch& lease)
 {
     if (!table_) return;
     const auto entry = table_->entry(lease.duty);
@@ -282,7 +282,7 @@
     propose(now, std::move(commands));
 }
 
-std::optional<MemberIndex> LeaseManager::next_holder(Point now, const std::string& duty,
+std::optional<MemberIndex> LeaseManager::next_holder(TimePoint now, const std::string& duty,
                                                      MemberIndex last_holder) const
 {
     if (const auto target = live_transfer_target(now, duty)) return target;
--- a/src/fleet/lease/lease_manager.h
+++ b/src/fleet/lease/lease_manager.h
@@ -30,17 +30,17 @@
     // The table as committed so far; it is read where it stands, and must outlive the manager.
     void set_table(const LeaseTable& table) { table_ = &table; }
 
-    void on_elected(Point now, Term term);
+    void on_elected(TimePoint now, Term term);
     void on_stepped_down();
     [[nodiscard]] bool is_leader() const { return is_leader_; }
 
-    void tick(Point now);
-    void on_renew_request(Point now, MemberIndex from, const LeaseRenewRequest& request);
-    void on_release(Point now, MemberIndex from, const LeaseRelease& release);
+    void tick(TimePoint now);
+    void on_renew_request(TimePoint now, MemberIndex from, const LeaseRenewRequest& request);
+    void on_release(TimePoint now, MemberIndex from, const LeaseRelease& release);
     // What became of a proposal. `committed` false: it may yet be.
     void on_proposal_result(const LeaseTable& table, uint64_t proposal, bool committed);
     // An operator's command: gives the duty `first` to the member `second`, or to whichever holds the fewest.
-    void transfer(Point now, MemberIndex from, const AdminCommand& command);
+    void transfer(TimePoint now, MemberIndex from, const AdminCommand& command);
 
     [[nodiscard]] std::vector<Send> take_sends() { return std::exchange(sends_, {}); }
     [[nodiscard]] std::vector<Proposal> take_proposals() { return std::exchange(proposals_, {}); }
@@ -62,7 +62,7 @@
     struct Transfer {
         std::optional<MemberIndex> to;
         Epoch epoch = 0;  // at which it is held now
-        Point started, last_revoke;
+        TimePoint started, last_revoke;
         std::optional<CommandOrigin> origin;  // absent: rebalancing
     };
     struct PendingRenewal {
@@ -76,42 +76,43 @@
     using Loads = std::map<MemberIndex, size_t>;  // duties held, of each live member
 
     // ---- renewals ----
-    void propose(Point now, std::vector<LeaseCommand> commands);
-    void propose_pending_renewals(Point now);
+    void propose(TimePoint now, std::vector<LeaseCommand> commands);
+    void propose_pending_renewals(TimePoint now);
     void answer(const PendingRenewal& renewal, const LeaseTable& table);
     void notify_grantees(const std::vector<LeaseCommand>& commands, const LeaseTable& table);
     void notify_grantee(MemberIndex member, const LeaseCommand& grant, const LeaseTable& table);
 
     // ---- grants ----
-    void assign_leases(Point now);
-    void assign_lease(Point now, const Duty& duty, Loads& loads, std::vector<LeaseCommand>& commands);
+    void assign_leases(TimePoint now);
+    void assign_lease(TimePoint now, const Duty& duty, Loads& loads, std::vector<LeaseCommand>& commands);
     void release_expired(const Duty& duty, const LeaseTable::Entry& lease, Loads& loads,
                          std::vector<LeaseCommand>& commands);
-    void grant_permit(Point now, const Duty& duty, std::vector<LeaseCommand>& commands);
+    void grant_permit(TimePoint now, const Duty& duty, std::vector<LeaseCommand>& commands);
     bool has_permit(MemberIndex member, const LeaseSession& session, const std::string& family,
                     const std::vector<LeaseCommand>& commands) const;
     void grant(std::vector<LeaseCommand>& commands, const std::string& duty, MemberIndex to,
                const std::string& reason);
-    void take_back(Point now, MemberIndex from, InstanceId instance, const SeenEpoch& lease);
-    std::optional<MemberIndex> next_holder(Point now, const std::string& duty, MemberIndex last_holder) const;
+    void take_back(TimePoint now, MemberIndex from, InstanceId instance, const SeenEpoch& lease);
+    std::optional<MemberIndex> next_holder(TimePoint now, const std::string& duty,
+                                           MemberIndex last_holder) const;
     std::optional<MemberIndex> choose(const std::string& duty, const Loads& loads) const;
-    bool is_expired(Point now, const LeaseTable::Entry& lease) const;
+    bool is_expired(TimePoint now, const LeaseTable::Entry& lease) const;
 
     // ---- transfers ----
-    void rebalance(Point now);
+    void rebalance(TimePoint now);
     const Duty* duty_to_move(MemberIndex from, MemberIndex to) const;
-    void drive_transfers(Point now);
+    void drive_transfers(TimePoint now);
     void finish_transfers(const std::vector<LeaseCommand>& commands, const LeaseTable& table);
-    std::optional<MemberIndex> live_transfer_target(Point now, const std::string& duty) const;
-    std::optional<MemberIndex> least_loaded_other(Point now, MemberKey holder) const;
-    std::string refusal_of_transfer(Point now, const AdminCommand& command) const;
+    std::optional<MemberIndex> live_transfer_target(TimePoint now, const std::string& duty) const;
+    std::optional<MemberIndex> least_loaded_other(TimePoint now, MemberKey holder) const;
+    std::string refusal_of_transfer(TimePoint now, const AdminCommand& command) const;
     void report(const std::optional<CommandOrigin>& origin, bool success, const std::string& text);
 
     const FleetConfig& config_;
     const LeaseTable* table_ = nullptr;
     bool is_leader_ = false;
     Term term_ = 0;
-    Point elected_at_, last_rebalance_, last_proposal_;
+    TimePoint elected_at_, last_rebalance_, last_proposal_;
     LeaseSessions sessions_;
     std::map<std::string, Epoch> epoch_floors_;  // the highest epoch that a member has seen of each duty
     std::vector<PendingRenewal> pending_renewals_;
--- a/src/fleet/lease/lease_sessions.cpp
+++ b/src/fleet/lease/lease_sessions.cpp
@@ -11,7 +11,7 @@
     last_renewal_.clear();
 }
 
-void LeaseSessions::record(Point now, MemberIndex member, const LeaseRenewRequest& request)
+void LeaseSessions::record(TimePoint now, MemberIndex member, const LeaseRenewRequest& request)
 {
     LeaseSession& session = sessions_[member];
     if (session.instance != request.instance) {
@@ -28,7 +28,7 @@
     }
     session.last_request = now;
     session.departing = request.departing;
-    std::map<std::string, Point> requested;
+    std::map<std::string, TimePoint> requested;
     for (const std::string& family : request.requested) {
         const auto before = session.requested.find(family);
         requested[family] = before == session.requested.end() ? now : before->second;
@@ -37,31 +37,31 @@
     last_renewal_[{config_.members[member].key, request.instance}] = now;
 }
 
-void LeaseSessions::expire(Point now)
+void LeaseSessions::expire(TimePoint now)
 {
-    const Span length = config_.lease.length;
+    const Duration length = config_.lease.length;
     std::erase_if(sessions_, [&](const auto& entry) { return now - entry.second.last_request > length * 2; });
     std::erase_if(last_renewal_, [&](const auto& entry) { return now - entry.second > length * 4; });
 }
 
-bool LeaseSessions::is_live(Point now, MemberIndex member) const
+bool LeaseSessions::is_live(TimePoint now, MemberIndex member) const
 {
     const auto found = sessions_.find(member);
     if (found == sessions_.end()) return false;
     const LeaseSession& session = found->second;
-    const Span recent = config_.lease.length * lease_timing::liveness;
+    const Duration recent = config_.lease.length * lease_timing::liveness;
     return !session.departing && session.last_answered_at && now - session.last_request < recent &&
            now - *session.last_answered_at < recent;
 }
 
-std::optional<Point> LeaseSessions::last_renewal(MemberKey holder, InstanceId instance) const
+std::optional<TimePoint> LeaseSessions::last_renewal(MemberKey holder, InstanceId instance) const
 {
     const auto found = last_renewal_.find({holder, instance});
     if (found == last_renewal_.end()) return {};
     return found->second;
 }
 
-std::map<MemberIndex, size_t> LeaseSessions::loads(Point now, const LeaseTable& table) const
+std::map<MemberIndex, size_t> LeaseSessions::loads(TimePoint now, const LeaseTable& table) const
 {
     std::map<MemberIndex, size_t> loads;
     for (const auto& [member, session] : sessions_)
--- a/src/fleet/lease/lease_sessions.h
+++ b/src/fleet/lease/lease_sessions.h
@@ -15,11 +15,11 @@
 // One member's renewals with this leader.
 struct LeaseSession {
     InstanceId instance = 0;
-    Point last_request;
+    TimePoint last_request;
     uint64_t last_answered_nonce = 0;
-    std::optional<Point> last_answered_at;  // absent: no answer is known to have reached it
+    std::optional<TimePoint> last_answered_at;  // absent: no answer is known to have reached it
     bool departing = false;
-    std::map<std::string, Point> requested;  // families of duties, and since when
+    std::map<std::string, TimePoint> requested;  // families of duties, and since when
 };
 
 class LeaseSessions
@@ -29,18 +29,18 @@
     explicit LeaseSessions(const FleetConfig& config) : config_(config) {}
 
     void clear();
-    void record(Point now, MemberIndex member, const LeaseRenewRequest& request);
+    void record(TimePoint now, MemberIndex member, const LeaseRenewRequest& request);
     // Forgets what can't matter any more.
-    void expire(Point now);
+    void expire(TimePoint now);
 
     // Whether a member may be granted something: it renews, hears the answers and doesn't depart.
-    [[nodiscard]] bool is_live(Point now, MemberIndex member) const;
+    [[nodiscard]] bool is_live(TimePoint now, MemberIndex member) const;
     [[nodiscard]] const std::map<MemberIndex, LeaseSession>& all() const { return sessions_; }
     [[nodiscard]] InstanceId instance_of(MemberIndex member) const { return sessions_.at(member).instance; }
     // The last renewal of this holder that reached this leader; nothing: none did.
-    [[nodiscard]] std::optional<Point> last_renewal(MemberKey holder, InstanceId instance) const;
+    [[nodiscard]] std::optional<TimePoint> last_renewal(MemberKey holder, InstanceId instance) const;
     // Live members, and how many duties each holds.
-    [[nodiscard]] std::map<MemberIndex, size_t> loads(Point now, const LeaseTable& table) const;
+    [[nodiscard]] std::map<MemberIndex, size_t> loads(TimePoint now, const LeaseTable& table) const;
 
   private:
     struct Holder {
@@ -51,7 +51,7 @@
 
     const FleetConfig& config_;
     std::map<MemberIndex, LeaseSession> sessions_;
-    std::map<Holder, Point> last_renewal_;  // also of instances that another one has replaced
+    std::map<Holder, TimePoint> last_renewal_;  // also of instances that another one has replaced
 };
 
 }  // namespace firtide::fleet
--- a/src/fleet/lease/lease_transfer.cpp
+++ b/src/fleet/lease/lease_transfer.cpp
@@ -11,15 +11,15 @@
 namespace
 {
 
-constexpr Span revoke_interval = seconds(0.1);  // between two requests to release the same lease
-constexpr Span transfer_grace = seconds(1);     // beyond two leases, before a transfer is given up
+constexpr Duration revoke_interval = seconds(0.1);  // between two requests to release the same lease
+constexpr Duration transfer_grace = seconds(1);     // beyond two leases, before a transfer is given up
 constexpr double rebalance_interval = lease_timing::renewal_interval / 4;  // of a lease's length
 constexpr size_t tolerated_imbalance = 1;  // duties that the most loaded member may hold more than the least
 
 }  // namespace
 
 // One duty at a time goes from the most loaded member to the least loaded one.
-void LeaseManager::rebalance(Point now)
+void LeaseManager::rebalance(TimePoint now)
 {
     if (now - last_rebalance_ < config_.lease.length * rebalance_interval || !transfers_.empty()) return;
     last_rebalance_ = now;
@@ -48,7 +48,7 @@
     return best;
 }
 
-void LeaseManager::transfer(Point now, MemberIndex from, const AdminCommand& command)
+void LeaseManager::transfer(TimePoint now, MemberIndex from, const AdminCommand& command)
 {
     const CommandOrigin origin{from, command.number};
     const std::string refusal = refusal_of_transfer(now, command);
@@ -67,7 +67,7 @@
 }
 
 // Empty: there is none.
-std::string LeaseManager::refusal_of_transfer(Point now, const AdminCommand& command) const
+std::string LeaseManager::refusal_of_transfer(TimePoint now, const AdminCommand& command) const
 {
     if (!is_leader_ || !table_) return "this member does not lead";
     const auto duty = config_.duty_of(command.first);
@@ -78,7 +78,7 @@
     return sessions_.is_live(now, *to) ? "" : "that member renews no lease";
 }
 
-std::optional<MemberIndex> LeaseManager::least_loaded_other(Point now, MemberKey holder) const
+std::optional<MemberIndex> LeaseManager::least_loaded_other(TimePoint now, MemberKey holder) const
 {
     Loads loads = sessions_.loads(now, *table_);
     if (const auto member = config_.member_of(holder)) loads.erase(*member);
@@ -88,7 +88,7 @@
     return best;
 }
 
-std::optional<MemberIndex> LeaseManager::live_transfer_target(Point now, const std::string& duty) const
+std::optional<MemberIndex> LeaseManager::live_transfer_target(TimePoint now, const std::string& duty) const
 {
     const auto transfer = transfers_.find(duty);
     if (transfer == transfers_.end() || !transfer->second.to) return {};
@@ -96,7 +96,7 @@
     return transfer->second.to;
 }
 
-void LeaseManager::drive_transfers(Point now)
+void LeaseManager::drive_transfers(TimePoint now)
 {
     for (auto next = transfers_.begin(); next != transfers_.end();) {
         const auto current = next++;
--- a/src/fleet/membership/member_view.cpp
+++ b/src/fleet/membership/member_view.cpp
@@ -49,7 +49,7 @@
     ++version_;
 }
 
-void MemberView::update_sets(Point now, MemberIndex member, Health before)
+void MemberView::update_sets(TimePoint now, MemberIndex member, Health before)
 {
     const MemberState& state = members_[member];
     const auto place = std::lower_bound(gone_.begin(), gone_.end(), member);
@@ -62,7 +62,7 @@
         suspect_since_.try_emplace(member, before == Health::suspect ? started_ : now);
 }
 
-std::vector<MemberIndex> MemberView::overdue_suspects(Point now, Span timeout)
+std::vector<MemberIndex> MemberView::overdue_suspects(TimePoint now, Duration timeout)
 {
     std::vector<MemberIndex> overdue;
     for (const auto& [member, since] : suspect_since_)
--- a/src/fleet/membership/member_view.h
+++ b/src/fleet/membership/member_view.h
@@ -17,7 +17,7 @@
     Incarnation incarnation = 0;
     InstanceId instance = 0;
     Health health = Health::suspect;
-    uint8_t weight = 0;  // of its traffic, see MembershipUpdate
+    uint8_t traffic_weight = 0;  // of its traffic, see MembershipUpdate
 };
 
 class MemberView
@@ -26,7 +26,7 @@
     // `roster` must outlive the view.
     explicit MemberView(const Roster& roster);
 
-    void start(Point now) { started_ = now; }
+    void start(TimePoint now) { started_ = now; }
     // Replaces all records but the member's own.
     void seed(const std::vector<MemberState>& members, MemberIndex self);
 
@@ -35,7 +35,7 @@
     // The one place where a record changes.
     void set(MemberIndex member, const MemberState& next);
     // Keeps the sets of suspect and gone members in step with a record that has changed.
-    void update_sets(Point now, MemberIndex member, Health before);
+    void update_sets(TimePoint now, MemberIndex member, Health before);
 
     [[nodiscard]] size_t alive() const { return alive_; }
     // Equal at two members exactly if they hold the same health and incarnation of each member that was ever
@@ -46,7 +46,7 @@
 
     // Those that have been suspect for longer than `timeout`, in the order of the fleet file. Members that
     // were never heard of are suspect since the start, and are returned once.
-    [[nodiscard]] std::vector<MemberIndex> overdue_suspects(Point now, Span timeout);
+    [[nodiscard]] std::vector<MemberIndex> overdue_suspects(TimePoint now, Duration timeout);
     // In the order of the fleet file.
     [[nodiscard]] const std::vector<MemberIndex>& gone() const { return gone_; }
 
@@ -57,8 +57,8 @@
     std::vector<MemberState> members_;
     size_t alive_ = 0;
     uint64_t digest_ = 0, version_ = 0;
-    Point started_;
-    std::map<MemberIndex, Point> suspect_since_;  // without those that were never heard of
+    TimePoint started_;
+    std::map<MemberIndex, TimePoint> suspect_since_;  // without those that were never heard of
     bool unheard_are_suspect_ = true;
     std::vector<MemberIndex> gone_;
 };
--- a/src/fleet/membership/membership.cpp
+++ b/src/fleet/membership/membership.cpp
@@ -16,7 +16,7 @@
 constexpr double recently_heard = 2;  // so that a probe for others is answered at once
 constexpr double relayed_probe_lasts = 3;
 
-constexpr Span first_exchange_backoff = seconds(1), max_exchange_backoff = seconds(60);
+constexpr Duration first_exchange_backoff = seconds(1), max_exchange_backoff = seconds(60);
 
 void sort_unique(std::vector<MemberIndex>& members)
 {
@@ -26,8 +26,8 @@
 
 }  // namespace
 
-Membership::Membership(const FleetConfig& config, InstanceId instance, Incarnation incarnation, Span period,
-                       uint64_t seed)
+Membership::Membership(const FleetConfig& config, InstanceId instance, Incarnation incarnation,
+                       Duration period, uint64_t seed)
     : config_(config),
       self_(config.self),
       period_(period),
@@ -37,7 +37,7 @@
     view_.set(self_, {incarnation, instance, Health::alive, 0});
 }
 
-void Membership::start(Point now)
+void Membership::start(TimePoint now)
 {
     started_ = last_tick_ = heard_at_least_ = now;
     view_.start(now);
@@ -98,7 +98,7 @@
 {
     const MemberState& state = view_.of(member);
     return {config_.members[member].key, static_cast<uint8_t>(state.health), state.incarnation,
-            state.instance, state.weight};
+            state.instance, state.traffic_weight};
 }
 
 MembershipUpdates Membership::full_state(bool reply_requested) const
@@ -109,15 +109,15 @@
     return state;
 }
 
-void Membership::ping(Point now, MemberIndex to, uint64_t acknowledges)
+void Membership::ping(TimePoint now, MemberIndex to, uint64_t acknowledges)
 {
     const MemberState& receiver = view_.of(to);
     Ping ping;
     ping.number = ++last_ping_number_;
     ping.acknowledges = acknowledges;
     ping.incarnation = incarnation();
-    ping.instance = own().instance;
-    ping.view_digest = digest();
+    ping.instance = own_state().instance;
+    ping.view_digest = view_digest();
     ping.receiver_health = static_cast<uint8_t>(receiver.health);
     ping.receiver_incarnation = receiver.incarnation;
     ping.leader = payload_.leader;
@@ -125,7 +125,7 @@
     ping.list_number = payload_.list_number;
     ping.list_epoch = payload_.list_epoch;
     ping.list_digest = payload_.list_digest;
-    ping.weight = own().weight;
+    ping.weight = own_state().traffic_weight;
     if (!acknowledges) contact_of(to).last_ping = now;
     send(to, ping);
 }
@@ -139,9 +139,9 @@
 
 void Membership::set_weight(uint8_t weight)
 {
-    MemberState state = own();
+    MemberState state = own_state();
     ++state.incarnation;
-    state.weight = weight;
+    state.traffic_weight = weight;
     view_.set(self_, state);
     gossip({update_of(self_)}, no_member);
 }
@@ -156,7 +156,7 @@
 
 // ---- what is received ----
 
-bool Membership::accept(Point now, MemberIndex member, const MemberState& update)
+bool Membership::accept(TimePoint now, MemberIndex member, const MemberState& update)
 {
     if (member == self_) {
         refute(update);
@@ -184,7 +184,7 @@
 // this id which its disk has forgotten: by a higher incarnation.
 void Membership::refute(const MemberState& update)
 {
-    const MemberState state = own();
+    const MemberState state = own_state();
     const bool is_alive = update.health == Health::alive;
     const bool is_other_instance = update.instance != 0 && update.instance != state.instance;
     if (is_other_instance && update.incarnation >= state.incarnation && is_alive) duplicate_identity_ = true;
@@ -192,11 +192,11 @@
     const bool agrees =
         is_alive && (update.incarnation == state.incarnation || update.instance == state.instance);
     if (agrees) return;
-    view_.set(self_, {update.incarnation + 1, state.instance, state.health, state.weight});
+    view_.set(self_, {update.incarnation + 1, state.instance, state.health, state.traffic_weight});
     gossip({update_of(self_)}, no_member);
 }
 
-void Membership::on_message(Point now, MemberIndex from)
+void Membership::on_message(TimePoint now, MemberIndex from)
 {
     Contact& contact = contact_of(from);
     contact.last_heard = now;
@@ -208,7 +208,7 @@
     });
 }
 
-void Membership::on_ping(Point now, MemberIndex from, const Ping& ping_received)
+void Membership::on_ping(TimePoint now, MemberIndex from, const Ping& ping_received)
 {
     const MemberState sender{ping_received.incarnation, ping_received.instance, Health::alive,
                              ping_received.weight};
@@ -223,10 +223,10 @@
 }
 
 // Repairs what gossip has lost. Backs off, for two members whose files name other members differ for good.
-void Membership::reconcile(Point now, MemberIndex from, uint64_t other_digest)
+void Membership::reconcile(TimePoint now, MemberIndex from, uint64_t other_digest)
 {
     Contact& contact = contact_of(from);
-    if (other_digest == digest()) {
+    if (other_digest == view_digest()) {
         contact.differs_since = now + period_;
         contact.exchange_backoff = first_exchange_backoff;
         return;
@@ -238,7 +238,7 @@
     send(from, full_state(true));
 }
 
-void Membership::on_indirect_probe(Point now, MemberIndex from, const IndirectProbeRequest& request)
+void Membership::on_indirect_probe(TimePoint now, MemberIndex from, const IndirectProbeRequest& request)
 {
     const auto subject = config_.member_of(request.member);
     if (!subject || *subject == self_) return;
@@ -248,7 +248,7 @@
     ping(now, *subject);
 }
 
-void Membership::on_indirect_ack(Point now, const IndirectProbeAck& ack)
+void Membership::on_indirect_ack(TimePoint now, const IndirectProbeAck& ack)
 {
     const auto subject = config_.member_of(ack.member);
     if (!subject || *subject == self_) return;
@@ -257,7 +257,7 @@
     contact.last_heard = now;
 }
 
-void Membership::on_updates(Point now, MemberIndex from, const MembershipUpdates& updates)
+void Membership::on_updates(TimePoint now, MemberIndex from, const MembershipUpdates& updates)
 {
     std::vector<MembershipUpdate> news;
     for (const MembershipUpdate& update : updates.updates) {
@@ -273,7 +273,7 @@
 
 // ---- monitoring ----
 
-void Membership::tick(Point now)
+void Membership::tick(TimePoint now)
 {
     // After a stall of this process nobody has been heard: the others are not to blame.
     if (now - last_tick_ > period_ * stalled_after) heard_at_least_ = now - period_;
@@ -288,7 +288,7 @@
     ping_gone_member(now, gone_member);
 }
 
-std::vector<MembershipUpdate> Membership::monitor_peers(Point now)
+std::vector<MembershipUpdate> Membership::monitor_peers(TimePoint now)
 {
     std::vector<MembershipUpdate> found;
     const auto peers = monitored_;  // a finding may change them
@@ -297,7 +297,8 @@
     return found;
 }
 
-void Membership::monitor(Point now, MemberIndex peer, Contact& contact, std::vector<MembershipUpdate>& found)
+void Membership::monitor(TimePoint now, MemberIndex peer, Contact& contact,
+                         std::vector<MembershipUpdate>& found)
 {
     if (now - contact.last_ping >= period_) ping(now, peer);
     if (view_.of(peer).health != Health::alive) return;
@@ -308,11 +309,11 @@
     if (now - contact.probe_started <= period_ * suspect_after) return;
     contact.probing = false;
     const MemberState state = view_.of(peer);
-    if (accept(now, peer, {state.incarnation, 0, Health::suspect, state.weight}))
+    if (accept(now, peer, {state.incarnation, 0, Health::suspect, state.traffic_weight}))
         found.push_back(update_of(peer));
 }
 
-void Membership::probe_indirectly(Point now, MemberIndex peer, Contact& contact)
+void Membership::probe_indirectly(TimePoint now, MemberIndex peer, Contact& contact)
 {
     contact.probing = true;
     contact.probe_started = now;
@@ -320,12 +321,12 @@
         send(helper, IndirectProbeRequest{config_.members[peer].key});
 }
 
-void Membership::expire_suspects(Point now, std::vector<MembershipUpdate>& found)
+void Membership::expire_suspects(TimePoint now, std::vector<MembershipUpdate>& found)
 {
     for (const MemberIndex member : view_.overdue_suspects(now, period_ * gone_after)) {
         const MemberState state = view_.of(member);
         const bool was_heard_of = state.incarnation > 0;
-        if (accept(now, member, {state.incarnation, 0, Health::gone, state.weight}) && was_heard_of)
+        if (accept(now, member, {state.incarnation, 0, Health::gone, state.traffic_weight}) && was_heard_of)
             found.push_back(update_of(member));
     }
 }
@@ -338,7 +339,7 @@
 }
 
 // They are tried in turn: two halves of a fleet that hold each other for gone find together again.
-void Membership::ping_gone_member(Point now, std::optional<MemberIndex> member)
+void Membership::ping_gone_member(TimePoint now, std::optional<MemberIndex> member)
 {
     if (!member || now - last_gone_ping_ < period_) return;
     ping(now, *member);
--- a/src/fleet/membership/membership.h
+++ b/src/fleet/membership/membership.h
@@ -40,21 +40,21 @@
   public:
     // `config` must outlive the membership. `period`: of monitoring; a silent member is suspect after some
     // four and gone after some eight of them.
-    Membership(const FleetConfig& config, InstanceId instance, Incarnation incarnation, Span period,
+    Membership(const FleetConfig& config, InstanceId instance, Incarnation incarnation, Duration period,
                uint64_t seed);
 
-    void start(Point now);
+    void start(TimePoint now);
     // Takes the view of a fleet that has long been up, in place of finding it out. Sends nothing. For
     // simulations.
     void seed_members(const std::vector<MemberState>& members);
-    void tick(Point now);
+    void tick(TimePoint now);
 
     // To be called for every message, whatever it is, before the message itself is handled.
-    void on_message(Point now, MemberIndex from);
-    void on_ping(Point now, MemberIndex from, const Ping& ping);
-    void on_indirect_probe(Point now, MemberIndex from, const IndirectProbeRequest& request);
-    void on_indirect_ack(Point now, const IndirectProbeAck& ack);
-    void on_updates(Point now, MemberIndex from, const MembershipUpdates& updates);
+    void on_message(TimePoint now, MemberIndex from);
+    void on_ping(TimePoint now, MemberIndex from, const Ping& ping);
+    void on_indirect_probe(TimePoint now, MemberIndex from, const IndirectProbeRequest& request);
+    void on_indirect_ack(TimePoint now, const IndirectProbeAck& ack);
+    void on_updates(TimePoint now, MemberIndex from, const MembershipUpdates& updates);
 
     // Announces that this member is gone.
     void depart();
@@ -64,14 +64,14 @@
     void set_payload(const PingPayload& payload) { payload_ = payload; }
 
     [[nodiscard]] std::vector<Send> take_sends() { return std::exchange(sends_, {}); }
-    [[nodiscard]] std::vector<HealthChange> take_changes() { return std::exchange(changes_, {}); }
-
-    [[nodiscard]] const MemberState& of(MemberIndex member) const { return view_.of(member); }
-    [[nodiscard]] const MemberState& own() const { return view_.of(self_); }
-    [[nodiscard]] Incarnation incarnation() const { return own().incarnation; }
-    [[nodiscard]] size_t alive() const { return view_.alive(); }
-    [[nodiscard]] uint64_t digest() const { return view_.digest(); }
-    [[nodiscard]] uint64_t version() const { return view_.version(); }
+    [[nodiscard]] std::vector<HealthChange> take_health_changes() { return std::exchange(changes_, {}); }
+
+    [[nodiscard]] const MemberState& state_of(MemberIndex member) const { return view_.of(member); }
+    [[nodiscard]] const MemberState& own_state() const { return view_.of(self_); }
+    [[nodiscard]] Incarnation incarnation() const { return own_state().incarnation; }
+    [[nodiscard]] size_t alive_count() const { return view_.alive(); }
+    [[nodiscard]] uint64_t view_digest() const { return view_.digest(); }
+    [[nodiscard]] uint64_t view_version() const { return view_.version(); }
     // Whether another process has been seen under this member's id.
     [[nodiscard]] bool has_duplicate_identity() const { return duplicate_identity_; }
 
@@ -82,51 +82,54 @@
   private:
     // Of a member that was heard directly, or pinged.
     struct Contact {
-        Point last_heard, last_ping, probe_started;
-        bool probing = false;  // through others
-        Point last_exchange;   // of all records
-        Span exchange_backoff;
-        Point differs_since;  // the digests of both
+        TimePoint last_heard, last_ping, probe_started;
+        bool probing = false;     // through others
+        TimePoint last_exchange;  // of all records
+        Duration exchange_backoff;
+        TimePoint differs_since;  // the digests of both
     };
     // An indirect probe that another member has asked for.
     struct RelayedProbe {
         MemberIndex subject = 0, requester = 0;
-        Point requested;
+        TimePoint requested;
     };
 
     void send(MemberIndex to, Message message) { sends_.push_back({to, std::move(message)}); }
-    void ping(Point now, MemberIndex to, uint64_t acknowledges = 0);
+    void ping(TimePoint now, MemberIndex to, uint64_t acknowledges = 0);
     void gossip(const std::vector<MembershipUpdate>& updates, MemberIndex except);
     MembershipUpdate update_of(MemberIndex member) const;
     MembershipUpdates full_state(bool reply_requested) const;
 
     // Returns true where the update is news.
-    bool accept(Point now, MemberIndex member, const MemberState& update);
+    bool accept(TimePoint now, MemberIndex member, const MemberState& update);
     void refute(const MemberState& update);
-    void reconcile(Point now, MemberIndex from, uint64_t digest);
+    void reconcile(TimePoint now, MemberIndex from, uint64_t digest);
 
-    void monitor(Point now, MemberIndex peer, Contact& contact, std::vector<MembershipUpdate>& found);
-    void probe_indirectly(Point now, MemberIndex peer, Contact& contact);
-    std::vector<MembershipUpdate> monitor_peers(Point now);
-    void expire_suspects(Point now, std::vector<MembershipUpdate>& found);
-    void ping_gone_member(Point now, std::optional<MemberIndex> member);
+    void monitor(TimePoint now, MemberIndex peer, Contact& contact, std::vector<MembershipUpdate>& found);
+    void probe_indirectly(TimePoint now, MemberIndex peer, Contact& contact);
+    std::vector<MembershipUpdate> monitor_peers(TimePoint now);
+    void expire_suspects(TimePoint now, std::vector<MembershipUpdate>& found);
+    void ping_gone_member(TimePoint now, std::optional<MemberIndex> member);
     std::optional<MemberIndex> next_gone_member() const;
     std::vector<MemberIndex> draw_helpers(MemberIndex subject);
 
     void find_monitored_peers();
     bool is_monitored(MemberIndex member) const;
     Contact& contact_of(MemberIndex member);
-    Point last_heard(const Contact& contact) const { return std::max(contact.last_heard, heard_at_least_); }
+    TimePoint last_heard(const Contact& contact) const
+    {
+        return std::max(contact.last_heard, heard_at_least_);
+    }
 
     const FleetConfig& config_;
     const MemberIndex self_;
-    const Span period_;
+    const Duration period_;
     std::ranlux24_base random_;
     MemberView view_;
     PingPayload payload_;
 
     std::unordered_map<MemberIndex, Contact> contacts_;
-    Point heard_at_least_;  // each member is taken to have been heard since then
+    TimePoint heard_at_least_;  // each member is taken to have been heard since then
     std::vector<MemberIndex> monitored_, gossip_targets_;
     std::vector<Contact*> monitored_contacts_;  // in step with monitored_
     std::vector<RelayedProbe> relayed_probes_;
@@ -135,7 +138,7 @@
     std::vector<HealthChange> changes_;
     uint64_t last_ping_number_ = 0;
     size_t next_gone_ = 0;
-    Point started_, last_tick_, last_gone_ping_;
+    TimePoint started_, last_tick_, last_gone_ping_;
     bool duplicate_identity_ = false, departed_ = false;
 };
 
--- a/src/fleet/membership/roster.cpp
+++ b/src/fleet/membership/roster.cpp
@@ -53,7 +53,7 @@
     if (data_.use_count() > 1 || rings_made) data_ = std::make_shared<Data>(*data_);
     member.key = key_of(member.id);
     data_->by_key.emplace(member.key, static_cast<MemberIndex>(data_->members.size()));
-    data_->voters += member.voter;
+    data_->voters += member.is_voter;
     data_->members.push_back(std::move(member));
 }
 
@@ -62,7 +62,7 @@
 const MemberConfig& Roster::back() const { return data_->members.back(); }
 std::vector<MemberConfig>::const_iterator Roster::begin() const { return data_->members.begin(); }
 std::vector<MemberConfig>::const_iterator Roster::end() const { return data_->members.end(); }
-size_t Roster::voters() const { return data_->voters; }
+size_t Roster::voter_count() const { return data_->voters; }
 
 std::optional<MemberIndex> Roster::member_of(MemberKey key) const
 {
--- a/src/fleet/membership/roster.h
+++ b/src/fleet/membership/roster.h
@@ -20,7 +20,7 @@
     MemberKey key = 0;    // key_of(id); set by Roster::push_back
     std::string address;  // as this member reaches it
     std::string zone;
-    bool voter = false;
+    bool is_voter = false;
     uint32_t line = 0;
 };
 
@@ -52,7 +52,7 @@
 
     std::optional<MemberIndex> member_of(MemberKey key) const;
     std::optional<MemberIndex> member_of(std::string_view id) const;
-    size_t voters() const;
+    size_t voter_count() const;
     // Made when they are first asked for.
     const Rings& rings() const;
 
--- a/src/fleet/outlier/outlier_gossip.cpp
+++ b/src/fleet/outlier/outlier_gossip.cpp
@@ -7,12 +7,12 @@
 namespace
 {
 
-constexpr double min_reduction = 0.1;           // of an entry that is worth a report
-constexpr Span repeat_interval = seconds(0.5);  // of the same finding, with new evidence
-constexpr double start_repeat = 0.5;            // the same of a start alone: of the validity
-constexpr size_t max_reporters = 3;             // whose reports on one upstream are passed on
-constexpr size_t max_reports = 64;              // in one digest
-constexpr size_t min_batch = 6;                 // reports that wait for more bytes, where there are more
+constexpr double min_reduction = 0.1;               // of an entry that is worth a report
+constexpr Duration repeat_interval = seconds(0.5);  // of the same finding, with new evidence
+constexpr double start_repeat = 0.5;                // the same of a start alone: of the validity
+constexpr size_t max_reporters = 3;                 // whose reports on one upstream are passed on
+constexpr size_t max_reports = 64;                  // in one digest
+constexpr size_t min_batch = 6;                     // reports that wait for more bytes, where there are more
 constexpr size_t max_upstreams = 10000;
 constexpr double report_bytes = 48, frame_bytes = 40;
 constexpr double own_answer_weight = 3;  // good answers that halve what others say
@@ -31,7 +31,7 @@
 
 // ---- own findings ----
 
-void OutlierGossip::on_local_evidence(Point now, const std::vector<OutlierEvidence>& evidence)
+void OutlierGossip::on_local_evidence(TimePoint now, const std::vector<OutlierEvidence>& evidence)
 {
     evidence_.clear();
     evidence_at_ = now;
@@ -41,14 +41,14 @@
     }
 }
 
-void OutlierGossip::report_local(Point now, const OutlierEvidence& evidence)
+void OutlierGossip::report_local(TimePoint now, const OutlierEvidence& evidence)
 {
-    const bool is_reduced =
-        evidence.reduction >= min_reduction && evidence.bad > 0 && evidence.age < config_.validity;
-    if (!is_reduced && !evidence.started) return;
+    const bool is_reduced = evidence.reduction >= min_reduction && evidence.bad_responses > 0 &&
+                            evidence.last_bad_response_age < config_.validity;
+    if (!is_reduced && !evidence.time_since_start) return;
     Sent& sent = last_sent_[evidence.upstream];
     if (now - sent.at < repeat_interval && evidence.reduction < sent.reduction + min_reduction) return;
-    const Point found = is_reduced ? now - evidence.age : now;
+    const TimePoint found = is_reduced ? now - evidence.last_bad_response_age : now;
     HeldReport& held = reports_[evidence.upstream][own_];
     // Nothing but new evidence renews a finding.
     const bool is_known =
@@ -69,14 +69,15 @@
     report.number = ++last_number_;
     const double reduction = std::min(1.0, evidence.reduction) * full_reduction;
     report.reduction = is_reduced ? static_cast<uint8_t>(reduction) : 0;
-    report.evidence_count = static_cast<uint8_t>(std::min<uint32_t>(evidence.bad, UINT8_MAX));
-    if (evidence.started) report.started_s = static_cast<uint32_t>(evidence.started->seconds()) + 1;
+    report.evidence_count = static_cast<uint8_t>(std::min<uint32_t>(evidence.bad_responses, UINT8_MAX));
+    if (evidence.time_since_start)
+        report.started_s = static_cast<uint32_t>(evidence.time_since_start->seconds()) + 1;
     return report;
 }
 
 // ---- reports of others ----
 
-void OutlierGossip::on_digest(Point now, const OutlierDigest& digest)
+void OutlierGossip::on_digest(TimePoint now, const OutlierDigest& digest)
 {
     for (const OutlierReport& report : digest.reports) {
         if (report.reporter == own_) continue;
@@ -92,16 +93,16 @@
     Sequence& sequence = sequences_[report.reporter];
     if (sequence.instance != report.instance) sequence = {report.instance, {}};
     uint64_t& newest = sequence.newest[report.upstream];
-    const Span age{int64_t{report.age_ms} * microseconds_per_millisecond};
+    const Duration age{int64_t{report.age_ms} * microseconds_per_millisecond};
     const bool has_room = reports_.size() < max_upstreams || reports_.count(report.upstream);
     if (report.number <= newest || age >= config_.validity || !has_room) return true;
     newest = report.number;
     return false;
 }
 
-void OutlierGossip::accept(Point now, const OutlierReport& report)
+void OutlierGossip::accept(TimePoint now, const OutlierReport& report)
 {
-    const Point found = now - Span{int64_t{report.age_ms} * microseconds_per_millisecond};
+    const TimePoint found = now - Duration{int64_t{report.age_ms} * microseconds_per_millisecond};
     Reports& reports = reports_[report.upstream];
     std::erase_if(reports, [&](const auto& each) { return each.second.valid_until <= now; });
     const bool is_known_enough = reports.size() >= max_reporters && !reports.count(report.reporter);
@@ -111,7 +112,7 @@
 
 // ---- what is sent ----
 
-void OutlierGossip::expire(Point now)
+void OutlierGossip::expire(TimePoint now)
 {
     for (auto next = reports_.begin(); next != reports_.end();) {
         std::erase_if(next->second, [&](const auto& each) { return each.second.valid_until <= now; });
@@ -144,7 +145,7 @@
     return order;
 }
 
-OutlierDigest OutlierGossip::next_digest(Point now, size_t receivers)
+OutlierDigest OutlierGossip::next_digest(TimePoint now, size_t receivers)
 {
     const double refill = config_.bytes * (now - last_refill_).seconds();
     byte_budget_ = std::min<double>(config_.bytes, byte_budget_ + refill);
@@ -175,14 +176,14 @@
 // ---- verdicts ----
 
 // What others say counts less the more own answers since then were good.
-double OutlierGossip::discount(Point now, const OutlierEvidence& own, Point found) const
+double OutlierGossip::discount(TimePoint now, const OutlierEvidence& own, TimePoint found) const
 {
-    const Point last_good = now - own.well_age - (now - evidence_at_);
-    if (own.bad > 0 || own.well == 0 || last_good < found) return 1;
-    return own_answer_weight / (own_answer_weight + own.well);
+    const TimePoint last_good = now - own.last_good_response_age - (now - evidence_at_);
+    if (own.bad_responses > 0 || own.good_responses == 0 || last_good < found) return 1;
+    return own_answer_weight / (own_answer_weight + own.good_responses);
 }
 
-OutlierGossip::Consensus OutlierGossip::consensus_of(Point now, const Reports& reports) const
+OutlierGossip::Consensus OutlierGossip::consensus_of(TimePoint now, const Reports& reports) const
 {
     Consensus consensus;
     for (const auto& [reporter, held] : reports) {
@@ -205,7 +206,7 @@
 
 // Two reporters agree on the second greatest reduction; the greatest counts alone up to a share. Own good
 // answers since then hold both down: an own path that works says more than others' that may not.
-OutlierGossip::Verdict OutlierGossip::verdict(Point now, uint64_t upstream, const Reports& reports) const
+OutlierGossip::Verdict OutlierGossip::verdict(TimePoint now, uint64_t upstream, const Reports& reports) const
 {
     const Consensus others = consensus_of(now, reports);
     Verdict verdict;
@@ -219,26 +220,26 @@
             verdict.reduction = std::min(verdict.reduction, config_.alone) * discounted;
     }
     // A start is believed where two name one; where one does, the upstream is treated as a suspect.
-    const bool knows_itself = own != evidence_.end() && own->second.started;
+    const bool knows_itself = own != evidence_.end() && own->second.time_since_start;
     if (knows_itself || !others.youngest_start) return verdict;
     if (others.second_start)
-        verdict.started = seconds(others.second_start - 1);
+        verdict.time_since_start = seconds(others.second_start - 1);
     else
         verdict.reduction = std::max(verdict.reduction, config_.alone);
     return verdict;
 }
 
-std::map<uint64_t, OutlierGossip::Verdict> OutlierGossip::verdicts(Point now) const
+std::map<uint64_t, OutlierGossip::Verdict> OutlierGossip::verdicts(TimePoint now) const
 {
     std::map<uint64_t, Verdict> verdicts;
     for (const auto& [upstream, reports] : reports_) {
         const Verdict each = verdict(now, upstream, reports);
-        if (each.reduction > 0 || each.started) verdicts.emplace(upstream, each);
+        if (each.reduction > 0 || each.time_since_start) verdicts.emplace(upstream, each);
     }
     return verdicts;
 }
 
-std::vector<OutlierGossip::ReceivedReport> OutlierGossip::reports_on(Point now, uint64_t upstream) const
+std::vector<OutlierGossip::ReceivedReport> OutlierGossip::reports_on(TimePoint now, uint64_t upstream) const
 {
     std::vector<ReceivedReport> valid;
     const auto reports = reports_.find(upstream);
--- a/src/fleet/outlier/outlier_gossip.h
+++ b/src/fleet/outlier/outlier_gossip.h
@@ -20,12 +20,12 @@
 
 // What this balancer itself knows of an upstream.
 struct OutlierEvidence {
-    uint64_t upstream = 0;        // hash of its uid
-    double reduction = 0;         // of its own entry
-    uint32_t well = 0, bad = 0;   // answers of the last seconds
-    Span age;                     // of the last bad one
-    Span well_age;                // of the last good one
-    std::optional<Span> started;  // where it warms up: how long ago
+    uint64_t upstream = 0;                           // hash of its uid
+    double reduction = 0;                            // of its own entry
+    uint32_t good_responses = 0, bad_responses = 0;  // answers of the last seconds
+    Duration last_bad_response_age;                  // of the last bad one
+    Duration last_good_response_age;                 // of the last good one
+    std::optional<Duration> time_since_start;        // where it warms up: how long ago
 };
 
 class OutlierGossip
@@ -35,37 +35,37 @@
     struct ReceivedReport {
         MemberKey reporter = 0;
         double reduction = 0;
-        Span age;
+        Duration age;
     };
     // What reports on an upstream amount to.
     struct Verdict {
         double reduction = 0;
-        std::optional<Span> started;
+        std::optional<Duration> time_since_start;
     };
 
     OutlierGossip(const OutlierGossipConfig& config, MemberKey own, InstanceId instance);
 
     // All evidence of this balancer, in place of what was there before.
-    void on_local_evidence(Point now, const std::vector<OutlierEvidence>& evidence);
-    void on_digest(Point now, const OutlierDigest& digest);
+    void on_local_evidence(TimePoint now, const std::vector<OutlierEvidence>& evidence);
+    void on_digest(TimePoint now, const OutlierDigest& digest);
     // What is due for each of so many receivers, within the byte budget; empty: nothing.
-    [[nodiscard]] OutlierDigest next_digest(Point now, size_t receivers);
+    [[nodiscard]] OutlierDigest next_digest(TimePoint now, size_t receivers);
 
     // Of the upstreams that any report counts for.
-    [[nodiscard]] std::map<uint64_t, Verdict> verdicts(Point now) const;
-    [[nodiscard]] std::vector<ReceivedReport> reports_on(Point now, uint64_t upstream) const;
-    [[nodiscard]] uint64_t dropped() const { return dropped_; }  // for want of bytes
-    [[nodiscard]] uint64_t stale() const { return stale_; }      // received again, or too old
+    [[nodiscard]] std::map<uint64_t, Verdict> verdicts(TimePoint now) const;
+    [[nodiscard]] std::vector<ReceivedReport> reports_on(TimePoint now, uint64_t upstream) const;
+    [[nodiscard]] uint64_t dropped_reports() const { return dropped_; }  // for want of bytes
+    [[nodiscard]] uint64_t stale_reports() const { return stale_; }      // received again, or too old
 
   private:
     struct HeldReport {
         OutlierReport report;
-        Point found, valid_until;
+        TimePoint found, valid_until;
     };
     using Reports = std::map<MemberKey, HeldReport>;  // on one upstream, by reporter
     // The last report of this balancer on an upstream.
     struct Sent {
-        Point at;
+        TimePoint at;
         double reduction = 0;
     };
     // The newest reports of one balancer's instance: what comes twice, late or out of order renews nothing.
@@ -81,21 +81,21 @@
     // What the others' valid reports on an upstream say together.
     struct Consensus {
         double greatest = 0, second = 0;  // reductions
-        Point last_found{INT64_MIN / 2};
+        TimePoint last_found{INT64_MIN / 2};
         uint32_t youngest_start = 0, second_start = 0;  // zero: none names one
     };
 
-    void report_local(Point now, const OutlierEvidence& evidence);
+    void report_local(TimePoint now, const OutlierEvidence& evidence);
     OutlierReport make_report(const OutlierEvidence& evidence, bool is_reduced);
-    void accept(Point now, const OutlierReport& report);
+    void accept(TimePoint now, const OutlierReport& report);
     bool is_stale(const OutlierReport& report);
-    void expire(Point now);
+    void expire(TimePoint now);
     size_t affordable_reports(size_t receivers) const;
     std::vector<const HeldReport*> pending_by_gravity();
 
-    Consensus consensus_of(Point now, const Reports& reports) const;
-    Verdict verdict(Point now, uint64_t upstream, const Reports& reports) const;
-    double discount(Point now, const OutlierEvidence& own, Point found) const;
+    Consensus consensus_of(TimePoint now, const Reports& reports) const;
+    Verdict verdict(TimePoint now, uint64_t upstream, const Reports& reports) const;
+    double discount(TimePoint now, const OutlierEvidence& own, TimePoint found) const;
 
     const OutlierGossipConfig config_;
     const MemberKey own_;
@@ -103,12 +103,12 @@
     uint64_t last_number_ = 0;
     std::map<uint64_t, Reports> reports_;  // by upstream
     std::map<uint64_t, OutlierEvidence> evidence_;
-    Point evidence_at_;
+    TimePoint evidence_at_;
     std::map<uint64_t, Sent> last_sent_;
     std::map<MemberKey, Sequence> sequences_;
     std::set<Pending> pending_;
     double byte_budget_ = 0;
-    Point last_refill_;
+    TimePoint last_refill_;
     uint64_t dropped_ = 0, stale_ = 0;
 };
 
--- a/src/fleet/quota/quota_allocator.cpp
+++ b/src/fleet/quota/quota_allocator.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-constexpr Span retention = seconds(10);  // of a holder that asks for nothing
+constexpr Duration retention = seconds(10);  // of a holder that asks for nothing
 constexpr double min_demand = 0.05, max_demand = 1e9;
 constexpr size_t max_pools = 4096;
 constexpr double rounding_margin = 0.999;  // rates go over the wire in single precision
@@ -19,7 +19,7 @@
 {
 }
 
-void QuotaAllocator::on_lease_gained(Point now, Epoch epoch)
+void QuotaAllocator::on_lease_gained(TimePoint now, Epoch epoch)
 {
     epoch_ = epoch;
     began_ = now;
@@ -27,9 +27,9 @@
 }
 
 // Twice a quota's length, by the slowest clock.
-Span QuotaAllocator::max_grant_lifetime() const { return config_.length * (2 + 8 * clock_drift_); }
+Duration QuotaAllocator::max_grant_lifetime() const { return config_.length * (2 + 8 * clock_drift_); }
 
-double QuotaAllocator::outstanding(Point now, BudgetName name) const
+double QuotaAllocator::outstanding(TimePoint now, BudgetName name) const
 {
     const auto found = pools_.find(name);
     if (found == pools_.end()) return is_first_lifetime(now) ? config_.total_of(name) * allocatable_share : 0;
@@ -39,7 +39,7 @@
     return sum;
 }
 
-double QuotaAllocator::Holder::outstanding(Point now) const
+double QuotaAllocator::Holder::outstanding(TimePoint now) const
 {
     double most = 0;
     for (const OutstandingGrant& grant : grants)
@@ -49,7 +49,7 @@
 
 // Max-min fairness: each gets what it asks for, up to the same level; what is left over is spread evenly on
 // top.
-double QuotaAllocator::wanted_rate(Point now, const Pool& pool, const Holder& holder, double total) const
+double QuotaAllocator::wanted_rate(TimePoint now, const Pool& pool, const Holder& holder, double total) const
 {
     std::vector<double> demands;
     for (const auto& [id, each] : pool.holders)
@@ -65,7 +65,7 @@
     return holder.demand + left / static_cast<double>(std::max<size_t>(1, demands.size()));
 }
 
-QuotaAllocator::Pool& QuotaAllocator::pool_of(Point now, BudgetName name)
+QuotaAllocator::Pool& QuotaAllocator::pool_of(TimePoint now, BudgetName name)
 {
     const auto [entry, is_new] = pools_.try_emplace(name);
     Pool& pool = entry->second;
@@ -76,7 +76,7 @@
     return pool;
 }
 
-QuotaAllocator::Holder& QuotaAllocator::holder_of(Point now, Pool& pool, HolderId id,
+QuotaAllocator::Holder& QuotaAllocator::holder_of(TimePoint now, Pool& pool, HolderId id,
                                                   const QuotaDemand& demand)
 {
     const auto [entry, is_new] = pool.holders.try_emplace(id);
@@ -89,7 +89,7 @@
     return holder;
 }
 
-double QuotaAllocator::grant(Point now, BudgetName name, HolderId id, const QuotaRequest& request,
+double QuotaAllocator::grant(TimePoint now, BudgetName name, HolderId id, const QuotaRequest& request,
                              const QuotaDemand& demand)
 {
     const double total = config_.total_of(name) * allocatable_share;
@@ -107,7 +107,7 @@
     return rate;
 }
 
-QuotaResponse QuotaAllocator::answer(Point now, MemberKey from, const QuotaRequest& request)
+QuotaResponse QuotaAllocator::answer(TimePoint now, MemberKey from, const QuotaRequest& request)
 {
     QuotaResponse response{epoch_, request.instance, request.number, {}};
     if (request.epoch != epoch_) return response;
--- a/src/fleet/quota/quota_allocator.h
+++ b/src/fleet/quota/quota_allocator.h
@@ -18,27 +18,27 @@
     QuotaAllocator(const QuotaConfig& config, double clock_drift);
 
     // Begins at a new epoch. What an earlier allocator has granted may be in use for a while.
-    void on_lease_gained(Point now, Epoch epoch);
+    void on_lease_gained(TimePoint now, Epoch epoch);
     [[nodiscard]] Epoch epoch() const { return epoch_; }
 
     // An answer without grants, where the request is for another epoch.
-    [[nodiscard]] QuotaResponse answer(Point now, MemberKey from, const QuotaRequest& request);
+    [[nodiscard]] QuotaResponse answer(TimePoint now, MemberKey from, const QuotaRequest& request);
 
     // What members may use together of a budget's allocatable share, at the most.
-    [[nodiscard]] double outstanding(Point now, BudgetName name) const;
+    [[nodiscard]] double outstanding(TimePoint now, BudgetName name) const;
 
   private:
     struct OutstandingGrant {
         uint64_t number = 0;
         double rate = 0;
-        Point until;  // it can't be in use any more then
+        TimePoint until;  // it can't be in use any more then
     };
     struct Holder {
         std::vector<OutstandingGrant> grants;  // the last one that is known to have arrived, and all after it
         double demand = 0;
-        Point last_request;
+        TimePoint last_request;
 
-        [[nodiscard]] double outstanding(Point now) const;
+        [[nodiscard]] double outstanding(TimePoint now) const;
     };
     struct HolderId {
         MemberKey member = 0;
@@ -50,18 +50,18 @@
         std::map<HolderId, Holder> holders;
     };
 
-    bool is_first_lifetime(Point now) const { return now - began_ < max_grant_lifetime(); }
-    Span max_grant_lifetime() const;
-    Pool& pool_of(Point now, BudgetName name);
-    Holder& holder_of(Point now, Pool& pool, HolderId id, const QuotaDemand& demand);
-    double grant(Point now, BudgetName name, HolderId id, const QuotaRequest& request,
+    bool is_first_lifetime(TimePoint now) const { return now - began_ < max_grant_lifetime(); }
+    Duration max_grant_lifetime() const;
+    Pool& pool_of(TimePoint now, BudgetName name);
+    Holder& holder_of(TimePoint now, Pool& pool, HolderId id, const QuotaDemand& demand);
+    double grant(TimePoint now, BudgetName name, HolderId id, const QuotaRequest& request,
                  const QuotaDemand& demand);
-    double wanted_rate(Point now, const Pool& pool, const Holder& holder, double total) const;
+    double wanted_rate(TimePoint now, const Pool& pool, const Holder& holder, double total) const;
 
     const QuotaConfig& config_;
     const double clock_drift_;
     Epoch epoch_ = 0;
-    Point began_;
+    TimePoint began_;
     std::map<BudgetName, Pool> pools_;
 };
 
--- a/src/fleet/quota/quota_client.cpp
+++ b/src/fleet/quota/quota_client.cpp
@@ -7,13 +7,13 @@
 namespace
 {
 
-constexpr Span retention = seconds(10);  // of a slow-start budget that nothing is asked of
-constexpr double demand_fall_gain = 2;   // a second
+constexpr Duration retention = seconds(10);  // of a slow-start budget that nothing is asked of
+constexpr double demand_fall_gain = 2;       // a second
 constexpr size_t max_budgets = 256, max_pending_requests = 16;
 
 }  // namespace
 
-const char* text_of(Budget budget)
+const char* to_string(Budget budget)
 {
     switch (budget) {
         case Budget::retries: return "retries";
@@ -32,7 +32,7 @@
                 return value;
         return 0;
     }
-    const auto found = whole.find(text_of(name.of));
+    const auto found = whole.find(to_string(name.of));
     return found == whole.end() ? 0 : found->second;
 }
 
@@ -40,11 +40,11 @@
     : config_(config), members_(members), instance_(instance)
 {
     for (const auto& [name, total] : config.whole) {
-        if (name == text_of(Budget::cold)) continue;  // one for each upstream that warms up
+        if (name == to_string(Budget::cold)) continue;  // one for each upstream that warms up
         if (name.starts_with(tenant_prefix))
             state_of({Budget::tenant, key_of(name.substr(tenant_prefix.size()))});
         else
-            state_of({name == text_of(Budget::retries) ? Budget::retries : Budget::probes, 0});
+            state_of({name == to_string(Budget::retries) ? Budget::retries : Budget::probes, 0});
     }
 }
 
@@ -55,11 +55,11 @@
     if (!is_new) return state;
     const double even_share = config_.total_of(name) * guaranteed_share / static_cast<double>(members_);
     state.lease.name = name;
-    state.lease.guaranteed = config_.floor.value_or(even_share);
+    state.lease.guaranteed_rate = config_.floor.value_or(even_share);
     return state;
 }
 
-void QuotaClient::record_demand(Point now, const std::map<BudgetName, uint32_t>& requests)
+void QuotaClient::record_demand(TimePoint now, const std::map<BudgetName, uint32_t>& requests)
 {
     const double elapsed = (now - last_measured_).seconds();
     if (elapsed <= 0) return;
@@ -73,12 +73,12 @@
         // Up at once, down slowly.
         const double gain = rate > state.demand ? 1 : std::min(1.0, demand_fall_gain * elapsed);
         state.demand += gain * (rate - state.demand);
-        const bool unused = now - state.last_demand > retention && now >= state.lease.expires;
+        const bool unused = now - state.last_demand > retention && now >= state.lease.expires_at;
         next = name.of == Budget::cold && unused ? budgets_.erase(next) : std::next(next);
     }
 }
 
-QuotaRequest QuotaClient::make_request(Point now, Epoch allocator)
+QuotaRequest QuotaClient::make_request(TimePoint now, Epoch allocator)
 {
     // An answer of the earlier allocator must not come after the new one was told what is held.
     if (std::exchange(allocator_, allocator) != allocator) {
@@ -90,7 +90,7 @@
     while (pending_requests_.size() > max_pending_requests)
         pending_requests_.erase(pending_requests_.begin());
     for (const auto& [name, state] : budgets_) {
-        const double held_rate = state.lease.rate_at(now) - state.lease.guaranteed;
+        const double held_rate = state.lease.rate_at(now) - state.lease.guaranteed_rate;
         request.demands.push_back({static_cast<uint8_t>(name.of), name.which,
                                    static_cast<float>(state.demand), static_cast<float>(held_rate)});
     }
@@ -98,22 +98,22 @@
 }
 
 // A lease counts from its request, so that it is over here before it is over at the allocator.
-void QuotaClient::on_response(Point now, const QuotaResponse& response)
+void QuotaClient::on_response(TimePoint now, const QuotaResponse& response)
 {
     const auto request = pending_requests_.find(response.number);
     const bool is_answer = response.instance == instance_ && response.epoch == allocator_;
     if (!is_answer || request == pending_requests_.end()) return;
     last_answered_ = response.number;
-    const Point sent = request->second;
+    const TimePoint sent = request->second;
     pending_requests_.erase(pending_requests_.begin(), std::next(request));
     for (const QuotaGrant& grant : response.grants) {
         const auto budget = budgets_.find({static_cast<Budget>(grant.budget), grant.which});
         if (budget == budgets_.end()) continue;
         QuotaLease lease = budget->second.lease;
         lease.rate = grant.rate;
-        lease.full_until = sent + config_.length;
-        lease.expires = sent + config_.length * 2;
-        if (now < lease.expires) budget->second.lease = lease;
+        lease.full_rate_until = sent + config_.length;
+        lease.expires_at = sent + config_.length * 2;
+        if (now < lease.expires_at) budget->second.lease = lease;
     }
 }
 
--- a/src/fleet/quota/quota_client.h
+++ b/src/fleet/quota/quota_client.h
@@ -22,18 +22,18 @@
     QuotaClient(const QuotaConfig& config, size_t members, InstanceId instance);
 
     // What was asked of each budget since the last call.
-    void record_demand(Point now, const std::map<BudgetName, uint32_t>& requests);
+    void record_demand(TimePoint now, const std::map<BudgetName, uint32_t>& requests);
     // The next request, for the allocator at this epoch.
-    [[nodiscard]] QuotaRequest make_request(Point now, Epoch allocator);
+    [[nodiscard]] QuotaRequest make_request(TimePoint now, Epoch allocator);
     // Anything but an answer of the allocator that was asked last is ignored.
-    void on_response(Point now, const QuotaResponse& response);
+    void on_response(TimePoint now, const QuotaResponse& response);
     [[nodiscard]] std::vector<QuotaLease> leases() const;
 
   private:
     struct BudgetState {
         QuotaLease lease;
         double demand = 0;  // a second
-        Point last_demand;
+        TimePoint last_demand;
     };
 
     BudgetState& state_of(BudgetName name);
@@ -43,10 +43,10 @@
     const InstanceId instance_;
     std::map<BudgetName, BudgetState> budgets_;
     uint64_t last_number_ = 0;
-    std::map<uint64_t, Point> pending_requests_;  // by number, when each was sent
-    Epoch allocator_ = 0;                         // epoch of the one that was asked last
+    std::map<uint64_t, TimePoint> pending_requests_;  // by number, when each was sent
+    Epoch allocator_ = 0;                             // epoch of the one that was asked last
     uint64_t last_answered_ = 0;
-    Point last_measured_;
+    TimePoint last_measured_;
 };
 
 }  // namespace firtide::fleet
--- a/src/fleet/quota/quota_lease.h
+++ b/src/fleet/quota/quota_lease.h
@@ -11,15 +11,15 @@
 // which it has from `expires` on.
 struct QuotaLease {
     BudgetName name;
-    double rate = 0;        // a second
-    double guaranteed = 0;  // a second, beside the rate and for ever
-    Point full_until, expires;
+    double rate = 0;             // a second
+    double guaranteed_rate = 0;  // a second, beside the rate and for ever
+    TimePoint full_rate_until, expires_at;
 
-    [[nodiscard]] double rate_at(Point now) const
+    [[nodiscard]] double rate_at(TimePoint now) const
     {
-        if (now < full_until) return rate + guaranteed;
-        if (now >= expires) return guaranteed;
-        return guaranteed + rate * ((expires - now) / (expires - full_until));
+        if (now < full_rate_until) return rate + guaranteed_rate;
+        if (now >= expires_at) return guaranteed_rate;
+        return guaranteed_rate + rate * ((expires_at - now) / (expires_at - full_rate_until));
     }
 };
 
--- a/src/fleet/quota/token_bucket.cpp
+++ b/src/fleet/quota/token_bucket.cpp
@@ -7,11 +7,11 @@
 namespace
 {
 
-constexpr Span burst_window = seconds(1);
+constexpr Duration burst_window = seconds(1);
 
 }  // namespace
 
-bool TokenBucket::has_token(Point now, const QuotaLease& lease)
+bool TokenBucket::has_token(TimePoint now, const QuotaLease& lease)
 {
     const double rate = lease.rate_at(now);
     if (last_refill_ == never) last_refill_ = now;
@@ -22,7 +22,7 @@
     return tokens_ >= 1;
 }
 
-bool TokenBucket::take(Point now, const QuotaLease& lease)
+bool TokenBucket::try_take(TimePoint now, const QuotaLease& lease)
 {
     if (!has_token(now, lease)) return false;
     tokens_ -= 1;
--- a/src/fleet/quota/token_bucket.h
+++ b/src/fleet/quota/token_bucket.h
@@ -11,15 +11,15 @@
 {
   public:
     // Whether a token is there now.
-    [[nodiscard]] bool has_token(Point now, const QuotaLease& lease);
+    [[nodiscard]] bool has_token(TimePoint now, const QuotaLease& lease);
     // Takes a token; false where there is none.
-    [[nodiscard]] bool take(Point now, const QuotaLease& lease);
+    [[nodiscard]] bool try_take(TimePoint now, const QuotaLease& lease);
 
   private:
-    static constexpr Point never{INT64_MIN / 2};
+    static constexpr TimePoint never{INT64_MIN / 2};
 
     double tokens_ = 0;
-    Point last_refill_ = never;
+    TimePoint last_refill_ = never;
 };
 
 }  // namespace firtide::fleet
--- a/src/fleet/shared_choices.cpp
+++ b/src/fleet/shared_choices.cpp
@@ -11,7 +11,7 @@
 {
 
 constexpr const char* allocator_duty = "parts";
-constexpr Span weight_interval = seconds(10), subset_interval = seconds(0.2);
+constexpr Duration weight_interval = seconds(10), subset_interval = seconds(0.2);
 constexpr double weight_hysteresis = 1.5;        // steps
 constexpr double quota_request_interval = 0.25;  // of a quota's length
 
@@ -56,9 +56,9 @@
 
 void SharedChoices::on_observations(LocalObservations& observations)
 {
-    if (outliers_) outliers_->on_local_evidence(context_.now, observations.evidence);
-    if (quotas_) quotas_->record_demand(context_.now, observations.asked);
-    update_weight(observations.rate);
+    if (outliers_) outliers_->on_local_evidence(context_.now, observations.outlier_evidence);
+    if (quotas_) quotas_->record_demand(context_.now, observations.budget_demand);
+    update_weight(observations.request_rate);
     observations_ = std::move(observations);
 }
 
@@ -69,7 +69,7 @@
 {
     if (!context_.config.subset || request_rate <= 0) return;
     const double steps = steps_of(request_rate);
-    const uint8_t announced = context_.membership.own().weight;
+    const uint8_t announced = context_.membership.own_state().traffic_weight;
     const bool is_first = announced == 0;
     if (!is_first && std::abs(steps - announced) < weight_hysteresis) return;
     if (!is_first && context_.now - last_weight_change_ <= weight_interval) return;
@@ -81,8 +81,8 @@
 {
     if (!context_.config.subset || context_.now - last_subset_update_ < subset_interval) return;
     last_subset_update_ = context_.now;
-    if (subset_version_ == context_.membership.version()) return;
-    subset_version_ = context_.membership.version();
+    if (subset_version_ == context_.membership.view_version()) return;
+    subset_version_ = context_.membership.view_version();
     auto peers = subset_peers();
     if (peers == subset_peers_) return;
     subset_peers_ = peers;
@@ -97,18 +97,18 @@
     std::vector<SubsetPeer> peers;
     double sum = 0, known = 0;
     for (MemberIndex member = 0; member < config.members.size(); ++member) {
-        const MemberState& state = context_.membership.of(member);
+        const MemberState& state = context_.membership.state_of(member);
         if (member != context_.self && state.health == Health::gone) continue;
         const MemberConfig& peer = config.members[member];
-        const double rate = state.weight ? rate_of(state.weight) : 0;
+        const double rate = state.traffic_weight ? rate_of(state.traffic_weight) : 0;
         peers.push_back({peer.key, peer.zone == context_.own().zone, rate});
-        if (!state.weight) continue;
+        if (!state.traffic_weight) continue;
         sum += rate;
         ++known;
     }
     const double mean = known > 0 ? sum / known : 1;
     for (SubsetPeer& peer : peers)
-        if (peer.weight <= 0) peer.weight = mean;
+        if (peer.traffic_weight <= 0) peer.traffic_weight = mean;
     return peers;
 }
 
@@ -136,7 +136,7 @@
 
 void SharedChoices::request_quotas()
 {
-    const Span interval = context_.config.turns->length * quota_request_interval;
+    const Duration interval = context_.config.turns->length * quota_request_interval;
     if (context_.now - last_quota_request_ < interval || context_.shutting_down) return;
     last_quota_request_ = context_.now;
     const auto own_epoch = context_.held_epoch(allocator_duty);
@@ -179,11 +179,11 @@
 std::string SharedChoices::subset_status() const
 {
     if (!context_.config.subset) return "";
-    const uint8_t weight = context_.membership.own().weight;
-    return "subset upstreams " + std::to_string(observations_.shown) + " of " +
-           std::to_string(observations_.listed) + " wider " + std::to_string(observations_.widening) +
-           " sharers " + std::to_string(subset_peers_.size()) + " weight " +
-           two_decimals(weight ? rate_of(weight) : 0) + "\n";
+    const uint8_t weight = context_.membership.own_state().traffic_weight;
+    return "subset upstreams " + std::to_string(observations_.upstreams_shown) + " of " +
+           std::to_string(observations_.upstreams_listed) + " wider " +
+           std::to_string(observations_.widening_steps) + " sharers " + std::to_string(subset_peers_.size()) +
+           " weight " + two_decimals(weight ? rate_of(weight) : 0) + "\n";
 }
 
 std::string SharedChoices::outlier_status() const
@@ -191,7 +191,7 @@
     std::string text;
     if (!outliers_) return text;
     const auto verdicts = outliers_->verdicts(context_.now);
-    for (const auto& [upstream, name] : observations_.names) {
+    for (const auto& [upstream, name] : observations_.upstream_names) {
         const auto verdict = verdicts.find(upstream);
         const double counts = verdict == verdicts.end() ? 0 : verdict->second.reduction;
         for (const auto& report : outliers_->reports_on(context_.now, upstream)) {
@@ -206,10 +206,10 @@
 
 std::string SharedChoices::name_of(const BudgetName& budget) const
 {
-    std::string name = text_of(budget.of);
+    std::string name = to_string(budget.of);
     if (budget.of == Budget::cold) {
-        const auto upstream = observations_.names.find(budget.which);
-        return name + "." + (upstream == observations_.names.end() ? "-" : upstream->second);
+        const auto upstream = observations_.upstream_names.find(budget.which);
+        return name + "." + (upstream == observations_.upstream_names.end() ? "-" : upstream->second);
     }
     if (budget.of != Budget::tenant) return name;
     for (const auto& [key, total] : context_.config.turns->whole)
@@ -223,9 +223,10 @@
     std::string text;
     if (!quotas_) return text;
     for (const QuotaLease& lease : quotas_->leases()) {
-        const int64_t left_ms = std::max<int64_t>(0, (lease.expires - context_.now).us / 1000);
+        const int64_t left_ms = std::max<int64_t>(0, (lease.expires_at - context_.now).us / 1000);
         text += "part " + name_of(lease.name) + " rate " + two_decimals(lease.rate_at(context_.now)) +
-                " floor " + two_decimals(lease.guaranteed) + " left_ms " + std::to_string(left_ms) + "\n";
+                " floor " + two_decimals(lease.guaranteed_rate) + " left_ms " + std::to_string(left_ms) +
+                "\n";
     }
     return text;
 }
--- a/src/fleet/shared_choices.h
+++ b/src/fleet/shared_choices.h
@@ -51,7 +51,7 @@
     LocalObservations observations_;
     std::vector<SubsetPeer> subset_peers_;
     std::optional<uint64_t> subset_version_;  // of the membership, when the peers were last reported
-    Point last_weight_change_, last_subset_update_, last_quota_request_;
+    TimePoint last_weight_change_, last_subset_update_, last_quota_request_;
     bool had_verdicts_ = false;
 };
 
--- a/src/fleet/shared_choices_config.h
+++ b/src/fleet/shared_choices_config.h
@@ -13,22 +13,22 @@
 {
 
 struct SubsetConfig {
-    uint32_t size = 20;         // upstreams of middling size in an arc
-    bool zones = false;         // an arc of the own zone's, and a smaller one of the others
-    uint32_t beyond = 4;        // in that smaller one
-    Span narrow = seconds(10);  // without need at the present width: one step back
+    uint32_t size = 20;             // upstreams of middling size in an arc
+    bool zones = false;             // an arc of the own zone's, and a smaller one of the others
+    uint32_t beyond = 4;            // in that smaller one
+    Duration narrow = seconds(10);  // without need at the present width: one step back
 };
 
 struct OutlierGossipConfig {
     double alone = 0.5;  // one balancer's word counts so far
-    Span validity = seconds(1.5);
+    Duration validity = seconds(1.5);
     uint32_t bytes = 2000;  // a second that a member sends
 };
 
 struct StartupConfig {
-    Span every = seconds(2);  // the snapshot is written again
-    Span wait = seconds(3);   // the longest of a stage
-    Span warm = seconds(60);  // and of upstreams' warming
+    Duration every = seconds(2);  // the snapshot is written again
+    Duration wait = seconds(3);   // the longest of a stage
+    Duration warm = seconds(60);  // and of upstreams' warming
 };
 
 enum class Budget : uint8_t { retries, probes, cold, tenant };
@@ -38,7 +38,7 @@
 
     auto operator<=>(const BudgetName&) const = default;
 };
-const char* text_of(Budget budget);
+const char* to_string(Budget budget);
 
 // Of each budget, the share that is allocated by demand, and the share that is guaranteed: an even part for
 // each member of the fleet file, also for one that is cut off. What is left over covers files that name too
@@ -48,7 +48,7 @@
 inline constexpr std::string_view tenant_prefix = "tenant.";
 
 struct QuotaConfig {
-    Span length = seconds(1);
+    Duration length = seconds(1);
     std::map<std::string, double> whole;  // a second: "retries", "probes", "cold", "tenant.NAME"
     std::optional<double> floor;          // of each member; absent: an even part of what is kept for that
 
--- a/src/fleet/startup/member_snapshot.h
+++ b/src/fleet/startup/member_snapshot.h
@@ -15,36 +15,36 @@
 
 // An overload-control entry of the decision module.
 struct PersistedReduction {
-    uint64_t upstream = 0;  // hash of its uid
+    uint64_t upstream_hash = 0;  // hash of its uid
     float reduction = 0;
-    int64_t left_us = 0;  // of its validity, when it was written
-    MSGPACK_DEFINE(upstream, reduction, left_us)
+    int64_t remaining_us = 0;  // of its validity, when it was written
+    MSGPACK_DEFINE(upstream_hash, reduction, remaining_us)
 };
 
 struct MemberSnapshot {
     std::string fleet, member;
     Incarnation incarnation = 0;
-    std::string boot;     // id of the machine's boot: its boot clock says nothing after another one
-    int64_t boot_us = 0;  // when this was written, by that clock
+    std::string boot_id;  // id of the machine's boot: its boot clock says nothing after another one
+    int64_t written_at_boot_us = 0;  // when this was written, by that clock
     uint64_t list_version = 0;
-    std::string list;    // the full endpoint list
-    double rate = 0;     // requests a second that were accepted and succeeded
-    double size = 0;     // of all upstreams together
-    uint32_t peers = 0;  // balancers that shared the upstreams
+    std::string list_text;      // the full endpoint list
+    double accepted_rate = 0;   // requests a second that were accepted and succeeded
+    double total_capacity = 0;  // of all upstreams together
+    uint32_t peer_count = 0;    // balancers that shared the upstreams
     std::vector<PersistedReduction> reductions;
-    std::vector<SeenEpoch> epochs;
-    std::vector<std::string> open;  // ids of requests that may have run and were not answered
-    MSGPACK_DEFINE(fleet, member, incarnation, boot, boot_us, list_version, list, rate, size, peers,
-                   reductions, epochs, open)
+    std::vector<SeenEpoch> seen_epochs;
+    std::vector<std::string> open_request_ids;  // ids of requests that may have run and were not answered
+    MSGPACK_DEFINE(fleet, member, incarnation, boot_id, written_at_boot_us, list_version, list_text,
+                   accepted_rate, total_capacity, peer_count, reductions, seen_epochs, open_request_ids)
 };
 
 // Why a snapshot is not used. The text is for the log and for operators.
 struct SnapshotError {
-    std::string text;
+    std::string message;
 };
 
 inline constexpr uint32_t member_snapshot_format = 1;
-inline constexpr const char* snapshot_file = "snapshot";
+inline constexpr const char* snapshot_file_name = "snapshot";
 
 std::string encode_member_snapshot(const MemberSnapshot& snapshot);
 // The whole snapshot or nothing of it.
--- a/src/fleet/startup/snapshot_service.cpp
+++ b/src/fleet/startup/snapshot_service.cpp
@@ -34,27 +34,28 @@
 
 void SnapshotService::refuse(const SnapshotError& error)
 {
-    history_.push_back("refused snapshot: " + error.text);
-    context_.log(LogEvent::Kind::fault, context_.config.id, "the snapshot is refused: " + error.text);
+    history_.push_back("refused snapshot: " + error.message);
+    context_.log(LogEvent::Kind::fault, context_.config.id, "the snapshot is refused: " + error.message);
 }
 
-void SnapshotService::trust(MemberSnapshot snapshot, std::optional<Span> age)
+void SnapshotService::trust(MemberSnapshot snapshot, std::optional<Duration> age)
 {
-    context_.lease_client.restore_epochs(snapshot.epochs);
-    for (const SeenEpoch& seen : snapshot.epochs) context_.fencing.observe(seen.duty, seen.epoch);
-    history_.push_back("trusted epochs of " + std::to_string(snapshot.epochs.size()) + " duties");
+    context_.lease_client.restore_epochs(snapshot.seen_epochs);
+    for (const SeenEpoch& seen : snapshot.seen_epochs) context_.fencing.observe_epoch(seen.duty, seen.epoch);
+    history_.push_back("trusted epochs of " + std::to_string(snapshot.seen_epochs.size()) + " duties");
     history_.push_back("hint list version " + std::to_string(snapshot.list_version) + ", " +
-                       std::to_string(snapshot.list.size()) + " bytes");
-    history_.push_back("trusted " + std::to_string(snapshot.open.size()) + " ids of what may have run");
+                       std::to_string(snapshot.list_text.size()) + " bytes");
+    history_.push_back("trusted " + std::to_string(snapshot.open_request_ids.size()) +
+                       " ids of what may have run");
     // Reductions go on to run out while the process is away, by a clock that goes on as well.
     std::erase_if(snapshot.reductions, [&](PersistedReduction& reduction) {
         if (!age) return true;
-        reduction.left_us -= age->us;
-        return reduction.left_us <= 0;
+        reduction.remaining_us -= age->us;
+        return reduction.remaining_us <= 0;
     });
     history_.push_back(age ? "trusted " + std::to_string(snapshot.reductions.size()) + " reductions"
                            : "refused reductions: the machine was started anew");
-    endpoints_.set_hint(snapshot.list_version, snapshot.list);
+    endpoints_.set_hint(snapshot.list_version, snapshot.list_text);
     context_.emit(ApplySnapshot{std::move(snapshot)});
 }
 
@@ -76,14 +77,14 @@
 FleetState SnapshotService::fleet_state() const
 {
     FleetState state;
-    state.members = context_.config.members.size();
-    state.alive = context_.membership.alive();
-    state.majority = context_.lease_client.is_confirmed(context_.now);
+    state.member_count = context_.config.members.size();
+    state.alive_count = context_.membership.alive_count();
+    state.has_majority = context_.lease_client.is_lease_valid(context_.now);
     for (const Duty& duty : context_.config.duties) {
         if (duty.kind == DutyKind::drain) continue;
-        ++state.duties;
+        ++state.duty_count;
         const bool is_held = context_.lease_client.table().entry(duty.name).holder != 0;
-        state.held += is_held || context_.held_epoch(duty.name);
+        state.held_duty_count += is_held || context_.held_epoch(duty.name);
     }
     return state;
 }
@@ -95,18 +96,19 @@
     snapshot.fleet = context_.config.name;
     snapshot.member = context_.config.id;
     snapshot.incarnation = context_.membership.incarnation();
-    snapshot.boot_us = context_.now.us;
+    snapshot.written_at_boot_us = context_.now.us;
     snapshot.list_version = endpoints_.version_to_persist();
-    snapshot.list = endpoints_.list_to_persist();
-    snapshot.rate = observed.accepted;
-    snapshot.size = observed.size;
-    snapshot.peers = observed.sharers ? observed.sharers : static_cast<uint32_t>(context_.membership.alive());
+    snapshot.list_text = endpoints_.list_to_persist();
+    snapshot.accepted_rate = observed.accepted_rate;
+    snapshot.total_capacity = observed.total_capacity;
+    snapshot.peer_count =
+        observed.peer_count ? observed.peer_count : static_cast<uint32_t>(context_.membership.alive_count());
     snapshot.reductions = observed.reductions;
-    snapshot.open = observed.open;
+    snapshot.open_request_ids = observed.open_request_ids;
     for (const Duty& duty : context_.config.duties) {
         const Epoch granted = context_.lease_client.table().entry(duty.name).epoch;
         const Epoch epoch = std::max(granted, context_.fencing.epoch(duty.name));
-        if (epoch) snapshot.epochs.push_back({duty.name, epoch});
+        if (epoch) snapshot.seen_epochs.push_back({duty.name, epoch});
     }
     return snapshot;
 }
@@ -125,7 +127,7 @@
 {
     if (!context_.config.recovery) return "FAILURE the fleet file has no [recovery]\n";
     std::string text;
-    for (const auto& line : choices_.observations().recovery) text += line + "\n";
+    for (const auto& line : choices_.observations().startup_status) text += line + "\n";
     for (const auto& line : history_) text += "memory " + line + "\n";
     return text + "EOT\n";
 }
--- a/src/fleet/startup/snapshot_service.h
+++ b/src/fleet/startup/snapshot_service.h
@@ -26,7 +26,7 @@
 
   private:
     void refuse(const SnapshotError& error);
-    void trust(MemberSnapshot snapshot, std::optional<Span> age);
+    void trust(MemberSnapshot snapshot, std::optional<Duration> age);
     void report_outdated_disk();
     FleetState fleet_state() const;
     MemberSnapshot make_snapshot();
@@ -36,7 +36,7 @@
     const SharedChoices& choices_;
     std::vector<std::string> history_;  // what was trusted and refused of the snapshot
     Incarnation first_incarnation_ = 0;
-    Point last_write_;
+    TimePoint last_write_;
     bool reported_outdated_disk_ = false;
 };
 
--- a/src/fleet/startup/startup_sequencer.cpp
+++ b/src/fleet/startup/startup_sequencer.cpp
@@ -14,15 +14,15 @@
 constexpr double max_takeover_factor = 3;    // of the own baseline, where other balancers have not come back
 constexpr double reserved_for_value = 0.5;   // of the tokens, for the most valuable operations
 constexpr double empty_list_stages = 4;      // longest times of a stage
-constexpr Span burst_window = seconds(0.25);
-constexpr Span settling_time = seconds(30);
+constexpr Duration burst_window = seconds(0.25);
+constexpr Duration settling_time = seconds(30);
 
 StartupStage next_of(StartupStage stage)
 {
     return static_cast<StartupStage>(static_cast<uint8_t>(stage) + 1);
 }
 
-std::string milliseconds_of(Span span) { return std::to_string(span.us / 1000); }
+std::string milliseconds_of(Duration span) { return std::to_string(span.us / 1000); }
 
 // What a stage waits for; null where it waits for nothing.
 const char* awaited_by(StartupStage stage)
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-const char* text_of(StartupStage stage)
+const char* to_string(StartupStage stage)
 {
     switch (stage) {
         case StartupStage::disk: return "disk";
@@ -53,7 +53,7 @@
     return "";
 }
 
-void StartupSequencer::start(Point now)
+void StartupSequencer::start(TimePoint now)
 {
     last_refill_ = now;
     record_of(StartupStage::disk).from = now;
@@ -65,18 +65,19 @@
 {
     switch (stage_) {
         case StartupStage::disk: return true;
-        case StartupStage::peers: return fleet_.alive * 2 > fleet_.members;
-        case StartupStage::voters: return fleet_.majority;
-        case StartupStage::duties: return fleet_.held >= fleet_.duties;
+        case StartupStage::peers: return fleet_.alive_count * 2 > fleet_.member_count;
+        case StartupStage::voters: return fleet_.has_majority;
+        case StartupStage::duties: return fleet_.held_duty_count >= fleet_.duty_count;
         case StartupStage::list: return list_received_;
         case StartupStage::warming:
-            return list_received_ && listed > 0 && warm >= warm_threshold * std::max(listed, baseline_.size);
+            return list_received_ && listed > 0 &&
+                   warm >= warm_threshold * std::max(listed, baseline_.total_capacity);
         case StartupStage::full: return false;
     }
     return false;
 }
 
-void StartupSequencer::advance(Point now, double warm, double listed)
+void StartupSequencer::advance(TimePoint now, double warm, double listed)
 {
     while (stage_ != StartupStage::full) {
         StageRecord& record = record_of(stage_);
@@ -89,17 +90,17 @@
     }
 }
 
-void StartupSequencer::tick(Point now, double warm, double listed, bool list_received)
+void StartupSequencer::tick(TimePoint now, double warm, double listed, bool list_received)
 {
     list_received_ = list_received_ || list_received;
     advance(now, warm, listed);
-    const double total = std::max(listed, baseline_.size);
-    const bool is_limited =
-        stage_ != StartupStage::full && baseline_.rate > 0 && total > 0 && warm < warm_threshold * total;
+    const double total = std::max(listed, baseline_.total_capacity);
+    const bool is_limited = stage_ != StartupStage::full && baseline_.accepted_rate > 0 && total > 0 &&
+                            warm < warm_threshold * total;
     admitted_share_ = is_limited ? std::max(min_admitted_share, warm / total) : 1;
 }
 
-bool StartupSequencer::accepts_empty_list(Point now)
+bool StartupSequencer::accepts_empty_list(TimePoint now)
 {
     if (!empty_since_) empty_since_ = now;
     return now - *empty_since_ > config_.wait * empty_list_stages;
@@ -111,13 +112,14 @@
 {
     // The balancers that are there have the work of those that are not there yet.
     double takeover = 1;
-    if (baseline_.peers > 0 && fleet_.alive > 0)
-        takeover = std::clamp(baseline_.peers / static_cast<double>(fleet_.alive), 1.0, max_takeover_factor);
+    if (baseline_.peer_count > 0 && fleet_.alive_count > 0)
+        takeover = std::clamp(baseline_.peer_count / static_cast<double>(fleet_.alive_count), 1.0,
+                              max_takeover_factor);
     // The decision module's own slow start takes its part of what is admitted here: so the root.
-    return baseline_.rate * takeover * std::sqrt(admitted_share_) * headroom;
+    return baseline_.accepted_rate * takeover * std::sqrt(admitted_share_) * headroom;
 }
 
-bool StartupSequencer::admits(Point now, double rank)
+bool StartupSequencer::try_admit(TimePoint now, double rank)
 {
     if (admitted_share_ >= 1) return true;
     const double rate = admission_rate();
@@ -134,24 +136,24 @@
     return true;
 }
 
-TrafficBaseline StartupSequencer::next_baseline(Point now, const TrafficBaseline& seen) const
+TrafficBaseline StartupSequencer::next_baseline(TimePoint now, const TrafficBaseline& seen) const
 {
     const bool has_settled = stage_ == StartupStage::full && now - records_.back().from >= settling_time;
-    return has_settled || baseline_.rate <= seen.rate ? seen : baseline_;
+    return has_settled || baseline_.accepted_rate <= seen.accepted_rate ? seen : baseline_;
 }
 
 // ---- shown ----
 
-std::vector<std::string> StartupSequencer::status_lines(Point now) const
+std::vector<std::string> StartupSequencer::status_lines(TimePoint now) const
 {
     std::vector<std::string> lines;
-    lines.push_back(std::string("stage ") + text_of(stage_) + " since_ms " +
+    lines.push_back(std::string("stage ") + to_string(stage_) + " since_ms " +
                     milliseconds_of(now - record_of(stage_).from) + " admitted_percent " +
                     std::to_string(static_cast<int>(admitted_share_ * 100)) + " turned_away " +
                     std::to_string(rejected_));
     for (StartupStage stage = StartupStage::disk; stage < stage_; stage = next_of(stage)) {
         const StageRecord& record = record_of(stage);
-        lines.push_back(std::string("passed ") + text_of(stage) + " after_ms " +
+        lines.push_back(std::string("passed ") + to_string(stage) + " after_ms " +
                         milliseconds_of(record.to - record.from) + (record.timed_out ? " gave up" : ""));
     }
     if (const char* awaited = awaited_by(stage_))
--- a/src/fleet/startup/startup_sequencer.h
+++ b/src/fleet/startup/startup_sequencer.h
@@ -18,20 +18,20 @@
 {
 
 enum class StartupStage : uint8_t { disk, peers, voters, duties, list, warming, full };
-const char* text_of(StartupStage stage);
+const char* to_string(StartupStage stage);
 
 // What a member knows of its fleet, as the stages wait for it.
 struct FleetState {
-    size_t members = 1, alive = 1;
-    bool majority = false;  // of the voters confirms this member's lease
-    size_t duties = 0, held = 0;
+    size_t member_count = 1, alive_count = 1;
+    bool has_majority = false;  // of the voters confirms this member's lease
+    size_t duty_count = 0, held_duty_count = 0;
 };
 
 // The usual traffic, which a start measures by.
 struct TrafficBaseline {
-    double rate = 0;     // requests a second that were accepted and succeeded
-    double size = 0;     // of all upstreams together
-    uint32_t peers = 0;  // balancers that shared them
+    double accepted_rate = 0;   // requests a second that were accepted and succeeded
+    double total_capacity = 0;  // of all upstreams together
+    uint32_t peer_count = 0;    // balancers that shared them
 };
 
 class StartupSequencer
@@ -39,46 +39,46 @@
   public:
     explicit StartupSequencer(const StartupConfig& config) : config_(config) {}
 
-    void start(Point now);
+    void start(TimePoint now);
     // What was usual before this start. Without it, admission is not limited here.
     void set_baseline(const TrafficBaseline& baseline) { baseline_ = baseline; }
     void set_fleet_state(const FleetState& state) { fleet_ = state; }
     // `warm`: size that the listed upstreams can do by now, of `listed`, all of it. `list_received`: a list
     // that is no hint.
-    void tick(Point now, double warm, double listed, bool list_received);
+    void tick(TimePoint now, double warm, double listed, bool list_received);
 
     // Whether a request may be accepted now. `rank`: 0 for the most valuable operations, up to 1.
-    [[nodiscard]] bool admits(Point now, double rank);
+    [[nodiscard]] bool try_admit(TimePoint now, double rank);
     // Of what was accepted before; 1: all of it.
     [[nodiscard]] double admitted_share() const { return admitted_share_; }
 
     // An empty list replaces one that is not only once it has stayed empty for long.
-    [[nodiscard]] bool accepts_empty_list(Point now);
-    void on_valid_list() { empty_since_.reset(); }
+    [[nodiscard]] bool accepts_empty_list(TimePoint now);
+    void on_nonempty_list() { empty_since_.reset(); }
 
     // What the next start should measure by: what this run has seen, once service has been full for a while,
     // else the baseline of this start. A second loss must not take the little traffic of a start for the
     // usual.
-    [[nodiscard]] TrafficBaseline next_baseline(Point now, const TrafficBaseline& seen) const;
+    [[nodiscard]] TrafficBaseline next_baseline(TimePoint now, const TrafficBaseline& seen) const;
 
     [[nodiscard]] StartupStage stage() const { return stage_; }
-    [[nodiscard]] bool ready() const { return stage_ > StartupStage::list || list_received_; }
+    [[nodiscard]] bool is_ready() const { return stage_ > StartupStage::list || list_received_; }
     // For show-recovery.
-    [[nodiscard]] std::vector<std::string> status_lines(Point now) const;
+    [[nodiscard]] std::vector<std::string> status_lines(TimePoint now) const;
 
   private:
     static constexpr size_t stage_count = static_cast<size_t>(StartupStage::full) + 1;
 
     struct StageRecord {
-        Point from, to;
+        TimePoint from, to;
         bool timed_out = false;
     };
 
     StageRecord& record_of(StartupStage stage) { return records_[static_cast<size_t>(stage)]; }
     const StageRecord& record_of(StartupStage stage) const { return records_[static_cast<size_t>(stage)]; }
     bool is_complete(double warm, double listed) const;
-    void advance(Point now, double warm, double listed);
-    Span max_duration() const { return stage_ == StartupStage::warming ? config_.warm : config_.wait; }
+    void advance(TimePoint now, double warm, double listed);
+    Duration max_duration() const { return stage_ == StartupStage::warming ? config_.warm : config_.wait; }
     double admission_rate() const;
 
     const StartupConfig config_;
@@ -86,8 +86,8 @@
     TrafficBaseline baseline_;
     StartupStage stage_ = StartupStage::disk;
     std::array<StageRecord, stage_count> records_;
-    Point last_refill_;
-    std::optional<Point> empty_since_;
+    TimePoint last_refill_;
+    std::optional<TimePoint> empty_since_;
     bool list_received_ = false;
     double admitted_share_ = 1, tokens_ = 0;
     uint64_t rejected_ = 0;
