--- a/src/fleet/transport/duty_notifier.cpp
+++ b/src/fleet/transport/duty_notifier.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-constexpr Span answer_timeout = seconds(1);
+constexpr Duration answer_timeout = seconds(1);
 constexpr int conflict = 409;  // the subscriber has seen a higher epoch
 
 std::string encode(const std::string& address, const DutyNotification& notification)
@@ -30,7 +30,7 @@
 struct DutyNotifier::Subscriber {
     DutyNotifier* owner = nullptr;
     std::string address;
-    Stream stream;
+    BuffereventPtr stream;
     bool connected = false;
     std::optional<DutyNotification> unanswered;
     std::optional<ResponseReader> reader;
@@ -82,14 +82,14 @@
     auto* input = bufferevent_get_input(stream.get());
     const size_t size = evbuffer_get_length(input);
     if (!unanswered || size == 0) return close();
-    const auto state = reader->take({reinterpret_cast<const char*>(evbuffer_pullup(input, -1)), size});
+    const auto state = reader->parse({reinterpret_cast<const char*>(evbuffer_pullup(input, -1)), size});
     evbuffer_drain(input, size);
-    if (state == ResponseReader::State::more) return;
-    const bool is_answer = state == ResponseReader::State::whole;
+    if (state == ResponseReader::State::incomplete) return;
+    const bool is_answer = state == ResponseReader::State::complete;
     const DutyNotification answered = *std::exchange(unanswered, std::nullopt);
     const int status = is_answer ? reader->response().status : 0;
     bufferevent_set_timeouts(stream.get(), nullptr, nullptr);
-    if (!is_answer || !reader->keeps_connection()) close();
+    if (!is_answer || !reader->keep_alive()) close();
     if (status == conflict) owner->on_refused_(answered.duty, answered.epoch);
 }
 
--- a/src/fleet/transport/messages.cpp
+++ b/src/fleet/transport/messages.cpp
@@ -50,12 +50,12 @@
     return key ? key : 1;
 }
 
-const char* text_of(Health health)
+const char* to_string(Health health)
 {
     return health == Health::alive ? "alive" : health == Health::suspect ? "suspect" : "gone";
 }
 
-const char* text_of(VoterStage stage)
+const char* to_string(VoterStage stage)
 {
     switch (stage) {
         case VoterStage::empty: return "empty";
--- a/src/fleet/transport/messages.h
+++ b/src/fleet/transport/messages.h
@@ -18,8 +18,8 @@
 enum class Health : uint8_t { alive, suspect, gone };  // at one incarnation, later ones overrule earlier ones
 // How far a voter has come after its start; see VoterAgent.
 enum class VoterStage : uint8_t { empty, checking, voting, failed, refused };
-const char* text_of(Health health);
-const char* text_of(VoterStage stage);
+const char* to_string(Health health);
+const char* to_string(VoterStage stage);
 
 // The first message on every connection.
 struct Hello {
--- a/src/fleet/transport/peers.cpp
+++ b/src/fleet/transport/peers.cpp
@@ -21,11 +21,12 @@
                                     << 20;  // for one member; a larger message fits where nothing else waits
 constexpr size_t max_buffered_bytes =
     64 << 10;  // given to the system at a time: the rest stays in order of urgency
-constexpr Span queue_timeout = seconds(2);  // what is older is of no use to its receiver
-constexpr Span connect_timeout = seconds(1), greeting_timeout = seconds(3);
-constexpr Span min_reconnect_delay = seconds(0.05), max_reconnect_delay = seconds(1);
-constexpr Span idle_timeout = seconds(30);  // three times as long at the receiver: the sender closes first
-constexpr int unacknowledged_ms = 2000;     // sent and not acknowledged: the connection is given up
+constexpr Duration queue_timeout = seconds(2);  // what is older is of no use to its receiver
+constexpr Duration connect_timeout = seconds(1), greeting_timeout = seconds(3);
+constexpr Duration min_reconnect_delay = seconds(0.05), max_reconnect_delay = seconds(1);
+constexpr Duration idle_timeout =
+    seconds(30);                         // three times as long at the receiver: the sender closes first
+constexpr int unacknowledged_ms = 2000;  // sent and not acknowledged: the connection is given up
 constexpr int listen_backlog = 128;
 constexpr size_t inbound_per_member = 2, spare_inbound = 16;
 
@@ -45,7 +46,7 @@
 struct Peers::Inbound {
     Peers* owner = nullptr;
     InboundPlace self;
-    Stream stream;
+    BuffereventPtr stream;
     FrameReader reader;
     std::optional<MemberIndex> from;  // once it has greeted
 };
@@ -55,14 +56,14 @@
     Peers* owner = nullptr;
     MemberIndex to = 0;
     sockaddr_in address{};
-    Stream stream;
+    BuffereventPtr stream;
     bool connected = false;
     uint32_t frames = 0;                              // sent on this connection
     std::array<std::deque<QueuedMessage>, 3> queues;  // by urgency
     size_t queued_bytes = 0;
-    Span reconnect_delay = min_reconnect_delay;
-    Point last_write;
-    Timer timer;  // of the connect, or until the next one
+    Duration reconnect_delay = min_reconnect_delay;
+    TimePoint last_write;
+    EventPtr timer;  // of the connect, or until the next one
     bool waits_to_reconnect = false;
 };
 
@@ -304,7 +305,7 @@
     event_add(outbound.timer.get(), &delay);
 }
 
-void Peers::drop_expired(Outbound& outbound, Point now)
+void Peers::drop_expired(Outbound& outbound, TimePoint now)
 {
     for (auto& queue : outbound.queues)
         while (!queue.empty() && now - queue.front().since > queue_timeout) {
@@ -316,7 +317,7 @@
 
 void Peers::flush(Outbound& outbound)
 {
-    const Point now = monotonic_now();
+    const TimePoint now = monotonic_now();
     drop_expired(outbound, now);
     if (outbound.waits_to_reconnect) return;
     if (!outbound.stream) {
@@ -330,7 +331,7 @@
     outbound.connected = false;
 }
 
-void Peers::write_queued(Outbound& outbound, Point now)
+void Peers::write_queued(Outbound& outbound, TimePoint now)
 {
     auto* output = bufferevent_get_output(outbound.stream.get());
     for (auto& queue : outbound.queues)
--- a/src/fleet/transport/peers.h
+++ b/src/fleet/transport/peers.h
@@ -39,7 +39,7 @@
     struct Inbound;
     struct Outbound;
     struct QueuedMessage {
-        Point since;
+        TimePoint since;
         uint16_t kind = 0;
         std::string payload;
     };
@@ -54,14 +54,14 @@
 
     Outbound& outbound_to(MemberIndex member);
     void drop_excess(Outbound& outbound);
-    void drop_expired(Outbound& outbound, Point now);
+    void drop_expired(Outbound& outbound, TimePoint now);
     void connect(Outbound& outbound);
     void on_connected(Outbound& outbound);
     void on_ended(Outbound& outbound);
     void on_timer(Outbound& outbound);
     void reconnect_later(Outbound& outbound);
     void flush(Outbound& outbound);
-    void write_queued(Outbound& outbound, Point now);
+    void write_queued(Outbound& outbound, TimePoint now);
 
     event_base* base_;
     const FleetConfig& config_;
--- a/src/fleet/transport/traffic.h
+++ b/src/fleet/transport/traffic.h
@@ -15,7 +15,7 @@
 };
 
 // The line `traffic ...` of show-fleet, with its end.
-inline std::string text_of(const TrafficCounts& counts)
+inline std::string to_string(const TrafficCounts& counts)
 {
     return "traffic messages_in " + std::to_string(counts.messages_in) + " messages_out " +
            std::to_string(counts.messages_out) + " bytes_in " + std::to_string(counts.bytes_in) +
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -38,7 +38,7 @@
     while (!list.empty()) {
         const auto item = list.substr(0, list.find(','));
         list.remove_prefix(std::min(list.size(), item.size() + 1));
-        if (same_name(trimmed(item), token)) return true;
+        if (equals_ignore_case(trimmed(item), token)) return true;
     }
     return false;
 }
@@ -91,23 +91,23 @@
     return response;
 }
 
-bool same_name(std::string_view a, std::string_view b)
+bool equals_ignore_case(std::string_view a, std::string_view b)
 {
     const auto low = [](char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c; };
     return std::equal(a.begin(), a.end(), b.begin(), b.end(),
                       [&](char x, char y) { return low(x) == low(y); });
 }
 
-bool goes_on(std::string_view header)
+bool is_forwarded_header(std::string_view header)
 {
     static constexpr std::array<std::string_view, 13> own = {
         "Connection", "Keep-Alive", "Proxy-Connection", "Transfer-Encoding", "TE",   "Trailer",    "Upgrade",
         "Expect",     "Host",       "Content-Length",   "Req-Deadline-Ms",   "Date", "Retry-After"};
-    return std::none_of(own.begin(), own.end(), [&](auto name) { return same_name(name, header); });
+    return std::none_of(own.begin(), own.end(), [&](auto name) { return equals_ignore_case(name, header); });
 }
 
 // All of it or nothing. Guards against figures from a report that is spoilt elsewhere.
-LoadReport decode_report(const ServiceConfig& setup, std::string_view text)
+LoadReport decode_load_report(const ServiceConfig& setup, std::string_view text)
 {
     LoadReport report;
     while (!text.empty()) {
@@ -115,10 +115,10 @@
         text.remove_prefix(std::min(text.size(), item.size() + 1));
         const auto eq = item.find('=');
         if (eq == std::string_view::npos) return {};
-        const auto at = place(setup.report_names, trimmed(item.substr(0, eq)));
+        const auto at = place(setup.load_report_fields, trimmed(item.substr(0, eq)));
         const auto value = number<double>(trimmed(item.substr(eq + 1)));
         if (!value || !(*value >= 0 && *value <= most_figure)) return {};
-        if (at && setup.report[*at]) report.*setup.report[*at] = *value;
+        if (at && setup.load_report_members[*at]) report.*setup.load_report_members[*at] = *value;
     }
     return report;
 }
@@ -126,7 +126,7 @@
 std::string origin_form(std::string_view target)
 {
     constexpr std::string_view scheme = "http://";
-    if (!same_name(target.substr(0, scheme.size()), scheme)) return std::string(target);
+    if (!equals_ignore_case(target.substr(0, scheme.size()), scheme)) return std::string(target);
     const auto path = target.find('/', scheme.size());
     return path == std::string_view::npos ? "/" : std::string(target.substr(path));
 }
@@ -134,7 +134,7 @@
 std::optional<uint32_t> decode_operation(const ServiceConfig& setup, std::string_view target)
 {
     target.remove_prefix(std::min<size_t>(1, target.size()));
-    return place(setup.operations, target.substr(0, target.find_first_of("/?")));
+    return place(setup.operation_names, target.substr(0, target.find_first_of("/?")));
 }
 
 std::optional<RequestError> decode_request(const ServiceConfig& setup, Headers headers, Request& into)
@@ -144,21 +144,22 @@
     const auto operation = decode_operation(setup, into.target);
     if (!operation) return RequestError{404, "no such operation"};
     into.operation = *operation;
-    into.edition = setup.edition;
+    into.config_version = setup.config_version;
     into.time_left = setup.settings.operations[*operation].client_timeout;
-    const auto nobody = static_cast<uint32_t>(setup.tenants.size());
+    const auto nobody = static_cast<uint32_t>(setup.tenant_names.size());
     into.tenant = nobody;  // what no tenant is named for counts against nobody's share
     for (auto& [name, value] : headers) {
         // Guards against a stray carriage return, which the next reader might take for the end of a line.
         if (!plain(name) || !printable(value)) return RequestError{400, "unreadable header"};
-        if (same_name(name, "Req-Id")) into.id = value;
-        if (same_name(name, "Req-Owner")) into.tenant = place(setup.tenants, value).value_or(nobody);
-        if (same_name(name, "Req-Deadline-Ms")) {
+        if (equals_ignore_case(name, "Req-Id")) into.id = value;
+        if (equals_ignore_case(name, "Req-Owner"))
+            into.tenant = place(setup.tenant_names, value).value_or(nobody);
+        if (equals_ignore_case(name, "Req-Deadline-Ms")) {
             const auto ms = number<int64_t>(value);
             if (!ms || *ms < 0) return RequestError{400, "unreadable Req-Deadline-Ms"};
-            into.time_left = std::min(into.time_left, Span{std::min<int64_t>(*ms, 1'000'000'000) * 1000});
+            into.time_left = std::min(into.time_left, Duration{std::min<int64_t>(*ms, 1'000'000'000) * 1000});
         }
-        if (goes_on(name)) into.passed_on.emplace_back(std::move(name), std::move(value));
+        if (is_forwarded_header(name)) into.forwarded_headers.emplace_back(std::move(name), std::move(value));
     }
     if (into.id.empty()) return RequestError{400, "Req-Id is missing"};
     return {};
@@ -171,19 +172,19 @@
 template <class Message>
 std::string framing_of(const Message& message)
 {
-    if (!message.length) return "\r\nTransfer-Encoding: chunked\r\n\r\n";
-    return "\r\nContent-Length: " + std::to_string(*message.length) + "\r\n\r\n";
+    if (!message.content_length) return "\r\nTransfer-Encoding: chunked\r\n\r\n";
+    return "\r\nContent-Length: " + std::to_string(*message.content_length) + "\r\n\r\n";
 }
 
 template <class Message>
 std::string first_piece(const Message& message)
 {
-    return encode_piece(message.body, !message.length, false);
+    return encode_body_chunk(message.body, !message.content_length, false);
 }
 
 }  // namespace
 
-std::string encode_piece(std::string bytes, bool chunked, bool last)
+std::string encode_body_chunk(std::string bytes, bool chunked, bool last)
 {
     if (!chunked) return bytes;
     char size[24];
@@ -192,15 +193,15 @@
     return last ? bytes.append("0\r\n\r\n") : bytes;
 }
 
-std::string encode_request(const Request& request, std::string_view host, Span wait)
+std::string encode_request(const Request& request, std::string_view host, Duration wait)
 {
     std::string out;
     out.reserve(256 + request.target.size() + request.body.size());
     out.append(request.method).append(" ").append(request.target).append(" HTTP/1.1\r\nHost: ").append(host);
-    for (const auto& [name, value] : request.passed_on)
+    for (const auto& [name, value] : request.forwarded_headers)
         out.append("\r\n").append(name).append(": ").append(value);
     out.append("\r\nReq-Deadline-Ms: ").append(std::to_string(std::max<int64_t>(0, wait.us / 1000)));
-    if (request.more) return out.append(framing_of(request)).append(first_piece(request));
+    if (request.body_incomplete) return out.append(framing_of(request)).append(first_piece(request));
     if (!request.body.empty() || request.method != "GET")
         out.append("\r\nContent-Length: ").append(std::to_string(request.body.size()));
     return out.append("\r\n\r\n").append(request.body);
@@ -212,11 +213,12 @@
     out.reserve(256 + response.body.size());
     out.append("HTTP/1.1 ").append(std::to_string(response.status)).append(" ");
     out.append(reason_of(response.status));
-    for (const auto& [name, value] : response.passed_on)
+    for (const auto& [name, value] : response.forwarded_headers)
         out.append("\r\n").append(name).append(": ").append(value);
     if (last_on_connection) out.append("\r\nConnection: close");
-    if (response.more && old && !response.length) return out.append("\r\n\r\n").append(response.body);
-    if (response.more) return out.append(framing_of(response)).append(first_piece(response));
+    if (response.body_incomplete && old && !response.content_length)
+        return out.append("\r\n\r\n").append(response.body);
+    if (response.body_incomplete) return out.append(framing_of(response)).append(first_piece(response));
     out.append("\r\nContent-Length: ").append(std::to_string(response.body.size()));
     return out.append("\r\n\r\n").append(response.body);
 }
@@ -227,14 +229,14 @@
     return out.append(" HTTP/1.1\r\nHost: ").append(host).append("\r\n\r\n");
 }
 
-std::string encode_seconds(Span span)
+std::string encode_seconds(Duration span)
 {
     const auto ms = std::max<int64_t>(0, span.us / 1000);
     const auto part = std::to_string(1000 + ms % 1000).substr(1);
     return std::to_string(ms / 1000) + "." + part;
 }
 
-MessageReader::State MessageReader::take(std::string_view bytes)
+MessageReader::State MessageReader::parse(std::string_view bytes)
 {
     begun_ = begun_ || !bytes.empty();
     rest_.append(bytes);
@@ -247,16 +249,16 @@
     if (!ok || come_ > max_message_bytes || head_bytes_ > max_head_bytes ||
         rest_.size() > max_head_bytes + max_buffered_body_bytes)
         return State::malformed;
-    if (part_ != Part::done) return State::more;
+    if (part_ != Part::done) return State::incomplete;
     used_ -= rest_.size();
     rest_.clear();
-    return State::whole;
+    return State::complete;
 }
 
-bool MessageReader::large() const
+bool MessageReader::exceeds_buffer() const
 {
-    return head_read() && (come_ > max_buffered_body_bytes ||
-                           (part_ != Part::done && length_.value_or(0) > max_buffered_body_bytes));
+    return is_head_complete() && (come_ > max_buffered_body_bytes ||
+                                  (part_ != Part::done && length_.value_or(0) > max_buffered_body_bytes));
 }
 
 std::optional<std::string_view> MessageReader::line()
@@ -321,14 +323,14 @@
 
 bool MessageReader::framing(std::string_view name, std::string_view value)
 {
-    if (same_name(name, "Content-Length")) {
+    if (equals_ignore_case(name, "Content-Length")) {
         const auto n = number<size_t>(value);
         if (!n || (length_ && *length_ != *n)) return false;
         length_ = n;
-    } else if (same_name(name, "Transfer-Encoding")) {
-        if (chunked_ || !same_name(value, "chunked")) return false;
+    } else if (equals_ignore_case(name, "Transfer-Encoding")) {
+        if (chunked_ || !equals_ignore_case(value, "chunked")) return false;
         chunked_ = true;
-    } else if (same_name(name, "Connection")) {
+    } else if (equals_ignore_case(name, "Connection")) {
         if (names_token(value, "close")) keeps_ = false;
     }
     // Both at once are read in two ways: what one reader takes for the body, the next takes for a message.
@@ -359,12 +361,12 @@
 
 bool ResponseReader::header(std::string_view name, std::string_view value)
 {
-    if (same_name(name, "Srv-Declined"))
+    if (equals_ignore_case(name, "Srv-Declined"))
         response_.declined = value == "1";
-    else if (same_name(name, "Srv-Load"))
-        response_.report = decode_report(*setup_, value);
-    else if (goes_on(name))
-        response_.passed_on.emplace_back(name, value);
+    else if (equals_ignore_case(name, "Srv-Load"))
+        response_.load_report = decode_load_report(*setup_, value);
+    else if (is_forwarded_header(name))
+        response_.forwarded_headers.emplace_back(name, value);
     return true;
 }
 
@@ -388,9 +390,9 @@
     return true;
 }
 
-bool RequestReader::asks_whether_ready() const { return request_.target == "/-/ready"; }
+bool RequestReader::is_readiness_check() const { return request_.target == "/-/ready"; }
 
-size_t RequestReader::still_to_come() const
+size_t RequestReader::body_bytes_to_buffer() const
 {
     if (part_ == Part::first_line || part_ == Part::headers) return 0;
     return std::min(max_buffered_body_bytes, chunked_ ? max_buffered_body_bytes : length_.value_or(0)) -
@@ -421,7 +423,7 @@
 
 bool RequestReader::header(std::string_view name, std::string_view value)
 {
-    if (same_name(name, "Expect")) expects_ = same_name(value, "100-continue");
+    if (equals_ignore_case(name, "Expect")) expects_ = equals_ignore_case(value, "100-continue");
     headers_.emplace_back(name, value);
     return true;
 }
@@ -429,9 +431,9 @@
 bool RequestReader::head_done()
 {
     if (length_.value_or(0) > max_message_bytes) return refuse(413, "too much");
-    if (!asks_whether_ready())
+    if (!is_readiness_check())
         if (const auto bad = decode_request(*setup_, std::move(headers_), request_))
-            return refuse(bad->status, bad->why);
+            return refuse(bad->status, bad->reason);
     body_follows();
     return true;
 }
--- a/src/io/event.h
+++ b/src/io/event.h
@@ -15,7 +15,7 @@
 {
 
 template <auto free>
-struct Freed {
+struct FreeWith {
     template <class T>
     void operator()(T* p) const
     {
@@ -23,18 +23,18 @@
     }
 };
 
-using Base = std::unique_ptr<event_base, Freed<event_base_free>>;
-using Timer = std::unique_ptr<event, Freed<event_free>>;
-using Stream = std::unique_ptr<bufferevent, Freed<bufferevent_free>>;
+using EventBasePtr = std::unique_ptr<event_base, FreeWith<event_base_free>>;
+using EventPtr = std::unique_ptr<event, FreeWith<event_free>>;
+using BuffereventPtr = std::unique_ptr<bufferevent, FreeWith<bufferevent_free>>;
 
-inline timeval to_timeval(Span span)
+inline timeval to_timeval(Duration span)
 {
     const auto us = span.us < 0 ? 0 : span.us;
     return {static_cast<time_t>(us / 1'000'000), static_cast<suseconds_t>(us % 1'000'000)};
 }
 
 // The loop's clock never goes back.
-inline Point monotonic_now()
+inline TimePoint monotonic_now()
 {
     using namespace std::chrono;
     return {duration_cast<microseconds>(steady_clock::now().time_since_epoch()).count()};
--- a/src/io/log.cpp
+++ b/src/io/log.cpp
@@ -6,7 +6,7 @@
 namespace firtide
 {
 
-bool start_log(const std::string& name, const std::string& level)
+bool init_logging(const std::string& name, const std::string& level)
 {
     const auto known = spdlog::level::from_str(level);
     if (known == spdlog::level::off) return false;
@@ -20,7 +20,7 @@
     return true;
 }
 
-void log_line(const std::string& line)
+void log_raw_line(const std::string& line)
 {
     static const auto log = [] {
         auto made =
--- a/src/io/log.h
+++ b/src/io/log.h
@@ -10,9 +10,9 @@
 {
 
 // Levels: debug, info, warn, error. False where there is no such level.
-bool start_log(const std::string& name, const std::string& level);
+bool init_logging(const std::string& name, const std::string& level);
 
 // A line as it stands, for what other programs read; where the level takes in info.
-void log_line(const std::string& line);
+void log_raw_line(const std::string& line);
 
 }  // namespace firtide
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -51,11 +51,12 @@
         if (snapshot->parsed()) return firtide::fleet::check_snapshot(path, snapshot_dump->parsed());
         auto config = firtide::net::read_config(path);
         if (check->parsed()) {
-            firtide::net::check_known(config);
+            firtide::net::check_known_list(config);
             firtide::net::check_passed_socket(config);
             return std::puts("the configuration is well-formed") < 0;
         }
-        if (!firtide::start_log(config.name, level)) throw std::runtime_error("--log-level: no such level");
+        if (!firtide::init_logging(config.name, level))
+            throw std::runtime_error("--log-level: no such level");
         std::optional<std::pair<firtide::fleet::FleetConfig, std::string>> member;
         if (!fleet_path.empty()) member.emplace(firtide::fleet::read_fleet_config(fleet_path), fleet_path);
         firtide::net::Service(
--- a/src/modbus/config.cpp
+++ b/src/modbus/config.cpp
@@ -11,7 +11,7 @@
 
 std::pair<uint32_t, uint32_t> units(const TomlTable& table)
 {
-    const auto text = table.text("units");
+    const auto text = table.string("units");
     uint32_t first = 0, last = 0;
     const char *at = text.data(), *end = at + text.size();
     auto read = std::from_chars(at, end, first);
@@ -22,20 +22,22 @@
         well = read.ec == std::errc{};
     }
     if (!well || read.ptr != end)
-        wrong(table.name("units"), table.line("units"), "a unit or a range as \"1-16\" is expected");
+        throw_config_error(table.full_key("units"), table.line("units"),
+                           "a unit or a range as \"1-16\" is expected");
     return {first, last};
 }
 
 Pool pool(const toml::table& from, const std::string& path)
 {
     const TomlTable table(from, path, {"name", "server"});
-    Pool p{table.text("name"), {}, table.place()};
-    table.each("server", [&](const toml::table& one, const std::string& where) {
+    Pool p{table.string("name"), {}, table.location()};
+    table.for_each_table("server", [&](const toml::table& one, const std::string& where) {
         const TomlTable server(one, where, {"name", "endpoint", "state"});
-        Server s{server.text("name"), server.endpoint("endpoint"), false, server.place()};
-        const auto state = one.contains("state") ? server.text("state") : "ready";
+        Server s{server.string("name"), server.endpoint("endpoint"), false, server.location()};
+        const auto state = one.contains("state") ? server.string("state") : "ready";
         if (state != "ready" && state != "draining")
-            wrong(server.name("state"), server.line("state"), "\"ready\" or \"draining\" is expected");
+            throw_config_error(server.full_key("state"), server.line("state"),
+                               "\"ready\" or \"draining\" is expected");
         s.draining = state == "draining";
         p.servers.push_back(std::move(s));
     });
@@ -49,33 +51,33 @@
     if (const auto* t = top.table("limits")) {
         const TomlTable table(*t, "limits",
                               {"clients", "in_flight", "in_flight_a_client", "in_flight_a_connection"});
-        limits.clients = table.count("clients", limits.clients, 1, 100'000);
-        limits.in_flight = table.count("in_flight", limits.in_flight, 1, 100'000);
-        limits.in_flight_a_client = table.count("in_flight_a_client", limits.in_flight_a_client, 1, 1000);
+        limits.clients = table.integer("clients", limits.clients, 1, 100'000);
+        limits.in_flight = table.integer("in_flight", limits.in_flight, 1, 100'000);
+        limits.in_flight_a_client = table.integer("in_flight_a_client", limits.in_flight_a_client, 1, 1000);
         limits.in_flight_a_connection =
-            table.count("in_flight_a_connection", limits.in_flight_a_connection, 1, 1000);
+            table.integer("in_flight_a_connection", limits.in_flight_a_connection, 1, 1000);
     }
     Times times;
     if (const auto* t = top.table("times")) {
         const TomlTable table(*t, "times",
                               {"read_ms", "write_ms", "connect_ms", "idle_client_ms", "idle_server_ms"});
-        times.read = table.ms("read_ms", times.read);
-        times.write = table.ms("write_ms", times.write);
-        times.connect = table.ms("connect_ms", times.connect);
-        times.idle_client = table.ms("idle_client_ms", times.idle_client);
-        times.idle_server = table.ms("idle_server_ms", times.idle_server);
+        times.read = table.milliseconds("read_ms", times.read);
+        times.write = table.milliseconds("write_ms", times.write);
+        times.connect = table.milliseconds("connect_ms", times.connect);
+        times.idle_client = table.milliseconds("idle_client_ms", times.idle_client);
+        times.idle_server = table.milliseconds("idle_server_ms", times.idle_server);
     }
     auto listen = top.endpoint("listen");
     std::vector<Pool> pools;
     std::vector<Route> routes;
-    top.each("pool",
-             [&](const toml::table& one, const std::string& where) { pools.push_back(pool(one, where)); });
-    top.each("route", [&](const toml::table& one, const std::string& where) {
+    top.for_each_table(
+        "pool", [&](const toml::table& one, const std::string& where) { pools.push_back(pool(one, where)); });
+    top.for_each_table("route", [&](const toml::table& one, const std::string& where) {
         const TomlTable table(one, where, {"units", "pool"});
         const auto [first, last] = units(table);
-        routes.push_back({first, last, table.text("pool"), table.place()});
+        routes.push_back({first, last, table.string("pool"), table.location()});
     });
-    if (routes.empty()) wrong("route", 1, "no unit is routed anywhere");
+    if (routes.empty()) throw_config_error("route", 1, "no unit is routed anywhere");
     auto made = Routes::make(std::move(pools), routes);
     if (auto* fault = std::get_if<ConfigError>(&made)) throw TomlConfigError{std::move(*fault)};
     return {std::move(listen), limits, times, std::move(std::get<Routes>(made))};
@@ -91,7 +93,7 @@
         return ConfigError{{"TOML", static_cast<uint32_t>(e.source().begin.line)},
                            std::string(e.description())};
     } catch (const TomlConfigError& w) {
-        return w.fault;
+        return w.error;
     }
 }
 
--- a/src/modbus/config.h
+++ b/src/modbus/config.h
@@ -19,9 +19,9 @@
 };
 
 struct Times {
-    Span read = seconds(1), write = seconds(3);  // a client's time-out, by what it asks for
-    Span connect = seconds(0.2);
-    Span idle_client = seconds(60), idle_server = seconds(30);
+    Duration read = seconds(1), write = seconds(3);  // a client's time-out, by what it asks for
+    Duration connect = seconds(0.2);
+    Duration idle_client = seconds(60), idle_server = seconds(30);
 };
 
 struct OperatorFile {
--- a/src/net/admin_server.cpp
+++ b/src/net/admin_server.cpp
@@ -16,8 +16,8 @@
 constexpr size_t most_open = 12;            // the longest silent goes first
 constexpr size_t most_ignored = 16 * 1024;  // bytes behind a line
 constexpr size_t most_line = 256;           // bytes
-constexpr Span whole_line = seconds(5);
-constexpr Span lets_go = seconds(1);  // to be read to its end by the caller
+constexpr Duration whole_line = seconds(5);
+constexpr Duration lets_go = seconds(1);  // to be read to its end by the caller
 constexpr int first_priority = 0;
 
 const char* name_of(ServingState serving_state)
@@ -64,9 +64,9 @@
 {
     std::string out = obeyed.success ? "SUCCESS " : "FAILURE ";
     out.append(name_of(obeyed.serving_state)).append("\n");
-    if (!obeyed.figures) return out;
-    const ServiceStatistics& f = *obeyed.figures;
-    for (const auto& [name, n] : f.of_operation) {
+    if (!obeyed.statistics) return out;
+    const ServiceStatistics& f = *obeyed.statistics;
+    for (const auto& [name, n] : f.outcomes_by_operation) {
         figure(out, "success." + name, n.success, 'c');
         figure(out, "busy." + name, n.busy, 'c');
         figure(out, "failure." + name, n.failure, 'c');
@@ -83,7 +83,7 @@
     AdminServer* owner = nullptr;
     Place self;
     Descriptor socket;
-    Timer reading;
+    EventPtr reading;
     std::string line;
     AdminConnectionId caller = 0;  // its line has come
     bool answered = false;
@@ -96,7 +96,7 @@
 {
     sockaddr_storage at{};
     int length = sizeof at;
-    const auto text = text_of(address);
+    const auto text = to_string(address);
     if (evutil_parse_sockaddr_port(text.c_str(), reinterpret_cast<sockaddr*>(&at), &length) != 0)
         throw ConfigException("mgmt: '" + text + "' is no numeric address");
     listener_ = Descriptor(socket(at.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
@@ -203,7 +203,7 @@
 
 void AdminServer::answer(const AdminCommandResult& obeyed)
 {
-    answer(obeyed.caller, encode_admin_result(obeyed));
+    answer(obeyed.connection, encode_admin_result(obeyed));
 }
 
 // An answer is small: what the kernel does not take at once has no reader.
--- a/src/net/admin_server.h
+++ b/src/net/admin_server.h
@@ -44,7 +44,7 @@
     std::function<bool(AdminConnectionId, const std::vector<std::string>&)> ordered_;
     std::function<void(AdminConnectionId)> left_;
     Descriptor listener_;
-    Timer accepting_;
+    EventPtr accepting_;
     AdminConnectionId next_ = 1;
     std::list<Connection> open_;  // the longest open first
 };
--- a/src/net/config.cpp
+++ b/src/net/config.cpp
@@ -84,7 +84,7 @@
 
 }  // namespace
 
-std::string text_of(const Address& address) { return address.host + ":" + std::to_string(address.port); }
+std::string to_string(const Address& address) { return address.host + ":" + std::to_string(address.port); }
 
 Address decode_address(const std::string& text, const std::string& key)
 {
@@ -159,7 +159,7 @@
     if (settings == in.end() || !settings->is_object())
         throw ConfigException("settings: an object is expected");
     out.settings = settings->dump();
-    out.fixed = {{"listen", text_of(out.listen)},
+    out.fixed = {{"listen", to_string(out.listen)},
                  {"name", out.name},
                  {"limits", in.value("limits", json::object()).dump()},
                  {"settings.tier", settings->value("tier", json()).dump()},
@@ -167,27 +167,29 @@
     FlatSettings flat;
     flatten(*settings, "", flat);
     try {
-        out.setup = decode_settings(flat);
+        out.service_config = decode_settings(flat);
     } catch (const SettingError& bad) {
         throw ConfigException(std::string("settings: ") + bad.what());
     }
-    if (out.setup.operations.empty()) throw ConfigException("settings.operations: at least one is expected");
-    for (size_t i = 0; i < out.setup.operations.size(); ++i)
-        if (out.setup.operations[i].empty())
+    if (out.service_config.operation_names.empty())
+        throw ConfigException("settings.operations: at least one is expected");
+    for (size_t i = 0; i < out.service_config.operation_names.size(); ++i)
+        if (out.service_config.operation_names[i].empty())
             throw ConfigException("settings.operations." + std::to_string(i) + ".name: a name is expected");
-    if (out.setup.idle_close <= Span{})
+    if (out.service_config.upstream_idle_timeout <= Duration{})
         throw ConfigException("settings.policy_limits.conn_idle_us: must be over 0");
-    if (out.setup.connect_timeout <= Span{})
+    if (out.service_config.connect_timeout <= Duration{})
         throw ConfigException("settings.policy_limits.connect_timeout_us: must be over 0");
-    if (!out.setup.zones.empty() && out.setup.settings.zone >= out.setup.zones.size())
+    if (!out.service_config.zone_names.empty() &&
+        out.service_config.settings.zone >= out.service_config.zone_names.size())
         throw ConfigException("settings.zone: a place in settings.dcs is expected");
-    out.peers = std::exchange(out.setup.settings.may_message_peers, false);
+    out.peers = std::exchange(out.service_config.settings.may_message_peers, false);
     if (const auto known = in.find("known"); known != in.end() && !known->is_null())
         out.known = known->dump();
     return out;
 }
 
-void check_may_follow(const Config& running, const Config& next)
+void check_reloadable(const Config& running, const Config& next)
 {
     for (size_t i = 0; i < running.fixed.size(); ++i)
         if (running.fixed[i].second != next.fixed[i].second)
--- a/src/net/config.h
+++ b/src/net/config.h
@@ -27,7 +27,7 @@
     uint64_t seed = 0;
     size_t descriptors = 1024;
     size_t bodies = 0;  // bytes that callers may have here together, out of limits.memory_mb
-    ServiceConfig setup;
+    ServiceConfig service_config;
     // What holds from start to end, by key, and the settings that may change while serving, as text.
     std::vector<std::pair<std::string, std::string>> fixed;
     std::string settings;
@@ -40,9 +40,9 @@
 Config decode_config(const std::string& text);
 
 // Throws BadConfig with the key of what cannot change in a running program.
-void check_may_follow(const Config& running, const Config& next);
+void check_reloadable(const Config& running, const Config& next);
 
-std::string text_of(const Address& address);
+std::string to_string(const Address& address);
 // Throws BadConfig where the descriptor is no listening TCP socket.
 void check_passed_socket(const Config& config);
 Address decode_address(const std::string& text, const std::string& key);
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -21,14 +21,16 @@
 // - where they are asked for: 2.5 s of a call and 3 s until the module asks again, 5.5 s in all; after
 //   a watch it asks within 0.75 s, after SIGHUP at once. A discovery that many ask keeps a call for up to
 //   2 s until its turn: to give it up just before costs the answer, and the work that was done for it.
-constexpr Span watch_for = seconds(2);       // one call; short, so that a silent agent is soon noticed
-constexpr Span watch_within = seconds(2.5);  // until the last byte of its answer; then the call is given up
-constexpr Span whole_within = seconds(1.5);  // the same of a call for the whole list, where lists are pushed
-constexpr Span resume_for = seconds(0.5);    // of a call for what was missed: a watch that is answered soon
+constexpr Duration watch_for = seconds(2);  // one call; short, so that a silent agent is soon noticed
+constexpr Duration watch_within =
+    seconds(2.5);  // until the last byte of its answer; then the call is given up
+constexpr Duration whole_within =
+    seconds(1.5);  // the same of a call for the whole list, where lists are pushed
+constexpr Duration resume_for = seconds(0.5);  // of a call for what was missed: a watch that is answered soon
 // Not answered by then: the whole list is asked for beside it, where lists are pushed.
-constexpr Span overdue_watch = seconds(2.2), overdue_whole = seconds(0.2);
-constexpr Span first_pause = seconds(0.05);  // after a call that failed; twice as long with each
-constexpr Span longest_pause = seconds(0.2), longest_asked = seconds(1);
+constexpr Duration overdue_watch = seconds(2.2), overdue_whole = seconds(0.2);
+constexpr Duration first_pause = seconds(0.05);  // after a call that failed; twice as long with each
+constexpr Duration longest_pause = seconds(0.2), longest_asked = seconds(1);
 constexpr size_t most_list = 8 << 20;
 
 template <class T>
@@ -42,7 +44,7 @@
         return at->is_string() ? at->get<T>() : absent;
 }
 
-std::optional<ListedEndpoint> decode_entry(const ServiceConfig& setup, const json& in, Point epoch)
+std::optional<ListedEndpoint> decode_entry(const ServiceConfig& setup, const json& in, TimePoint epoch)
 {
     ListedEndpoint e;
     if (!in.is_object()) return {};
@@ -55,35 +57,36 @@
               : state == "gone" ? EndpointPhase::gone
                                 : EndpointPhase::draining;
     const auto zone = value_or<std::string>(in, "az", "");
-    while (e.zone < setup.zones.size() && setup.zones[e.zone] != zone) ++e.zone;  // unknown: past all others
+    while (e.zone < setup.zone_names.size() && setup.zone_names[e.zone] != zone)
+        ++e.zone;  // unknown: past all others
     e.cell = value_or<uint32_t>(in, "pod_group", 0);
-    e.size = value_or<double>(in, "capacity_hint", 1);
+    e.capacity = value_or<double>(in, "capacity_hint", 1);
     if (const auto ms = value_or<int64_t>(in, "boot_ms", 0); ms > 0 && ms < int64_t{1} << 50)
-        e.started = epoch + Span{ms * 1000};
+        e.started_at = epoch + Duration{ms * 1000};
     return e;
 }
 
 }  // namespace
 
-std::optional<List> decode_list(const ServiceConfig& setup, const std::string& text, Point epoch)
+std::optional<EndpointList> decode_list(const ServiceConfig& setup, const std::string& text, TimePoint epoch)
 {
     const auto in = json::parse(text, nullptr, false);
     if (!in.is_object()) return {};
     const auto targets = in.find("targets");
     if (targets == in.end() || !targets->is_array()) return {};
-    List list;
+    EndpointList list;
     list.version = value_or<uint64_t>(in, "rev", 0);
     const auto all = in.find("all");
-    list.told.all = all != in.end() && all->is_boolean() && all->get<bool>();
+    list.update.is_full = all != in.end() && all->is_boolean() && all->get<bool>();
     for (const auto& target : *targets) {
         auto entry = decode_entry(setup, target, epoch);
         if (!entry) return {};
-        list.told.entries.push_back(std::move(*entry));
+        list.update.entries.push_back(std::move(*entry));
     }
     return list;
 }
 
-void take_in(std::map<std::string, std::string>& lines, const std::string& text)
+void apply_list_update(std::map<std::string, std::string>& lines, const std::string& text)
 {
     const auto in = json::parse(text, nullptr, false);
     if (!in.is_object()) return;
@@ -97,20 +100,20 @@
     }
 }
 
-std::string whole_list(uint64_t version, const std::map<std::string, std::string>& lines)
+std::string encode_full_list(uint64_t version, const std::map<std::string, std::string>& lines)
 {
     std::string out = R"({"rev":)" + std::to_string(version) + R"(,"all":true,"targets":[)";
     for (const auto& [uid, line] : lines) out.append(out.back() == '[' ? "" : ",").append(line);
     return out.append("]}");
 }
 
-void check_known(const Config& config)
+void check_known_list(const Config& config)
 {
-    if (!config.known.empty() && !decode_list(config.setup, config.known, Point{}))
+    if (!config.known.empty() && !decode_list(config.service_config, config.known, TimePoint{}))
         throw ConfigException("known: is no list of upstreams, or one of its targets has no uid");
 }
 
-Discovery::Discovery(event_base* base, const Config& config, Point epoch, std::function<void(Event)> tell)
+Discovery::Discovery(event_base* base, const Config& config, TimePoint epoch, std::function<void(Event)> tell)
     : base_(base),
       config_(config),
       address_(config.discovery),
@@ -123,14 +126,14 @@
 }
 
 // The agent has what there is, and a call costs nothing.
-bool Discovery::is_pushed() const { return !config_.setup.settings.list_must_be_asked; }
+bool Discovery::is_pushed() const { return !config_.service_config.settings.must_watch_endpoint_list; }
 
-void Discovery::ask()
+void Discovery::start_polling()
 {
     if (asking_) return;
     asking_ = true;
     resting_ = false;
-    call_in(Span{});
+    call_in(Duration{});
 }
 
 void Discovery::resume_from(uint64_t version)
@@ -139,17 +142,17 @@
     resuming_ = remembered_ = true;
 }
 
-void Discovery::rest()
+void Discovery::stop_polling()
 {
     asking_ = false;
     resting_ = true;
     drop_all();
-    call_in(Span{});  // which frees them
+    call_in(Duration{});  // which frees them
 }
 
 // The versions of two agents say nothing of each other. Dropping the calls that are out there: a late answer
 // is never heard. The new agent is asked at once, also where the module was to say when to ask the last one.
-void Discovery::move(Address to)
+void Discovery::change_address(Address to)
 {
     spdlog::info("discovery moves to {}:{}", to.host, to.port);
     address_ = std::move(to);
@@ -158,7 +161,7 @@
     pause_ = first_pause;
     if (resting_) return;
     asking_ = true;
-    call_in(Span{});
+    call_in(Duration{});
 }
 
 void Discovery::drop_all()
@@ -169,16 +172,16 @@
     dropped_.splice(dropped_.end(), calls_);
 }
 
-void Discovery::call_in(Span pause)
+void Discovery::call_in(Duration pause)
 {
     const auto wait = to_timeval(pause);
     event_add(again_.get(), &wait);
 }
 
 template <auto then>
-Timer Discovery::timer(Call& call, Span wait)
+EventPtr Discovery::timer(Call& call, Duration wait)
 {
-    Timer made(evtimer_new(
+    EventPtr made(evtimer_new(
         base_,
         [](evutil_socket_t, short, void* arg) {
             auto* due = static_cast<Call*>(arg);
@@ -220,7 +223,7 @@
     evhttp_add_header(evhttp_request_get_output_headers(request), "Host", host.c_str());
     std::string target = "/api/targets";
     const bool watches = version_ && !resuming_;
-    const Span wait = watches ? watch_for : resume_for;
+    const Duration wait = watches ? watch_for : resume_for;
     if (version_)
         target += "?after=" + std::to_string(*version_) + "&wait_ms=" + std::to_string(wait.us / 1000);
     at->out = true;
@@ -254,14 +257,15 @@
     const size_t size = evbuffer_get_length(body);
     const auto* bytes = reinterpret_cast<const char*>(evbuffer_pullup(body, -1));
     const std::string text(bytes ? bytes : "", size);
-    auto list = decode_list(config_.setup, text, epoch_);
+    auto list = decode_list(config_.service_config, text, epoch_);
     if (!list) {
         version_.reset();
         return failed(call, "the answer is no list");
     }
     // Guards against an agent that has fallen behind: an older list would bring back what drains or has gone.
     // Guards against a remembered list that another discovery had numbered.
-    const bool renumbered = std::exchange(remembered_, false) && !list->told.all && list->version < *version_;
+    const bool renumbered =
+        std::exchange(remembered_, false) && !list->update.is_full && list->version < *version_;
     if (renumbered) {
         version_.reset();
         return failed(call, "it numbers its lists anew");
@@ -280,25 +284,25 @@
     const bool first = !version_;
     version_ = list->version;
     resuming_ = false;
-    for (const ListedEndpoint& e : list->told.entries)
+    for (const ListedEndpoint& e : list->update.entries)
         spdlog::debug("list {}: {} {} {}", list->version, e.uid, e.endpoint, static_cast<int>(e.phase));
-    if (first) spdlog::info("list {} of {} upstreams", list->version, list->told.entries.size());
+    if (first) spdlog::info("list {} of {} upstreams", list->version, list->update.entries.size());
     // The next call goes out before anything else, so that the watch has no gap.
-    call_in(Span{});
-    if (!told_elsewhere()) return tell_(std::move(list->told));
+    call_in(Duration{});
+    if (!told_elsewhere()) return tell_(std::move(list->update));
     tell_fleet(*list, text);
 }
 
-void Discovery::tell_fleet(const List& list, const std::string& text)
+void Discovery::tell_fleet(const EndpointList& list, const std::string& text)
 {
     // Whoever was told of the last lines may hold them still.
-    if (lines_.use_count() > 1) lines_ = std::make_shared<Lines>(*lines_);
-    take_in(*lines_, text);
-    if (!tell_lines_) return whole_(list.version, whole_list(list.version, *lines_));
+    if (lines_.use_count() > 1) lines_ = std::make_shared<Entries>(*lines_);
+    apply_list_update(*lines_, text);
+    if (!tell_lines_) return whole_(list.version, encode_full_list(list.version, *lines_));
     std::optional<std::vector<std::string>> uids;
-    if (!list.told.all) {
+    if (!list.update.is_full) {
         uids.emplace();
-        for (const ListedEndpoint& e : list.told.entries) uids->push_back(e.uid);
+        for (const ListedEndpoint& e : list.update.entries) uids->push_back(e.uid);
     }
     tell_lines_(list.version, lines_, std::move(uids));
 }
--- a/src/net/downstream_server.cpp
+++ b/src/net/downstream_server.cpp
@@ -18,16 +18,16 @@
 // How long a connection may stay in each phase: for a request from its first byte (of a new connection: from
 // connecting; for each part of its body there is a little more), for more of a large one, between requests,
 // for an answer, to take the next part of one, and to close after its last.
-constexpr std::array<Span, 6> at_most = {seconds(2.5),  seconds(2.5), seconds(60),
-                                         seconds(3600), seconds(10),  seconds(1)};
-constexpr double slowest_body = 24 * 1024;  // bytes a second
-constexpr Span may_rest = seconds(2);       // whatever room is needed
-constexpr Span asks_within = seconds(0.2);  // the same for a new connection or a request begun
-constexpr Span lingers = seconds(0.1);      // the same for one whose sending side is shut
-constexpr size_t some = 16;                 // connections to make room for at a time
-constexpr Span ends_with_request = seconds(0.03), goes_after = seconds(0.05);
-constexpr Span tell_every = seconds(1);  // of the same trouble in the log
-constexpr Span look_every = seconds(0.05), stalled = seconds(0.2);
+constexpr std::array<Duration, 6> at_most = {seconds(2.5),  seconds(2.5), seconds(60),
+                                             seconds(3600), seconds(10),  seconds(1)};
+constexpr double slowest_body = 24 * 1024;      // bytes a second
+constexpr Duration may_rest = seconds(2);       // whatever room is needed
+constexpr Duration asks_within = seconds(0.2);  // the same for a new connection or a request begun
+constexpr Duration lingers = seconds(0.1);      // the same for one whose sending side is shut
+constexpr size_t some = 16;                     // connections to make room for at a time
+constexpr Duration ends_with_request = seconds(0.03), goes_after = seconds(0.05);
+constexpr Duration tell_every = seconds(1);  // of the same trouble in the log
+constexpr Duration look_every = seconds(0.05), stalled = seconds(0.2);
 constexpr size_t read_ahead = 8 * 1024;      // bytes of one connection that wait to be read
 constexpr size_t read_at_once = 64 * 1024;   // the same of a large body
 constexpr size_t nearly_taken = 16 * 1024;   // bytes of an answer left to send, when more of it is asked for
@@ -37,12 +37,12 @@
 
 // How long ago the last byte came. Guards against requests that waited unread while this program stood still:
 // their time counts from when their callers sent them.
-Span unread_for(int fd)
+Duration unread_for(int fd)
 {
     tcp_info info{};
     socklen_t size = sizeof info;
     if (getsockopt(fd, IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return {};
-    return Span{int64_t{info.tcpi_last_data_recv} * 1000};
+    return Duration{int64_t{info.tcpi_last_data_recv} * 1000};
 }
 
 // Whether the socket shows this now.
@@ -61,8 +61,8 @@
     DownstreamServer* owner = nullptr;
     Place self;
     Phase phase = asking;
-    Point since;
-    Stream stream;
+    TimePoint since;
+    BuffereventPtr stream;
     RequestReader reader;
     RequestId caller = 0;   // of the request that waits for its answer
     size_t due = 0;         // of its body, when it had its answer before all of it had come
@@ -102,7 +102,7 @@
 {
     sockaddr_storage at{};
     int length = sizeof at;
-    const auto text = text_of(address);
+    const auto text = to_string(address);
     if (evutil_parse_sockaddr_port(text.c_str(), reinterpret_cast<sockaddr*>(&at), &length) != 0)
         throw ConfigException("listen: '" + text + "' is no numeric address");
     listener_.reset(evconnlistener_new_bind(base_, accepted, this,
@@ -159,7 +159,7 @@
 {
     const int on = 1;
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-    const Place at = in_[asking].emplace(in_[asking].end(), config_.setup);
+    const Place at = in_[asking].emplace(in_[asking].end(), config_.service_config);
     at->owner = this;
     at->self = at;
     at->since = monotonic_now();
@@ -216,65 +216,67 @@
     if (size == 0 || at->phase == waiting || at->phase == telling) return;
     if (at->phase == resting) enter(at, asking);
     const auto* bytes = reinterpret_cast<const char*>(evbuffer_pullup(input, -1));
-    const auto state = at->reader.take({bytes, size});
-    evbuffer_drain(input, at->reader.used());
+    const auto state = at->reader.parse({bytes, size});
+    evbuffer_drain(input, at->reader.consumed_bytes());
     if (state == RequestReader::State::malformed) {
-        const auto [status, why] = at->reader.why();
+        const auto [status, why] = at->reader.error();
         if (const auto caller = std::exchange(at->caller, 0)) {
             waiting_.erase(caller);
             tell_(DownstreamDisconnected{caller});
         }
         return refuse(at, status, why);
     }
-    if (at->phase == bringing) return body_piece_received(at, state == RequestReader::State::whole);
+    if (at->phase == bringing) return body_piece_received(at, state == RequestReader::State::complete);
     // Guards against running out of memory: where the bodies would not fit, that is said before they come.
     const auto& request = at->reader.request();
-    const size_t most = at->reader.large() ? 2 * window : request.body.size() + at->reader.still_to_come();
+    const size_t most =
+        at->reader.exceeds_buffer() ? 2 * window : request.body.size() + at->reader.body_bytes_to_buffer();
     if (most > at->held) {
         if (held_ - at->held + most > most_held_) {
-            tell_(RequestRejected{request.operation, request.edition});
-            at->due = at->reader.still_due();
+            tell_(RequestRejected{request.operation, request.config_version});
+            at->due = at->reader.max_remaining_body_bytes();
             return refuse(at, 503, "no room for the body");
         }
         hold(*at, most);
     }
-    if (state == RequestReader::State::whole) return request_received(at, false);
-    if (at->reader.large()) {
+    if (state == RequestReader::State::complete) return request_received(at, false);
+    if (at->reader.exceeds_buffer()) {
         bufferevent_setwatermark(at->stream.get(), EV_READ, 0, read_at_once);
         if (request.body.size() >= max_buffered_body_bytes) return request_received(at, true);
     }
-    if (at->reader.expects_word() && request.body.empty())
-        bufferevent_write(at->stream.get(), "HTTP/1.1 100 Continue\r\n\r\n", 25), at->reader.word_given();
+    if (at->reader.expects_continue() && request.body.empty())
+        bufferevent_write(at->stream.get(), "HTTP/1.1 100 Continue\r\n\r\n", 25),
+            at->reader.mark_continue_sent();
 }
 
 // More of a request that is passed on while it comes.
 void DownstreamServer::body_piece_received(Place at, bool last)
 {
     enter(at, last ? waiting : bringing);
-    tell_(RequestChunkReceived{at->caller, at->reader.take_piece(), last, last ? unread(at) : Span{}});
+    tell_(RequestChunkReceived{at->caller, at->reader.take_body(), last, last ? unread(at) : Duration{}});
 }
 
 // How long the last byte has waited here.
-Span DownstreamServer::unread(Place at) const { return unread_for(bufferevent_getfd(at->stream.get())); }
+Duration DownstreamServer::unread(Place at) const { return unread_for(bufferevent_getfd(at->stream.get())); }
 
 void DownstreamServer::request_received(Place at, bool more)
 {
     const auto input = evbuffer_get_length(bufferevent_get_input(at->stream.get()));
     at->in_a_row = input > 0 ? at->in_a_row + 1 : 0;
-    at->last = !at->reader.keeps_connection() || at->in_a_row >= most_in_a_row;
-    if (at->reader.asks_whether_ready()) {
+    at->last = !at->reader.keep_alive() || at->in_a_row >= most_in_a_row;
+    if (at->reader.is_readiness_check()) {
         const bool ready = ready_();
         return reply(at, {ready ? 200 : 503, false, {}, {}, ready ? "ready\n" : "not ready\n"}, !ready);
     }
     Request request = std::move(at->reader.request());
-    request.more = more;
+    request.body_incomplete = more;
     bool went = false;
     if (more) {
-        request.length = at->reader.length();
-        at->reader.take_piece();
+        request.content_length = at->reader.content_length();
+        at->reader.take_body();
     } else {
-        const Span waited = unread(at);
-        request.time_left = std::max(Span{}, request.time_left - waited);
+        const Duration waited = unread(at);
+        request.time_left = std::max(Duration{}, request.time_left - waited);
         // Guards against work for a caller that sent its request and went, while this program had no time to
         // read.
         went = waited > goes_after && shows(bufferevent_getfd(at->stream.get()), POLLRDHUP);
@@ -289,7 +291,7 @@
 void DownstreamServer::refuse(Place at, int status, const char* why)
 {
     spdlog::debug("a caller gets {}, {}, {} ms after its request began, with {} bytes of its body come",
-                  status, why, (monotonic_now() - at->since).us / 1000, at->reader.come());
+                  status, why, (monotonic_now() - at->since).us / 1000, at->reader.body_bytes_received());
     reply(at, {status, false, {}, {}, std::string(why) + "\n"}, true);
 }
 
@@ -299,12 +301,12 @@
     if (found == waiting_.end()) return;  // it has left
     const Place at = found->second;
     // What still comes of a request that has its answer is read in no other way.
-    const bool last = answer.last_on_connection || !at->reader.done();
-    at->due = at->reader.still_due();
-    if (answer.response.more) {
+    const bool last = answer.close_connection || !at->reader.is_complete();
+    at->due = at->reader.max_remaining_body_bytes();
+    if (answer.response.body_incomplete) {
         at->in_pieces = true;
-        at->chunked = !answer.response.length && !at->reader.old();
-        at->to_the_end = !answer.response.length && at->reader.old();
+        at->chunked = !answer.response.content_length && !at->reader.is_http_1_0();
+        at->to_the_end = !answer.response.content_length && at->reader.is_http_1_0();
         bufferevent_setwatermark(at->stream.get(), EV_WRITE, nearly_taken, 0);
     } else {
         waiting_.erase(found);
@@ -318,8 +320,8 @@
     const auto found = waiting_.find(pass.caller);
     if (found == waiting_.end()) return;
     const Place at = found->second;
-    const auto bytes = encode_piece(std::move(pass.bytes), at->chunked, pass.last);
-    if (pass.last) {
+    const auto bytes = encode_body_chunk(std::move(pass.bytes), at->chunked, pass.is_last);
+    if (pass.is_last) {
         at->in_pieces = false;
         bufferevent_setwatermark(at->stream.get(), EV_WRITE, 0, 0);
     }
@@ -341,11 +343,11 @@
 void DownstreamServer::hear(const SetRequestReading& hear)
 {
     const auto found = waiting_.find(hear.caller);
-    if (found == waiting_.end() || found->second->reader.done()) return;
+    if (found == waiting_.end() || found->second->reader.is_complete()) return;
     const Place at = found->second;
     if (at->phase != waiting && at->phase != bringing) return;
-    enter(at, hear.more ? bringing : waiting);
-    if (hear.more)
+    enter(at, hear.enabled ? bringing : waiting);
+    if (hear.enabled)
         bufferevent_trigger(at->stream.get(), EV_READ, BEV_TRIG_IGNORE_WATERMARKS | BEV_TRIG_DEFER_CALLBACKS);
 }
 
@@ -355,9 +357,9 @@
     const bool crowded = open() > room_.own() / 4 * 3;
     at->last = at->last || last || crowded;
     at->last = at->last || at->to_the_end;
-    const auto bytes = encode_response(response, at->last, at->reader.old());
-    at->reader = RequestReader(config_.setup);
-    hold(*at, response.more ? window : bytes.size());
+    const auto bytes = encode_response(response, at->last, at->reader.is_http_1_0());
+    at->reader = RequestReader(config_.service_config);
+    hold(*at, response.body_incomplete ? window : bytes.size());
     enter(at, telling);
     bufferevent_write(at->stream.get(), bytes.data(), bytes.size());
 }
@@ -400,7 +402,7 @@
 // Whether bytes of a request are here, read or not.
 bool DownstreamServer::asks(Place at) const
 {
-    return at->reader.begun() || evbuffer_get_length(bufferevent_get_input(at->stream.get())) > 0 ||
+    return at->reader.has_started() || evbuffer_get_length(bufferevent_get_input(at->stream.get())) > 0 ||
            shows(bufferevent_getfd(at->stream.get()), POLLIN);
 }
 
@@ -410,7 +412,7 @@
 bool DownstreamServer::still_listens(Place at)
 {
     const bool with_request =
-        at->phase == waiting && at->reader.done() && monotonic_now() - at->since < ends_with_request;
+        at->phase == waiting && at->reader.is_complete() && monotonic_now() - at->since < ends_with_request;
     if (!with_request && at->phase != telling) return false;
     at->last = at->sent_all = true;
     if (with_request) tell_(DownstreamHalfClosed{at->caller});
@@ -434,7 +436,7 @@
 // Ends what has had its time, and lets callers in again.
 void DownstreamServer::look()
 {
-    const Point now = monotonic_now();
+    const TimePoint now = monotonic_now();
     // Guards against blaming callers for a stall of this program: what they have sent meanwhile is read
     // first. Once, for it may be this slow all the time.
     waits_for_bytes_ = now - std::exchange(looked_, now) > stalled && !waits_for_bytes_;
@@ -443,8 +445,9 @@
         for (Place at = in_[phase].begin(), next; at != in_[phase].end(); at = next) {
             next = std::next(at);
             if (now - at->since <= at_most[phase]) break;
-            const bool begun = phase == asking && at->reader.begun();
-            if (begun && now - at->since <= at_most[phase] + seconds(at->reader.come() / slowest_body))
+            const bool begun = phase == asking && at->reader.has_started();
+            if (begun &&
+                now - at->since <= at_most[phase] + seconds(at->reader.body_bytes_received() / slowest_body))
                 continue;
             if (begun) {
                 refuse(at, 408, "the request took too long");
@@ -491,9 +494,9 @@
 
 void DownstreamServer::stop_listening() { listener_.reset(); }
 
-void DownstreamServer::close_idle(Span rested, Span silent)
+void DownstreamServer::close_idle(Duration rested, Duration silent)
 {
-    const Point now = monotonic_now();
+    const TimePoint now = monotonic_now();
     for (const auto phase : {resting, asking})
         for (Place at = in_[phase].begin(), next; at != in_[phase].end(); at = next) {
             next = std::next(at);
@@ -506,7 +509,7 @@
 {
     for (Place at = in_[asking].begin(), next; at != in_[asking].end(); at = next) {
         next = std::next(at);
-        if (at->reader.begun()) refuse(at, 408, "the request took too long");
+        if (at->reader.has_started()) refuse(at, 408, "the request took too long");
     }
 }
 
@@ -519,9 +522,9 @@
 
 size_t DownstreamServer::make_room(size_t count)
 {
-    const Point now = monotonic_now();
+    const TimePoint now = monotonic_now();
     size_t made = 0;
-    const auto from = [&](Phase phase, Span rested, auto&& end) {
+    const auto from = [&](Phase phase, Duration rested, auto&& end) {
         for (Place at = in_[phase].begin(), next; at != in_[phase].end() && made < count; at = next) {
             next = std::next(at);
             if (now - at->since < rested) break;
@@ -529,7 +532,7 @@
         }
     };
     // Those that end by themselves within a moment make room as well.
-    from(leaving, Span{}, [&](Place at) {
+    from(leaving, Duration{}, [&](Place at) {
         if (now - at->since >= lingers) close(at);
         return true;
     });
@@ -546,7 +549,7 @@
     });
     // Also what has begun. Guards against half requests by hundreds, which would keep all others out.
     from(asking, asks_within, [&](Place at) {
-        if (!at->reader.begun() || shows(bufferevent_getfd(at->stream.get()), POLLIN)) return false;
+        if (!at->reader.has_started() || shows(bufferevent_getfd(at->stream.get()), POLLIN)) return false;
         refuse(at, 408, "the request took too long");
         return true;
     });
--- a/src/net/downstream_server.h
+++ b/src/net/downstream_server.h
@@ -34,7 +34,7 @@
     bool someone_waits() const;  // to be accepted
     void stop_listening();
     // Those at rest, and those that have connected and said nothing, for so long.
-    void close_idle(Span rested, Span silent);
+    void close_idle(Duration rested, Duration silent);
     // Of those that have begun a request and not ended it each gets its answer now.
     void end_begun();
     // Ends what rests longest, at most so many; nobody who has just come or just been answered. How many have
@@ -62,7 +62,7 @@
     void readable(Place at);
     void request_received(Place at, bool more);
     void body_piece_received(Place at, bool last);
-    Span unread(Place at) const;
+    Duration unread(Place at) const;
     void refuse(Place at, int status, const char* why);
     void reply(Place at, const Response& response, bool last);
     void written(Place at);
@@ -83,11 +83,11 @@
     std::function<bool()> ready_;
     std::function<void()> crowded_;
     std::function<void(Event)> tell_;
-    std::unique_ptr<evconnlistener, Freed<evconnlistener_free>> listener_;
+    std::unique_ptr<evconnlistener, FreeWith<evconnlistener_free>> listener_;
     bool paused_ = false, before_ready_ = false;
-    Point told_;  // of no room, in the log
-    Timer look_;
-    Point looked_;
+    TimePoint told_;  // of no room, in the log
+    EventPtr look_;
+    TimePoint looked_;
     bool waits_for_bytes_ = false;  // since the last look, after a stall
     RequestId next_ = 1;
     std::array<std::list<Connection>, phases> in_;  // each: the longest in its phase first
--- a/src/net/reducer.cpp
+++ b/src/net/reducer.cpp
@@ -10,11 +10,11 @@
 {
 
 // Attempts go on to begin for so long for a client that has closed its sending side.
-constexpr Span half_closed_grace = seconds(0.05);
+constexpr Duration half_closed_grace = seconds(0.05);
 
 }  // namespace
 
-uint64_t id_of(std::string_view uid)
+uint64_t hash_uid(std::string_view uid)
 {
     uint64_t hash = 0xcbf29ce484222325u;
     for (const unsigned char c : uid) hash = (hash ^ c) * 0x100000001b3u;
@@ -28,13 +28,13 @@
       discovery_(std::move(discovery)),
       balancer_(setup.settings, seed, *this)
 {
-    for (const auto& name : setup.operations) outcomes_[name];
+    for (const auto& name : setup.operation_names) outcomes_[name];
 }
 
-std::vector<Effect> Reducer::reduce(Point now, Event event)
+std::vector<Effect> Reducer::reduce(TimePoint now, Event event)
 {
     now_ = now;
-    if (view_ && view_->due([this](UpstreamId t) { return reduction(t); })) show();
+    if (view_ && view_->needs_update([this](UpstreamId t) { return reduction(t); })) show();
     std::visit([this](auto& e) { on(e); }, event);
     // The module is told only now of a forward that was cancelled, or that could not be made: it may not be
     // called while it decides.
@@ -50,13 +50,13 @@
 void Reducer::on(ServiceStarted)
 {
     if (recovery_) recovery_->start(now_);
-    balancer_.started(now_);
+    balancer_.start(now_);
 }
 
 void Reducer::on(RequestReceived& arrived)
 {
     // Guards against a request whose head was read under other settings being taken for another operation.
-    if (arrived.request.edition != setup_.edition) {
+    if (arrived.request.config_version != setup_.config_version) {
         const auto operation = decode_operation(setup_, arrived.request.target);
         if (!operation) {
             effects_.push_back(
@@ -64,7 +64,7 @@
             return;
         }
         arrived.request.operation = *operation;
-        arrived.request.tenant = static_cast<uint32_t>(setup_.tenants.size());  // nobody
+        arrived.request.tenant = static_cast<uint32_t>(setup_.tenant_names.size());  // nobody
     }
     ++taken_;
     if (view_) view_->count_request();
@@ -85,7 +85,7 @@
     invocation_of_.emplace(arrived.caller, inv);
     bound_by_stop(arrived.request);
     const InvocationRequest ask{arrived.request.operation, arrived.request.tenant, arrived.request.time_left,
-                                arrived.request.more};
+                                arrived.request.body_incomplete};
     Invocation& i = invocations_[inv] = {};
     i.caller = arrived.caller;
     i.over = false;
@@ -93,8 +93,8 @@
     if (arrived.half_closed) i.half_closed = now_ - half_closed_grace;
     i.outcomes = &outcomes;
     const Operation& op = setup_.settings.operations[ask.operation];
-    if (op.repeat == Idempotency::deduplicated) i.window = op.window;
-    sending_ += i.request.more;
+    if (op.idempotency == Idempotency::deduplicated) i.window = op.deduplication_window;
+    sending_ += i.request.body_incomplete;
     balancer_.accept(now_, inv, ask);
 }
 
@@ -110,7 +110,7 @@
     if (at == invocation_of_.end() || invocations_[at->second].over) return;
     over(invocations_[at->second]);
     ++left_;
-    balancer_.client_left(now_, at->second);
+    balancer_.on_client_disconnected(now_, at->second);
 }
 
 // One that has gone and one that listens look the same: what is out goes on, nothing more begins.
@@ -149,14 +149,14 @@
     }
     const auto& host = upstreams_[a.upstream_id].endpoint;
     if (!a.inv) {
-        const auto probe = encode_probe(host, setup_.settings.reports_by_probe);
+        const auto probe = encode_probe(host, setup_.settings.load_reports_by_probe);
         return effects_.push_back(WriteUpstream{connected.attempt, probe, false, a.stamp});
     }
     Invocation& i = invocations_[*a.inv];
-    const Span wait = i.request.more ? i.request.time_left : a.until - now_;
+    const Duration wait = i.request.body_incomplete ? i.request.time_left : a.until - now_;
     effects_.push_back(
-        WriteUpstream{connected.attempt, encode_request(i.request, host, wait), i.request.more});
-    if (i.request.more) i.goes_to = connected.attempt, i.on_way = i.request.body.size();
+        WriteUpstream{connected.attempt, encode_request(i.request, host, wait), i.request.body_incomplete});
+    if (i.request.body_incomplete) i.goes_to = connected.attempt, i.on_way = i.request.body.size();
 }
 
 void Reducer::on(RequestWritten written)
@@ -164,7 +164,7 @@
     const auto at = attempts_.find(written.attempt);
     if (at == attempts_.end() || !at->second.inv) return;
     Invocation& i = invocations_[*at->second.inv];
-    if (i.request.more && i.goes_to == written.attempt) {
+    if (i.request.body_incomplete && i.goes_to == written.attempt) {
         i.on_way = 0;
         return hear(i);
     }
@@ -176,23 +176,27 @@
 
 void Reducer::on(RequestRejected turned)
 {
-    if (turned.edition != setup_.edition) return;
+    if (turned.config_version != setup_.config_version) return;
     ++taken_;
     ++outcomes_of(turned.operation).busy;
 }
 
-OutcomeCounts& Reducer::outcomes_of(uint32_t operation) { return outcomes_[setup_.operations[operation]]; }
+OutcomeCounts& Reducer::outcomes_of(uint32_t operation)
+{
+    return outcomes_[setup_.operation_names[operation]];
+}
 
 void Reducer::on(ResponseReceived& answered)
 {
     const auto result = result_of(answered.response);
     if (const auto at = attempts_.find(answered.attempt); at != attempts_.end()) {
         // An answer that comes before the request has gone is no more than a word on how it ended.
-        const bool early = at->second.inv && invocations_[*at->second.inv].request.more;
+        const bool early = at->second.inv && invocations_[*at->second.inv].request.body_incomplete;
         if (!early) on(RequestWritten{answered.attempt});
-        if (answered.response.more && result == AttemptResult::succeeded && !early) bind(answered.attempt);
+        if (answered.response.body_incomplete && result == AttemptResult::succeeded && !early)
+            bind(answered.attempt);
     }
-    if (answered.response.more && !relays_.count(answered.attempt)) {
+    if (answered.response.body_incomplete && !relays_.count(answered.attempt)) {
         effects_.push_back(CloseUpstream{answered.attempt});
         if (result == AttemptResult::succeeded) return ended(answered.attempt, AttemptResult::reset, nullptr);
     }
@@ -205,8 +209,8 @@
         effects_.push_back(AbortResponse{at->second.caller});
         return relayed(failed.attempt, &OutcomeCounts::failure);
     }
-    if (failed.broken.progress >= AttemptProgress::written) on(RequestWritten{failed.attempt});
-    ended(failed.attempt, result_of(failed.broken), nullptr);
+    if (failed.error.progress >= AttemptProgress::written) on(RequestWritten{failed.attempt});
+    ended(failed.attempt, result_of(failed.error), nullptr);
 }
 
 void Reducer::ended(AttemptId id, AttemptResult result, Response* response)
@@ -218,30 +222,30 @@
     if (a.inv && invocations_[*a.inv].goes_to == id) {
         Invocation& i = invocations_[*a.inv];
         i.goes_to.reset();
-        if (i.request.more && !i.over) effects_.push_back(SetRequestReading{i.caller, false});
+        if (i.request.body_incomplete && !i.over) effects_.push_back(SetRequestReading{i.caller, false});
     }
     if (!a.inv) {
         --upstreams_[a.upstream_id].referred;
-        const bool asked = response && setup_.settings.reports_by_probe;
+        const bool asked = response && setup_.settings.load_reports_by_probe;
         if (a.stamp)
             effects_.push_back(ProbeCompleted{a.stamp, upstreams_[a.upstream_id].uid,
                                               result == AttemptResult::succeeded,
                                               asked ? response->body : std::string()});
-        return balancer_.probed(now_, a.upstream_id, result,
-                                asked ? decode_report(setup_, response->body) : LoadReport{});
+        return balancer_.on_probe_completed(
+            now_, a.upstream_id, result, asked ? decode_load_report(setup_, response->body) : LoadReport{});
     }
-    const LoadReport report = response ? response->report : LoadReport{};
+    const LoadReport report = response ? response->load_report : LoadReport{};
     // What is called off, or was never sent, says nothing of the upstream.
     if (view_ && result != AttemptResult::cancelled && result != AttemptResult::not_sent &&
-        result != AttemptResult::unusable)
-        view_->record_answer(now_, a.upstream_id, result == AttemptResult::succeeded);
+        result != AttemptResult::invalid_request)
+        view_->record_response(now_, a.upstream_id, result == AttemptResult::succeeded);
     // The first success is the answer, without being asked for.
     if (result == AttemptResult::succeeded) answer(*a.inv, std::move(*response));
     const bool over = invocations_[*a.inv].over;
-    balancer_.ended(now_, *a.inv, a.nth, result, now_ - a.sent, over, report);
+    balancer_.on_forward_ended(now_, *a.inv, a.nth, result, now_ - a.sent, over, report);
 }
 
-void Reducer::on(TimerFired woken) { balancer_.woken(now_, woken.name); }
+void Reducer::on(TimerFired woken) { balancer_.on_timer_fired(now_, woken.timer_id); }
 
 void Reducer::over(Invocation& i)
 {
@@ -257,13 +261,14 @@
     went_well_ += response.status == 200;
     if (i.bound) {
         i.over = true;
-        return effects_.push_back(SendResponse{i.caller, std::move(response), turns_out(now_)});
+        return effects_.push_back(
+            SendResponse{i.caller, std::move(response), should_close_connections(now_)});
     }
     over(i);
     ++(response.status == 200   ? i.outcomes->success
        : response.status == 503 ? i.outcomes->busy
                                 : i.outcomes->failure);
-    effects_.push_back(SendResponse{i.caller, std::move(response), turns_out(now_)});
+    effects_.push_back(SendResponse{i.caller, std::move(response), should_close_connections(now_)});
 }
 
 void Reducer::dial(AttemptId id, Attempt attempt)
@@ -273,7 +278,7 @@
     attempts_.emplace(id, std::move(attempt));
 }
 
-void Reducer::forward(InvocationId inv, UpstreamId upstream_id, Span limit)
+void Reducer::forward(InvocationId inv, UpstreamId upstream_id, Duration limit)
 {
     Invocation& i = invocations_[inv];
     const auto id = next_attempt_++;
@@ -283,7 +288,7 @@
     ++upstreams_[upstream_id].referred;
     Attempt attempt{inv, nth, upstream_id, upstreams_[upstream_id].endpoint, now_, now_ + limit};
     if (nth == 0) i.first_sent = now_;
-    if (nth > 0 && i.window > Span{}) attempt.written_by = i.first_sent + i.window;
+    if (nth > 0 && i.window > Duration{}) attempt.written_by = i.first_sent + i.window;
     if (!i.spent && may_begin(i) && within_budgets(nth, upstream_id)) return dial(id, std::move(attempt));
     // Guards against a request that lacks the bytes which were not held: there is nothing left to send. And
     // against more than this balancer's part of a budget of the fleet.
@@ -291,7 +296,7 @@
     settled_.emplace_back(id, AttemptResult::not_sent);
 }
 
-void Reducer::limit(InvocationId inv, uint32_t forward, Span limit)
+void Reducer::set_forward_timeout(InvocationId inv, uint32_t forward, Duration limit)
 {
     const auto at = attempts_.find(invocations_[inv].attempts[forward]);
     if (at == attempts_.end()) return;
@@ -299,29 +304,30 @@
     effects_.push_back(SetAttemptTimeout{at->first, limit});
 }
 
-void Reducer::throttle(InvocationId inv, Span retry_after)
+void Reducer::throttle(InvocationId inv, Duration retry_after)
 {
     auto r = plain_response(503, "throttled\n");
-    if (retry_after > Span{}) r.passed_on.emplace_back("Retry-After", encode_seconds(retry_after));
+    if (retry_after > Duration{})
+        r.forwarded_headers.emplace_back("Retry-After", encode_seconds(retry_after));
     answer(inv, std::move(r));
 }
 
-void Reducer::error(InvocationId inv) { answer(inv, plain_response(502, "errored\n")); }
+void Reducer::fail(InvocationId inv) { answer(inv, plain_response(502, "errored\n")); }
 
-void Reducer::cancel(InvocationId inv, uint32_t forward)
+void Reducer::cancel_forward(InvocationId inv, uint32_t forward)
 {
     settled_.emplace_back(invocations_[inv].attempts[forward], AttemptResult::cancelled);
 }
 
-void Reducer::released(InvocationId inv)
+void Reducer::release_invocation(InvocationId inv)
 {
     invocation_of_.erase(invocations_[inv].caller);
     for (const UpstreamId upstream_id : invocations_[inv].met) --upstreams_[upstream_id].referred;
-    sending_ -= invocations_[inv].request.more;
+    sending_ -= invocations_[inv].request.body_incomplete;
     invocations_[inv] = {};
     free_.push_back(inv);
 }
 
-void Reducer::wake(Point at, uint64_t name) { effects_.push_back(StartTimer{at, name}); }
+void Reducer::start_timer(TimePoint at, uint64_t name) { effects_.push_back(StartTimer{at, name}); }
 
 }  // namespace firtide::net
--- a/src/net/reducer.h
+++ b/src/net/reducer.h
@@ -34,9 +34,9 @@
 
 // `taken` is the sum of all outcomes, of what is in flight and of what its caller left.
 struct ServiceStatistics {
-    std::map<std::string, OutcomeCounts> of_operation;
+    std::map<std::string, OutcomeCounts> outcomes_by_operation;
     uint64_t backend_calls = 0;  // forwards written whole; probes are none
-    uint64_t taken = 0, left = 0;
+    uint64_t requests_received = 0, requests_abandoned = 0;
     size_t inflight = 0, hosts_listed = 0, hosts_down = 0;
 };
 
@@ -45,15 +45,15 @@
     std::string uid, endpoint;
     EndpointPhase phase = EndpointPhase::gone;
     uint32_t zone = 0, cell = 0;
-    double size = 1;
-    std::optional<Point> started;
+    double capacity = 1;
+    std::optional<TimePoint> started_at;
 };
 
 // Events.
 struct ServiceStarted {
 };
 struct EndpointListUpdated {
-    bool all = false;
+    bool is_full = false;
     std::vector<ListedEndpoint> entries;
 };
 struct EndpointListRestored {  // from before this start; it may be old
@@ -75,8 +75,8 @@
 struct RequestChunkReceived {  // more of a request's body
     RequestId caller;
     std::string bytes;
-    bool last = false;
-    Span waited = {};  // the last byte, unread
+    bool is_last = false;
+    Duration read_delay = {};  // the last byte, unread
 };
 // To the caller: nearly all that was passed on to it; of an answer that was passed on whole, all.
 struct ResponseDrained {
@@ -92,57 +92,57 @@
 struct ResponseChunkReceived {  // more of the body of an answer that is passed on
     AttemptId attempt;
     std::string bytes;
-    bool last = false;
+    bool is_last = false;
 };
 struct AttemptFailed {
     AttemptId attempt;
-    ConnectionError broken;
+    ConnectionError error;
 };
 struct RequestWritten {  // all that was handed over for it has left
     AttemptId attempt;
 };
 struct RequestRejected {  // before its body, with its head read: there was no room for it
-    uint32_t operation = 0, edition = 0;
+    uint32_t operation = 0, config_version = 0;
 };
 struct AdminCommandReceived {
-    AdminConnectionId caller;
-    AdminCommand order;
+    AdminConnectionId connection;
+    AdminCommand command;
 };
 struct TimerFired {
-    uint64_t name;
+    uint64_t timer_id;
 };
 struct ProcessCountChanged {  // memory and descriptors, among so many processes of this balancer
-    size_t processes = 1;
+    size_t process_count = 1;
 };
 struct ShutdownStarted {
-    bool another_serves = false;  // at the same listening socket
+    bool other_process_listening = false;  // at the same listening socket
 };
 // A duty's probes: of the upstreams of this part and slice of the fleet's. What they leave with is the stamp.
 struct ProbesDue {
-    uint32_t part = 0, parts = 1, slice = 0, slices = 1;
-    uint64_t stamp = 0;
+    uint32_t shard = 0, shard_count = 1, slice = 0, slice_count = 1;
+    uint64_t fencing_token = 0;
 };
 struct ProbeReportReceived {  // of a probe that another balancer has made
     std::string uid;
-    bool well = false;
-    std::string report;
+    bool success = false;
+    std::string load_report;
 };
 struct ConfigReloaded {  // the configuration, while serving
-    std::string discovery;
-    std::optional<ServiceConfig> setup;  // where the settings are others
+    std::string discovery_address;
+    std::optional<ServiceConfig> service_config;  // where the settings are others
 };
 // Of the fleet that this balancer is a member of.
 struct SubsetPeersUpdated {
-    std::vector<fleet::SubsetPeer> sharers;
+    std::vector<fleet::SubsetPeer> peers;
 };
 struct OutlierReportsUpdated {
-    std::map<uint64_t, fleet::OutlierGossip::Verdict> results;
+    std::map<uint64_t, fleet::OutlierGossip::Verdict> verdicts;
 };
 struct QuotasUpdated {
-    std::vector<fleet::QuotaLease> parts;
+    std::vector<fleet::QuotaLease> leases;
 };
 struct SnapshotRestored {  // from before this start
-    fleet::MemberSnapshot memory;
+    fleet::MemberSnapshot snapshot;
 };
 struct FleetStateUpdated {
     fleet::FleetState state;
@@ -161,40 +161,40 @@
 struct SendResponse {
     RequestId caller;
     Response response;
-    bool last_on_connection = false;
+    bool close_connection = false;
 };
 struct ConnectUpstream {  // get a connection, then say Connected; Failed where there is no answer within the
                           // limit
     AttemptId attempt;
     UpstreamId upstream_id;
     std::string endpoint;
-    Span limit;
+    Duration timeout;
 };
 struct WriteUpstream {
     AttemptId attempt;
     std::string bytes;
-    bool more = false;   // of the request follows
-    uint64_t stamp = 0;  // of the duty that it is an effect of; zero: of none
+    bool request_incomplete = false;  // of the request follows
+    uint64_t fencing_token = 0;       // of the duty that it is an effect of; zero: of none
 };
 struct SetAttemptTimeout {  // of an attempt that is out, anew
     AttemptId attempt;
-    Span limit;
+    Duration timeout;
 };
 struct SendResponseChunk {  // a piece of an answer
     RequestId caller;
     std::string bytes;
-    bool last = false;
+    bool is_last = false;
 };
 struct AbortResponse {  // an answer that cannot be finished, so that its caller can tell
     RequestId caller;
 };
 struct SetRequestReading {  // more of a request from its caller, or for now no more
     RequestId caller;
-    bool more = false;
+    bool enabled = false;
 };
 struct SetResponseReading {  // more of an answer from its upstream, or for now no more
     AttemptId attempt;
-    bool more = false;
+    bool enabled = false;
 };
 struct CloseUpstream {
     AttemptId attempt;
@@ -206,25 +206,25 @@
     UpstreamId upstream_id;
 };
 struct StartTimer {
-    Point at;
-    uint64_t name;
+    TimePoint at;
+    uint64_t timer_id;
 };
 struct WatchEndpointList {
 };
 struct MoveEndpointWatch {  // to another address; what the last one says from now on is nothing
-    std::string discovery;
+    std::string discovery_address;
 };
 struct ProbeCompleted {  // for the other balancers
-    uint64_t stamp = 0;
+    uint64_t fencing_token = 0;
     std::string uid;
-    bool well = false;
-    std::string report;
+    bool success = false;
+    std::string load_report;
 };
 struct AdminCommandResult {  // or not, as the answer to an operator
-    AdminConnectionId caller;
+    AdminConnectionId connection;
     bool success = false;
     ServingState serving_state = ServingState::starting;
-    std::optional<ServiceStatistics> figures;
+    std::optional<ServiceStatistics> statistics;
 };
 using fleet::LocalObservations;  // for the fleet
 using Effect = std::variant<SendResponse, SendResponseChunk, AbortResponse, SetRequestReading,
@@ -233,7 +233,7 @@
                             MoveEndpointWatch, AdminCommandResult, ProbeCompleted, LocalObservations>;
 
 // The same at every instance, whatever the order in which upstreams are met.
-uint64_t id_of(std::string_view uid);
+uint64_t hash_uid(std::string_view uid);
 
 class Reducer : private BalancerDelegate
 {
@@ -243,24 +243,24 @@
     Reducer(ServiceConfig& setup, uint64_t seed, std::string discovery, size_t room = size_t{1} << 30);
 
     // As a member of a fleet: what the module is shown follows the choices of all. Before the first event.
-    void join(fleet::EndpointView::Config rules);
+    void join_fleet(fleet::EndpointView::Config rules);
     // And its return is in stages, with what it remembers.
-    void recover(fleet::StartupConfig rule) { recovery_.emplace(rule); }
+    void enable_staged_startup(fleet::StartupConfig rule) { recovery_.emplace(rule); }
 
     // The effects are to be carried out in their order.
-    std::vector<Effect> reduce(Point now, Event event);
+    std::vector<Effect> reduce(TimePoint now, Event event);
 
     ServingState serving_state() const;
     bool ready() const
     {
-        return serving_state() == ServingState::ready && (!recovery_ || list_told_ || recovery_->ready());
+        return serving_state() == ServingState::ready && (!recovery_ || list_told_ || recovery_->is_ready());
     }
     // Draining or stopping for so long that each answer is the last on its connection and idle ones may go.
-    bool turns_out(Point now) const;
+    bool should_close_connections(TimePoint now) const;
     // What comes after the signal to stop has its answer within this after it.
-    Span answers_for() const;
-    ServiceStatistics figures();
-    size_t places() const { return upstreams_.size(); }  // for upstreams
+    Duration shutdown_response_time() const;
+    ServiceStatistics statistics();
+    size_t upstream_slot_count() const { return upstreams_.size(); }  // for upstreams
     size_t in_flight() const { return invocation_of_.size() + relays_.size(); }
 
   private:
@@ -277,9 +277,9 @@
         size_t on_way = 0;
         bool spent = false;  // bytes have gone that are not held any more: it cannot be sent again
         bool bound = false;  // to an attempt whose answer is being passed on
-        std::optional<Point> half_closed;  // by its caller
-        Span window;                       // in which a repeat is recognised; zero: no such limit
-        Point first_sent;                  // the first of its forwards
+        std::optional<TimePoint> half_closed;  // by its caller
+        Duration window;                       // in which a repeat is recognised; zero: no such limit
+        TimePoint first_sent;                  // the first of its forwards
     };
     // Lives while an answer is passed on that is too large to be taken in whole. The module knows it as
     // succeeded: nothing but this attempt can be the answer any more.
@@ -296,10 +296,10 @@
         uint32_t nth = 0;
         UpstreamId upstream_id = 0;
         std::string endpoint;
-        Point sent, until;
-        bool counted = false;                  // as written whole
-        uint64_t stamp = 0;                    // of a duty's probe
-        std::optional<Point> written_by = {};  // its first byte; later it is no repeat any more
+        TimePoint sent, until;
+        bool counted = false;                      // as written whole
+        uint64_t stamp = 0;                        // of a duty's probe
+        std::optional<TimePoint> written_by = {};  // its first byte; later it is no repeat any more
     };
     // Lives until its place is wanted for another, and nothing refers to it any more.
     struct Upstream {
@@ -341,7 +341,7 @@
     void show();
     double reduction(UpstreamId upstream_id) { return balancer_.reduction(now_, upstream_id); }
     bool within_budgets(uint32_t nth, UpstreamId upstream_id);
-    std::optional<Span> over_rate(const Request& request);
+    std::optional<Duration> over_rate(const Request& request);
     bool turned_away(RequestReceived& arrived);
     void look_at_return();
     void remember(LocalObservations& observed);
@@ -363,22 +363,22 @@
     void relayed(AttemptId id, uint64_t OutcomeCounts::*as);
     void over(Invocation& i);
 
-    void forward(InvocationId inv, UpstreamId upstream_id, Span limit) override;
-    void throttle(InvocationId inv, Span retry_after) override;
-    void error(InvocationId inv) override;
-    void cancel(InvocationId inv, uint32_t forward) override;
-    void limit(InvocationId inv, uint32_t forward, Span limit) override;
-    void released(InvocationId inv) override;
-    void wake(Point at, uint64_t name) override;
+    void forward(InvocationId inv, UpstreamId upstream_id, Duration limit) override;
+    void throttle(InvocationId inv, Duration retry_after) override;
+    void fail(InvocationId inv) override;
+    void cancel_forward(InvocationId inv, uint32_t forward) override;
+    void set_forward_timeout(InvocationId inv, uint32_t forward, Duration limit) override;
+    void release_invocation(InvocationId inv) override;
+    void start_timer(TimePoint at, uint64_t name) override;
     void probe(UpstreamId upstream_id) override;
-    void close_idle(UpstreamId upstream_id) override;
-    void watch_list() override;
-    void tell(const std::string&) override {}  // no other instance is known here
+    void close_idle_connections(UpstreamId upstream_id) override;
+    void watch_endpoint_list() override;
+    void broadcast(const std::string&) override {}  // no other instance is known here
 
     ServiceConfig& setup_;
     const size_t all_room_;
     size_t room_, sending_ = 0;  // sending: requests that are passed on while they come
-    Point now_;
+    TimePoint now_;
     std::vector<Effect> effects_;
     std::deque<std::pair<AttemptId, AttemptResult>>
         settled_;  // here; told to the module once it has returned
@@ -393,7 +393,7 @@
     std::vector<Upstream> upstreams_;
     std::unordered_map<std::string, UpstreamId> upstream_of_;
     bool listed_ = false;
-    std::optional<Point> stopped_, drained_;  // since then
+    std::optional<TimePoint> stopped_, drained_;  // since then
     bool another_serves_ = false;
     std::map<std::string, OutcomeCounts> outcomes_;
     uint64_t backend_calls_ = 0, taken_ = 0, left_ = 0;
@@ -406,7 +406,7 @@
     bool list_told_ = false;
     uint64_t went_well_ = 0;
     double well_rate_ = 0;  // a second
-    Point well_at_;
+    TimePoint well_at_;
     Balancer balancer_;
 };
 
--- a/src/net/reducer_admin.cpp
+++ b/src/net/reducer_admin.cpp
@@ -9,29 +9,29 @@
 {
 
 // The front goes on sending to a balancer that drains until it has noticed.
-constexpr Span front_notice_time = seconds(0.4);
+constexpr Duration front_notice_time = seconds(0.4);
 // The process may be killed so long after the signal to stop and the longest time that a client waits, of
 // which no more than max_client_wait counts.
-constexpr Span kill_delay = seconds(0.7), max_client_wait = seconds(3);
+constexpr Duration kill_delay = seconds(0.7), max_client_wait = seconds(3);
 // Requests that come after the signal are answered so long before that, and idle connections are closed so
 // long before the last answer.
-constexpr Span kill_margin = seconds(0.3), close_margin = seconds(1.4);
+constexpr Duration kill_margin = seconds(0.3), close_margin = seconds(1.4);
 
 }  // namespace
 
 void Reducer::on(ShutdownStarted stopping)
 {
     stopped_ = now_;
-    another_serves_ = stopping.another_serves;
+    another_serves_ = stopping.other_process_listening;
 }
 
 // A second drain changes nothing, nor does a resume where nothing drains. What stops does so for good.
 void Reducer::on(AdminCommandReceived ordered)
 {
-    AdminCommandResult obeyed{ordered.caller, true, {}, {}};
-    switch (ordered.order) {
+    AdminCommandResult obeyed{ordered.connection, true, {}, {}};
+    switch (ordered.command) {
         case AdminCommand::ready: obeyed.success = ready(); break;
-        case AdminCommand::show_stat: obeyed.figures = figures(); break;
+        case AdminCommand::show_stat: obeyed.statistics = statistics(); break;
         case AdminCommand::drain:
             if (!drained_) drained_ = now_;
             break;
@@ -51,7 +51,7 @@
     return listed_ ? ServingState::ready : ServingState::starting;
 }
 
-ServiceStatistics Reducer::figures()
+ServiceStatistics Reducer::statistics()
 {
     ServiceStatistics f{outcomes_, backend_calls_, taken_, left_, open_ids_.size(), 0, 0};
     for (const Upstream& u : upstreams_) f.hosts_listed += u.phase != EndpointPhase::gone;
@@ -73,29 +73,29 @@
         }
         return were;
     };
-    const auto operations = places(setup.operations, setup_.operations);
-    const auto tenants = places(setup.tenants, setup_.tenants);
-    setup.edition = setup_.edition + 1;
+    const auto operations = places(setup.operation_names, setup_.operation_names);
+    const auto tenants = places(setup.tenant_names, setup_.tenant_names);
+    setup.config_version = setup_.config_version + 1;
     setup_ = std::move(setup);
-    for (const auto& name : setup_.operations) outcomes_[name];
-    balancer_.settings_are(now_, setup_.settings, operations, tenants);
+    for (const auto& name : setup_.operation_names) outcomes_[name];
+    balancer_.update_settings(now_, setup_.settings, operations, tenants);
 }
 
 // The list, and what is known of its upstreams, stays as it is until the new address has told its own. With
 // new settings the list is asked for anew as a whole: its zones may have other places.
 void Reducer::on(ConfigReloaded& read)
 {
-    if (read.discovery == discovery_ && !read.setup) return;
-    if (read.setup) settings_are(std::move(*read.setup));
-    discovery_ = read.discovery;
-    effects_.push_back(MoveEndpointWatch{std::move(read.discovery)});
+    if (read.discovery_address == discovery_ && !read.service_config) return;
+    if (read.service_config) settings_are(std::move(*read.service_config));
+    discovery_ = read.discovery_address;
+    effects_.push_back(MoveEndpointWatch{std::move(read.discovery_address)});
 }
 
 // After the signal to stop. Guards against answers that wait for upstreams until the process is killed, where
 // clients wait for a short time only.
-Span Reducer::answers_for() const
+Duration Reducer::shutdown_response_time() const
 {
-    Span longest;
+    Duration longest;
     for (const Operation& op : setup_.settings.operations) longest = std::max(longest, op.client_timeout);
     return std::min(max_client_wait, longest) + kill_delay - kill_margin;
 }
@@ -104,15 +104,15 @@
 void Reducer::bound_by_stop(Request& request) const
 {
     if (!stopped_) return;
-    const Span bound = *stopped_ + answers_for() - setup_.settings.left_margin - now_;
+    const Duration bound = *stopped_ + shutdown_response_time() - setup_.settings.time_left_margin - now_;
     request.time_left = std::min(request.time_left, bound);
 }
 
-bool Reducer::turns_out(Point now) const
+bool Reducer::should_close_connections(TimePoint now) const
 {
     if (stopped_)
         return another_serves_ ||
-               now >= *stopped_ + std::max(front_notice_time, answers_for() - close_margin);
+               now >= *stopped_ + std::max(front_notice_time, shutdown_response_time() - close_margin);
     return drained_ && now >= *drained_ + front_notice_time;
 }
 
--- a/src/net/reducer_endpoints.cpp
+++ b/src/net/reducer_endpoints.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr Span probe_timeout = seconds(0.25);
+constexpr Duration probe_timeout = seconds(0.25);
 
 }  // namespace
 
@@ -52,8 +52,8 @@
         if (!u.endpoint.empty() && u.endpoint != e.endpoint) effects_.push_back(CloseIdle{at});
         u.endpoint = e.endpoint;
         u.phase = e.phase;
-        listed.push_back({at, id_of(e.uid), e.phase, e.zone, e.cell, 1, e.started});
-        if (setup_.sizes_listed && e.size > 0) listed.back().size = e.size;
+        listed.push_back({at, hash_uid(e.uid), e.phase, e.zone, e.cell, 1, e.started_at});
+        if (setup_.capacities_listed && e.capacity > 0) listed.back().capacity = e.capacity;
     }
     bool left = false;
     for (UpstreamId t = 0; t < upstreams_.size(); ++t)
@@ -71,24 +71,25 @@
 {
     // Guards against a discovery that has lost its own past: no good list is thrown away for an empty one.
     const bool empty =
-        recovery_ && told.all && told.entries.empty() && listed_ && !recovery_->accepts_empty_list(now_);
-    if (recovery_ && !told.entries.empty()) recovery_->on_valid_list();
+        recovery_ && told.is_full && told.entries.empty() && listed_ && !recovery_->accepts_empty_list(now_);
+    if (recovery_ && !told.entries.empty()) recovery_->on_nonempty_list();
     list_told_ = list_told_ || !empty;
-    if (!empty) listed(listings(told.entries, told.all), told.all);
-    balancer_.list_answered(now_, true);
+    if (!empty) listed(listings(told.entries, told.is_full), told.is_full);
+    balancer_.on_endpoint_list_fetched(now_, true);
 }
 
 // Of a list from before the start, warmth is not believed: what came back with this one is cold.
 void Reducer::on(EndpointListRestored& told)
 {
     if (recovery_)
-        for (ListedEndpoint& e : told.entries) e.started = now_;
+        for (ListedEndpoint& e : told.entries) e.started_at = now_;
     listed(listings(told.entries, true), true);
 }
 
 void Reducer::listed(const std::vector<EndpointState>& listings, bool all)
 {
-    if (!view_) return all ? balancer_.list_is(now_, listings) : balancer_.list_changed(now_, listings);
+    if (!view_)
+        return all ? balancer_.set_endpoints(now_, listings) : balancer_.update_endpoints(now_, listings);
     if (all)
         for (EndpointState& l : real_) l.phase = EndpointPhase::gone;
     real_.resize(upstreams_.size());
@@ -97,19 +98,19 @@
     show();
 }
 
-void Reducer::on(EndpointListFetchFailed) { balancer_.list_answered(now_, false); }
+void Reducer::on(EndpointListFetchFailed) { balancer_.on_endpoint_list_fetched(now_, false); }
 
 // Each upstream has its part, and its slice of the period, by its id: the same at every balancer.
 void Reducer::on(ProbesDue due)
 {
     for (UpstreamId t = 0; t < upstreams_.size(); ++t) {
-        const uint64_t id = id_of(upstreams_[t].uid);
-        if (upstreams_[t].phase != EndpointPhase::ready || id % due.parts != due.part ||
-            id / due.parts % due.slices != due.slice)
+        const uint64_t id = hash_uid(upstreams_[t].uid);
+        if (upstreams_[t].phase != EndpointPhase::ready || id % due.shard_count != due.shard ||
+            id / due.shard_count % due.slice_count != due.slice)
             continue;
         ++upstreams_[t].referred;
         dial(next_attempt_++,
-             {{}, 0, t, upstreams_[t].endpoint, now_, now_ + probe_timeout, false, due.stamp});
+             {{}, 0, t, upstreams_[t].endpoint, now_, now_ + probe_timeout, false, due.fencing_token});
     }
 }
 
@@ -117,8 +118,9 @@
 {
     const auto at = upstream_of_.find(heard.uid);
     if (at == upstream_of_.end() || upstreams_[at->second].phase == EndpointPhase::gone) return;
-    balancer_.probed(now_, at->second, heard.well ? AttemptResult::succeeded : AttemptResult::unreachable,
-                     heard.report.empty() ? LoadReport{} : decode_report(setup_, heard.report));
+    balancer_.on_probe_completed(
+        now_, at->second, heard.success ? AttemptResult::succeeded : AttemptResult::unreachable,
+        heard.load_report.empty() ? LoadReport{} : decode_load_report(setup_, heard.load_report));
 }
 
 void Reducer::probe(UpstreamId upstream_id)
@@ -128,8 +130,8 @@
     dial(next_attempt_++, {{}, 0, upstream_id, upstreams_[upstream_id].endpoint, now_, now_ + probe_timeout});
 }
 
-void Reducer::close_idle(UpstreamId upstream_id) { effects_.push_back(CloseIdle{upstream_id}); }
+void Reducer::close_idle_connections(UpstreamId upstream_id) { effects_.push_back(CloseIdle{upstream_id}); }
 
-void Reducer::watch_list() { effects_.push_back(WatchEndpointList{}); }
+void Reducer::watch_endpoint_list() { effects_.push_back(WatchEndpointList{}); }
 
 }  // namespace firtide::net
--- a/src/net/reducer_relay.cpp
+++ b/src/net/reducer_relay.cpp
@@ -20,21 +20,22 @@
     const auto at = invocation_of_.find(piece.caller);
     if (at == invocation_of_.end() || invocations_[at->second].over) return;
     Invocation& i = invocations_[at->second];
-    if (!i.request.more) return;
+    if (!i.request.body_incomplete) return;
     i.request.body = {}, i.spent = true;
     if (!i.goes_to) return;
     i.on_way += piece.bytes.size();
-    i.request.more = !piece.last;
-    sending_ -= piece.last;
+    i.request.body_incomplete = !piece.is_last;
+    sending_ -= piece.is_last;
     effects_.push_back(WriteUpstream{
-        *i.goes_to, encode_piece(std::move(piece.bytes), !i.request.length, piece.last), i.request.more});
-    if (i.request.more) {
+        *i.goes_to, encode_body_chunk(std::move(piece.bytes), !i.request.content_length, piece.is_last),
+        i.request.body_incomplete});
+    if (i.request.body_incomplete) {
         if (i.on_way > most_on_way()) effects_.push_back(SetRequestReading{i.caller, false});
         return;
     }
-    i.request.time_left = std::max(Span{}, i.request.time_left - piece.waited);
+    i.request.time_left = std::max(Duration{}, i.request.time_left - piece.read_delay);
     bound_by_stop(i.request);
-    balancer_.sent(now_, at->second, i.request.time_left);
+    balancer_.on_request_complete(now_, at->second, i.request.time_left);
 }
 
 // Guards against memory that is used up by many large messages at once: their readers are held sooner.
@@ -46,7 +47,7 @@
 // The caller is heard only while its bytes have somewhere to go.
 void Reducer::hear(const Invocation& i)
 {
-    if (i.request.more) effects_.push_back(SetRequestReading{i.caller, true});
+    if (i.request.body_incomplete) effects_.push_back(SetRequestReading{i.caller, true});
 }
 
 void Reducer::on(ResponseDrained taken)
@@ -78,9 +79,9 @@
     if (at == relays_.end()) return;
     Relay& r = at->second;
     r.on_way += came.bytes.size();
-    r.all_came = came.last;
-    effects_.push_back(SendResponseChunk{r.caller, std::move(came.bytes), came.last});
-    if (came.last || r.held || r.on_way <= most_on_way()) return;
+    r.all_came = came.is_last;
+    effects_.push_back(SendResponseChunk{r.caller, std::move(came.bytes), came.is_last});
+    if (came.is_last || r.held || r.on_way <= most_on_way()) return;
     r.held = true;
     effects_.push_back(SetResponseReading{came.attempt, false});
 }
@@ -95,6 +96,9 @@
     relays_.erase(id);
 }
 
-void Reducer::on(ProcessCountChanged shared) { room_ = all_room_ / std::max<size_t>(1, shared.processes); }
+void Reducer::on(ProcessCountChanged shared)
+{
+    room_ = all_room_ / std::max<size_t>(1, shared.process_count);
+}
 
 }  // namespace firtide::net
--- a/src/net/service.cpp
+++ b/src/net/service.cpp
@@ -13,39 +13,39 @@
 namespace
 {
 
-constexpr Span accept_on = seconds(0.5);    // after SIGTERM: callers go on coming for a moment
-constexpr Span last_word = seconds(0.15);   // for callers to read the answers of the last moment
-constexpr Span look_every = seconds(0.02);  // whether all is answered
-constexpr Span count_every = seconds(0.2);  // processes of this balancer
+constexpr Duration accept_on = seconds(0.5);    // after SIGTERM: callers go on coming for a moment
+constexpr Duration last_word = seconds(0.15);   // for callers to read the answers of the last moment
+constexpr Duration look_every = seconds(0.02);  // whether all is answered
+constexpr Duration count_every = seconds(0.2);  // processes of this balancer
 // While others serve the same callers: who has been at rest this long hardly asks just now, and who has come
 // and said nothing yet will hardly do so.
-constexpr Span rested = seconds(0.3), silent = seconds(1);
-constexpr Span tell_every = seconds(1);  // of the same trouble in the log
+constexpr Duration rested = seconds(0.3), silent = seconds(1);
+constexpr Duration tell_every = seconds(1);  // of the same trouble in the log
 constexpr const char* no_peers =
     "settings.policy_limits.peers: messages are not carried on sockets; serving without";
-constexpr Span pass_on_every = seconds(0.2);  // what probes of the fleet found
+constexpr Duration pass_on_every = seconds(0.2);  // what probes of the fleet found
 constexpr size_t most_stamps = 256;
-constexpr Span tick_every = seconds(0.1);  // of what the balancer tells its fleet
+constexpr Duration tick_every = seconds(0.1);  // of what the balancer tells its fleet
 constexpr size_t kept_back = 48;  // descriptors for the loop, the log, discovery, the listener and management
 // Of the others, at most; together more than all, for either may need the room that the other leaves.
 constexpr double part_of_upstreams = 0.4, part_of_callers = 0.85;
 
-Base make_base()
+EventBasePtr make_base()
 {
     // Guards against an operator who waits behind all that callers have sent meanwhile.
-    const std::unique_ptr<event_config, Freed<event_config_free>> config(event_config_new());
+    const std::unique_ptr<event_config, FreeWith<event_config_free>> config(event_config_new());
     const auto between = to_timeval(seconds(0.005));
     event_config_set_max_dispatch_interval(config.get(), &between, 16, 1);
-    Base base(event_base_new_with_config(config.get()));
+    EventBasePtr base(event_base_new_with_config(config.get()));
     if (!base || event_base_priority_init(base.get(), 2) != 0) throw std::runtime_error("no event loop");
     return base;
 }
 
-Point epoch()
+TimePoint epoch()
 {
     using namespace std::chrono;
     const auto unix_now = duration_cast<microseconds>(system_clock::now().time_since_epoch()).count();
-    return monotonic_now() - Span{unix_now};
+    return monotonic_now() - Duration{unix_now};
 }
 
 // Descriptors that callers and upstreams may have: the smaller of what the configuration and the system
@@ -70,7 +70,7 @@
 // Where one balancer probes for all, none does for itself.
 Config in_fleet(Config config, const fleet::FleetConfig* fleet)
 {
-    if (fleet && fleet->probe) config.setup.settings.may_probe = false;
+    if (fleet && fleet->probe) config.service_config.settings.may_probe = false;
     return config;
 }
 
@@ -95,8 +95,8 @@
       epoch_(epoch()),
       descriptors_(descriptors(config_.descriptors, descriptors_of(fleet))),
       base_(make_base()),
-      reducer_(config_.setup, config_.seed, text_of(config_.discovery), config_.bodies),
-      upstreams_(base_.get(), config_.setup,
+      reducer_(config_.service_config, config_.seed, to_string(config_.discovery), config_.bodies),
+      upstreams_(base_.get(), config_.service_config,
                  ConnectionBudget(part(part_of_upstreams), descriptors_, [this] { return callers_.open(); }),
                  [this](Event e) { post(std::move(e)); }),
       discovery_(base_.get(), config_, epoch_, [this](Event e) { post(std::move(e)); }),
@@ -111,15 +111,16 @@
     if (config_.management)
         management_.emplace(base_.get(), *config_.management, [this](Event e) {
             const auto* ordered = std::get_if<AdminCommandReceived>(&e);
-            if (fleet_ && ordered && ordered->order == AdminCommand::resume)
+            if (fleet_ && ordered && ordered->command == AdminCommand::resume)
                 fleet_->notify(fleet::AdminRequest{0, fleet::return_drain_permit, "", ""});
             post(std::move(e));
         });
     if (fleet) {
         const auto& file = fleet->first;
-        if (file.recovery) reducer_.recover(*file.recovery);
+        if (file.recovery) reducer_.enable_staged_startup(*file.recovery);
         if (file.subset || file.signals || file.turns || file.recovery)
-            reducer_.join({file.subset, file.signals, file.turns, file.members[file.self].key, 0, {}, 0.1});
+            reducer_.join_fleet(
+                {file.subset, file.signals, file.turns, file.members[file.self].key, 0, {}, 0.1});
         fleet_.emplace(base_.get(), std::move(fleet->first), fleet->second, hooks());
         if (shares_list()) tell_lists_to_fleet();
         if (management_)
@@ -150,13 +151,13 @@
 void Service::tell_lists_to_fleet()
 {
     if (fleet_->config().deltas)
-        return discovery_.tell_lines([this](uint64_t version, auto lines, auto uids) {
-            fleet_->notify(fleet::EndpointListFetched{text_of(config_.discovery), version, "",
+        return discovery_.set_entries_callback([this](uint64_t version, auto lines, auto uids) {
+            fleet_->notify(fleet::EndpointListFetched{to_string(config_.discovery), version, "",
                                                       std::move(lines), std::move(uids)});
         });
-    discovery_.tell_whole([this](uint64_t version, std::string text) {
+    discovery_.set_list_callback([this](uint64_t version, std::string text) {
         fleet_->notify(
-            fleet::EndpointListFetched{text_of(config_.discovery), version, std::move(text), nullptr, {}});
+            fleet::EndpointListFetched{to_string(config_.discovery), version, std::move(text), nullptr, {}});
     });
 }
 
@@ -169,11 +170,13 @@
     };
     h.start_drain = [this] { post(AdminCommandReceived{0, AdminCommand::drain}); };
     h.end_drain = [this] { post(AdminCommandReceived{0, AdminCommand::resume}); };
-    h.set_discovery_polling = [this](bool on) { on ? discovery_.ask() : discovery_.rest(); };
+    h.set_discovery_polling = [this](bool on) {
+        on ? discovery_.start_polling() : discovery_.stop_polling();
+    };
     h.apply_endpoint_list = [this](const fleet::ApplyEndpointList& list) {
-        auto decoded = decode_list(config_.setup, list.text, epoch_);
+        auto decoded = decode_list(config_.service_config, list.text, epoch_);
         if (!decoded) return;
-        post(std::move(decoded->told));
+        post(std::move(decoded->update));
         spdlog::debug("fleet list {} in force at boot_us {}", list.version, fleet::fleet_now().us);
     };
     h.start_probes = [this](const fleet::StartProbes& now, const std::string& duty, fleet::Epoch epoch) {
@@ -184,11 +187,11 @@
     };
     h.apply_fleet_state = [this](const fleet::ApplyFleetState& uses) { post(FleetStateUpdated{uses.state}); };
     h.apply_snapshot = [this](fleet::ApplySnapshot& uses) {
-        const auto list = std::exchange(uses.snapshot.list, {});
+        const auto list = std::exchange(uses.snapshot.list_text, {});
         post(SnapshotRestored{std::move(uses.snapshot)});
         if (list.empty()) return;
-        if (auto decoded = decode_list(config_.setup, list, epoch_))
-            post(EndpointListRestored{std::move(decoded->told.entries)});
+        if (auto decoded = decode_list(config_.service_config, list, epoch_))
+            post(EndpointListRestored{std::move(decoded->update.entries)});
     };
     h.apply_subset_peers = [this](fleet::ApplySubsetPeers& uses) {
         post(SubsetPeersUpdated{std::move(uses.peers)});
@@ -198,9 +201,9 @@
     };
     h.apply_quotas = [this](fleet::ApplyQuotas& uses) {
         // Of the fleet's clock, which also counts what the machine was suspended for, to the loop's.
-        const Span apart = monotonic_now() - fleet::fleet_now();
+        const Duration apart = monotonic_now() - fleet::fleet_now();
         for (fleet::QuotaLease& p : uses.leases)
-            p.full_until = p.full_until + apart, p.expires = p.expires + apart;
+            p.full_rate_until = p.full_rate_until + apart, p.expires_at = p.expires_at + apart;
         post(QuotasUpdated{std::move(uses.leases)});
     };
     h.apply_probe_reports = [this](const fleet::ApplyProbeReports& reports) {
@@ -215,8 +218,8 @@
 // takes time.
 void Service::carry_out(const WriteUpstream& write)
 {
-    const auto at = stamps_.find(write.stamp);
-    if (!write.stamp ||
+    const auto at = stamps_.find(write.fencing_token);
+    if (!write.fencing_token ||
         (at != stamps_.end() && fleet_->authorize(at->second.duty, at->second.epoch, fleet::probe_duration)))
         return upstreams_.write(write);
     upstreams_.hang_up(write.attempt);
@@ -225,18 +228,18 @@
 
 void Service::carry_out(ProbeCompleted& probed)
 {
-    const auto at = stamps_.find(probed.stamp);
+    const auto at = stamps_.find(probed.fencing_token);
     if (at == stamps_.end()) return;
     auto& [epoch, reports] = found_[at->second.duty];
     if (epoch != at->second.epoch) reports.clear();
     epoch = at->second.epoch;
-    reports.push_back({std::move(probed.uid), probed.well, std::move(probed.report)});
+    reports.push_back({std::move(probed.uid), probed.success, std::move(probed.load_report)});
 }
 
 // Several at a time: each goes over every link of the fleet.
 void Service::pass_on_probes()
 {
-    const Point now = monotonic_now();
+    const TimePoint now = monotonic_now();
     if (found_.empty() || now - passed_on_ < pass_on_every) return;
     passed_on_ = now;
     for (auto& [duty, found] : std::exchange(found_, {}))
@@ -274,7 +277,7 @@
         events_.pop_front();
         if (const auto* failed = std::get_if<AttemptFailed>(&next))
             spdlog::debug("attempt {} failed: progress {}, cause {}", failed->attempt,
-                          static_cast<int>(failed->broken.progress), static_cast<int>(failed->broken.cause));
+                          static_cast<int>(failed->error.progress), static_cast<int>(failed->error.cause));
         const auto* arrived = std::get_if<RequestReceived>(&next);
         const RequestId caller = arrived ? arrived->caller : 0;
         // An exception costs the connection that it came up on, and no other.
@@ -305,11 +308,11 @@
     if (auto* up = std::get_if<CloseUpstream>(&effect)) return upstreams_.hang_up(up->attempt);
     if (auto* back = std::get_if<CancelWrite>(&effect)) return upstreams_.withdraw(back->attempt);
     if (auto* idle = std::get_if<CloseIdle>(&effect)) return upstreams_.close_idle(idle->upstream_id);
-    if (std::get_if<WatchEndpointList>(&effect)) return shares_list() ? void() : discovery_.ask();
+    if (std::get_if<WatchEndpointList>(&effect)) return shares_list() ? void() : discovery_.start_polling();
     if (auto* to = std::get_if<MoveEndpointWatch>(&effect))
-        return discovery_.move(decode_address(to->discovery, "discovery"));
+        return discovery_.change_address(decode_address(to->discovery_address, "discovery"));
     const auto wake = std::get<StartTimer>(effect);
-    const auto what = [this, name = wake.name] { post(TimerFired{name}); };
+    const auto what = [this, name = wake.timer_id] { post(TimerFired{name}); };
     const auto after = to_timeval(wake.at - monotonic_now());
     event_base_once(base_.get(), -1, EV_TIMEOUT, Once<decltype(what)>::run, new Once<decltype(what)>{what},
                     &after);
@@ -318,19 +321,21 @@
 void Service::run()
 {
     spdlog::info("serving on {}:{}, tier {}, balancer {} of {}", config_.listen.host, config_.listen.port,
-                 config_.setup.settings.tier, config_.setup.settings.self, config_.setup.settings.balancers);
+                 config_.service_config.settings.tier, config_.service_config.settings.self_index,
+                 config_.service_config.settings.balancer_count);
     if (config_.peers) spdlog::warn(no_peers);
     post(ServiceStarted{});
     if (!config_.known.empty()) {
-        if (auto list = decode_list(config_.setup, config_.known, epoch_)) {
-            post(EndpointListRestored{std::move(list->told.entries)});
-            if (config_.setup.settings.list_must_be_asked && !shares_list())
+        if (auto list = decode_list(config_.service_config, config_.known, epoch_)) {
+            post(EndpointListRestored{std::move(list->update.entries)});
+            if (config_.service_config.settings.must_watch_endpoint_list && !shares_list())
                 discovery_.resume_from(list->version);
         } else
             spdlog::warn("known: is no list of upstreams; starting without");
     }
     if (fleet_) fleet_->start();
-    if (!config_.setup.settings.list_must_be_asked && !shares_list()) discovery_.ask();
+    if (!config_.service_config.settings.must_watch_endpoint_list && !shares_list())
+        discovery_.start_polling();
     event_base_dispatch(base_.get());
     spdlog::info("stopped");
 }
@@ -340,14 +345,14 @@
 {
     try {
         Config read = read_again_();
-        check_may_follow(config_, read);
+        check_reloadable(config_, read);
         const bool others = read.settings != std::exchange(config_.settings, read.settings);
         spdlog::info("configuration read again{}", others ? ", new settings in force" : "");
         if (read.peers) spdlog::warn(no_peers);
         read = in_fleet(std::move(read), fleet_ ? &fleet_->config() : nullptr);
         config_.discovery = read.discovery;
-        post(ConfigReloaded{text_of(read.discovery),
-                            others ? std::optional(std::move(read.setup)) : std::nullopt});
+        post(ConfigReloaded{to_string(read.discovery),
+                            others ? std::optional(std::move(read.service_config)) : std::nullopt});
     } catch (const std::exception& e) {
         spdlog::error("configuration kept as it was: {}", e.what());
     }
@@ -359,7 +364,7 @@
     stopping_ = true;
     stopping_since_ = monotonic_now();
     spdlog::info("stopping: {} in flight; what still comes is answered within {} ms", reducer_.in_flight(),
-                 reducer_.answers_for().us / 1000);
+                 reducer_.shutdown_response_time().us / 1000);
     if (fleet_) fleet_->notify(fleet::ShutdownRequested{});
     post(ShutdownStarted{config_.passed_socket.has_value()});
     if (config_.passed_socket) return stop_accepting();
@@ -386,7 +391,7 @@
 // Two processes of one upgrade have half of what the balancer may have each.
 void Service::count_processes()
 {
-    const Point now = monotonic_now();
+    const TimePoint now = monotonic_now();
     if (!handover_ || now - counted_processes_ < count_every) return;
     counted_processes_ = now;
     const size_t processes = handover_->another_runs() ? 2 : 1;
@@ -409,12 +414,12 @@
     }
     // Guards against turning callers out while the next balancer of a rolling restart is not back yet: those
     // that are here are served for as long as their answers can still come in time.
-    if (!reducer_.turns_out(monotonic_now())) return;
+    if (!reducer_.should_close_connections(monotonic_now())) return;
     const bool gentle = !stopping_ || config_.passed_socket;
-    callers_.close_idle(gentle ? rested : Span{}, gentle ? silent : Span{});
+    callers_.close_idle(gentle ? rested : Duration{}, gentle ? silent : Duration{});
     if (!stopped_accepting_) return;
     // Guards against a caller that stops within a request and would hold the whole restart up.
-    const Span since = monotonic_now() - stopping_since_, answers = reducer_.answers_for();
+    const Duration since = monotonic_now() - stopping_since_, answers = reducer_.shutdown_response_time();
     if (since >= answers) callers_.end_begun();
     // Guards against leaving with the last answer handed to the loop and not yet to its caller, or read by
     // nobody yet. What had come before the signal and has longer is seen to for as long as the process is let
--- a/src/net/service.h
+++ b/src/net/service.h
@@ -51,9 +51,9 @@
     const std::function<Config()> read_again_;
     // The loop's time at Unix time zero, taken once: the same start of an upstream is the same point ever
     // after.
-    const Point epoch_;
+    const TimePoint epoch_;
     const size_t descriptors_;  // for callers and upstreams together
-    Base base_;
+    EventBasePtr base_;
     Reducer reducer_;
     UpstreamPool upstreams_;
     Discovery discovery_;
@@ -68,16 +68,16 @@
     std::map<uint64_t, Stamp> stamps_;
     uint64_t next_stamp_ = 1;
     std::map<std::string, std::pair<fleet::Epoch, std::vector<fleet::ProbeReport>>> found_;
-    Point passed_on_, ticked_;
+    TimePoint passed_on_, ticked_;
     std::optional<HotRestart> handover_;
     size_t processes_ = 1;  // of this balancer
-    Point counted_processes_;
+    TimePoint counted_processes_;
     std::deque<Event> events_;
     bool reducing_ = false, stopping_ = false, stopped_accepting_ = false;
-    Point stopping_since_;
-    Point told_of_no_room_;
-    std::vector<Timer> signals_;
-    Timer stop_accepting_, look_;
+    TimePoint stopping_since_;
+    TimePoint told_of_no_room_;
+    std::vector<EventPtr> signals_;
+    EventPtr stop_accepting_, look_;
 };
 
 }  // namespace firtide::net
--- a/src/net/upstream_pool.cpp
+++ b/src/net/upstream_pool.cpp
@@ -22,10 +22,10 @@
 
 // An answer that has begun goes on within this. Guards against one whose head or body never ends: waiting for
 // more would use up the time that another forward needs.
-constexpr Span goes_on_within = seconds(0.5);
+constexpr Duration goes_on_within = seconds(0.5);
 // The same where its caller has a part of it already, and for a request that is being sent: nothing is won by
 // haste.
-constexpr Span moves_within = seconds(4);
+constexpr Duration moves_within = seconds(4);
 constexpr size_t read_at_once = 64 * 1024;
 
 // Guards against blaming an upstream for what this machine lacks.
@@ -37,7 +37,7 @@
         case ENOBUFS:
         case ENOMEM:
         case EADDRNOTAVAIL: return FailureCause::no_descriptor;
-        default: return FailureCause::refused;
+        default: return FailureCause::connect_failed;
     }
 }
 
@@ -51,20 +51,20 @@
     Place self;
     UpstreamId upstream_id = 0;
     std::string endpoint;
-    Stream stream;
-    Timer connecting_until;
+    BuffereventPtr stream;
+    EventPtr connecting_until;
     bool connected = false;
 
     AttemptId attempt = 0;  // 0: idle
-    Timer waits_until;
-    Point until;
+    EventPtr waits_until;
+    TimePoint until;
     bool looked_again = false;  // past its time, for what the kernel has and the loop has not seen
     bool answering = false;
     bool asked = false;                    // the request, or a part of it, was handed to the stream
     size_t handed = 0;                     // bytes of the request, to the stream
     bool more = false;                     // of the request is still to be handed over
     bool passed_on = false, held = false;  // its answer, in pieces; and nobody takes them now
-    Point rests_since;
+    TimePoint rests_since;
     ResponseReader reader;
 
     // "Written" is what the kernel took. What is handed to the stream waits there until the loop has looked
@@ -74,7 +74,7 @@
         if (!connected) return AttemptProgress::not_connected;
         if (!asked || more || evbuffer_get_length(bufferevent_get_output(stream.get())) > 0)
             return AttemptProgress::partly_written;
-        return reader.begun() ? AttemptProgress::answering : AttemptProgress::written;
+        return reader.has_started() ? AttemptProgress::receiving_response : AttemptProgress::written;
     }
 };
 
@@ -103,7 +103,7 @@
         }
         take_from_rest(at);
         bufferevent_set_timeouts(at->stream.get(), nullptr, nullptr);
-        serve(at, dial.attempt, dial.limit);
+        serve(at, dial.attempt, dial.timeout);
         return tell_(UpstreamConnected{dial.attempt});
     }
     if (room_.full(open())) close_oldest_idle(1);
@@ -117,7 +117,7 @@
         if (cause == FailureCause::no_descriptor) close_oldest_idle(8);
         return tell_(AttemptFailed{dial.attempt, {AttemptProgress::not_connected, cause}});
     }
-    serve(at, dial.attempt, dial.limit);
+    serve(at, dial.attempt, dial.timeout);
 }
 
 UpstreamPool::Place UpstreamPool::connect(UpstreamId upstream_id, const std::string& endpoint)
@@ -161,9 +161,9 @@
     return at;
 }
 
-Timer UpstreamPool::give_up_after(Connection& c, Span wait)
+EventPtr UpstreamPool::give_up_after(Connection& c, Duration wait)
 {
-    Timer timer(evtimer_new(
+    EventPtr timer(evtimer_new(
         base_,
         [](evutil_socket_t, short, void* arg) {
             auto* late = static_cast<Connection*>(arg);
@@ -175,7 +175,7 @@
     return timer;
 }
 
-void UpstreamPool::serve(Place at, AttemptId attempt, Span limit)
+void UpstreamPool::serve(Place at, AttemptId attempt, Duration limit)
 {
     at->attempt = attempt;
     at->asked = at->more = at->answering = at->passed_on = at->held = at->looked_again = false;
@@ -192,14 +192,14 @@
     if (at == of_attempt_.end()) return;
     const Place place = at->second;
     place->asked = true;
-    place->more = write.more;
+    place->more = write.request_incomplete;
     place->handed += write.bytes.size();
     bufferevent_write(place->stream.get(), write.bytes.data(), write.bytes.size());
     // Guards against an upstream that does not read what is sent to it for longer than its caller sends.
-    if (write.more) wait_for(place, moves_within);
+    if (write.request_incomplete) wait_for(place, moves_within);
 }
 
-void UpstreamPool::wait_for(Place at, Span wait)
+void UpstreamPool::wait_for(Place at, Duration wait)
 {
     at->looked_again = false;
     at->waits_until = give_up_after(*at, wait);
@@ -209,8 +209,8 @@
 {
     const auto at = of_attempt_.find(limit.attempt);
     if (at == of_attempt_.end() || at->second->answering) return;
-    at->second->until = monotonic_now() + limit.limit;
-    wait_for(at->second, limit.limit);
+    at->second->until = monotonic_now() + limit.timeout;
+    wait_for(at->second, limit.timeout);
 }
 
 // Whoever takes the answer is slower than the upstream, or has caught up.
@@ -219,7 +219,7 @@
     const auto found = of_attempt_.find(read.attempt);
     if (found == of_attempt_.end()) return;
     const Place at = found->second;
-    at->held = !read.more;
+    at->held = !read.enabled;
     if (at->held) {
         at->waits_until.reset();
         bufferevent_disable(at->stream.get(), EV_READ);
@@ -246,7 +246,7 @@
     const auto at = of_attempt_.find(attempt);
     if (at == of_attempt_.end() || !at->second->asked) return;  // the gate is asked again before its bytes
     if (evbuffer_get_length(bufferevent_get_output(at->second->stream.get())) == at->second->handed)
-        fail(at->second, FailureCause::withdrawn);
+        fail(at->second, FailureCause::write_cancelled);
 }
 
 void UpstreamPool::rest(Place at)
@@ -256,7 +256,7 @@
     at->asked = at->more = at->passed_on = at->held = false;
     at->reader = ResponseReader(setup_);
     at->rests_since = monotonic_now();
-    const auto wait = to_timeval(setup_.idle_close * idle_part);
+    const auto wait = to_timeval(setup_.upstream_idle_timeout * idle_part);
     bufferevent_set_timeouts(at->stream.get(), &wait, nullptr);
     idle_[at->upstream_id].push_back(at);
 }
@@ -329,7 +329,7 @@
         event_add(timer.get(), &soon);
         return;
     }
-    fail(at, at->answering ? FailureCause::malformed : FailureCause::no_answer_in_time);
+    fail(at, at->answering ? FailureCause::invalid_response : FailureCause::timed_out);
 }
 
 void UpstreamPool::readable(Place at)
@@ -337,30 +337,31 @@
     auto* input = bufferevent_get_input(at->stream.get());
     const size_t size = evbuffer_get_length(input);
     if (!at->attempt || !at->asked) {
-        if (size > 0) fail(at, FailureCause::malformed);  // an answer that nobody asked for
+        if (size > 0) fail(at, FailureCause::invalid_response);  // an answer that nobody asked for
         return;
     }
     if (at->held || size == 0) return;
     const auto* bytes = reinterpret_cast<const char*>(evbuffer_pullup(input, -1));
-    const auto state = at->reader.take({bytes, size});
-    const bool more = at->reader.used() < size;  // than belongs to the answer
+    const auto state = at->reader.parse({bytes, size});
+    const bool more = at->reader.consumed_bytes() < size;  // than belongs to the answer
     evbuffer_drain(input, size);
-    if (state == ResponseReader::State::malformed) return fail(at, FailureCause::malformed);
-    if (state == ResponseReader::State::whole) return whole(at, more);
-    if (!at->reader.begun()) return;
+    if (state == ResponseReader::State::malformed) return fail(at, FailureCause::invalid_response);
+    if (state == ResponseReader::State::complete) return whole(at, more);
+    if (!at->reader.has_started()) return;
     at->answering = true;
     if (at->passed_on) {
         wait_for(at, moves_within);
-        if (auto piece = at->reader.take_piece(); !piece.empty())
+        if (auto piece = at->reader.take_body(); !piece.empty())
             tell_(ResponseChunkReceived{at->attempt, std::move(piece), false});
-    } else if (at->reader.length() ? at->reader.large() && at->reader.come() > 0
-                                   : at->reader.come() > max_buffered_unsized_bytes) {
+    } else if (at->reader.content_length()
+                   ? at->reader.exceeds_buffer() && at->reader.body_bytes_received() > 0
+                   : at->reader.body_bytes_received() > max_buffered_unsized_bytes) {
         // Guards against gathering an answer of no stated length, piece by piece, until its time is up.
         at->passed_on = true;
         wait_for(at, moves_within);
         auto first = std::exchange(at->reader.response(), {});
-        first.more = true;
-        first.length = at->reader.length();
+        first.body_incomplete = true;
+        first.content_length = at->reader.content_length();
         tell_(ResponseReceived{at->attempt, std::move(first)});
     } else {
         wait_for(at, std::min(goes_on_within, at->until - monotonic_now()));
@@ -373,7 +374,7 @@
     const bool unwritten = at->more || evbuffer_get_length(bufferevent_get_output(at->stream.get())) > 0;
     const bool passed_on = at->passed_on;
     auto response = std::move(at->reader.response());
-    const bool keep = at->reader.keeps_connection() && !unwritten && !more;
+    const bool keep = at->reader.keep_alive() && !unwritten && !more;
     of_attempt_.erase(attempt);
     if (keep)
         rest(at);
@@ -404,8 +405,8 @@
     }
     if (!at->attempt) return close(at);  // idle for long enough, or ended by the upstream
     if (!at->connected) return fail(at, cause_of(EVUTIL_SOCKET_ERROR()));
-    if ((what & BEV_EVENT_EOF) && at->asked && at->reader.ends_here()) return whole(at, false);
-    fail(at, FailureCause::broken);
+    if ((what & BEV_EVENT_EOF) && at->asked && at->reader.ends_at_close()) return whole(at, false);
+    fail(at, FailureCause::connection_lost);
 }
 
 }  // namespace firtide::net
--- a/src/net/upstream_pool.h
+++ b/src/net/upstream_pool.h
@@ -37,15 +37,15 @@
     using Place = std::list<Connection>::iterator;
 
     Place connect(UpstreamId upstream_id, const std::string& endpoint);
-    Timer give_up_after(Connection& c, Span wait);
-    void serve(Place at, AttemptId attempt, Span limit);
+    EventPtr give_up_after(Connection& c, Duration wait);
+    void serve(Place at, AttemptId attempt, Duration limit);
     void rest(Place at);
     void take_from_rest(Place at);
     bool quiet(const Connection& c) const;
     void late(Place at);
     void fail(Place at, FailureCause cause);
     void whole(Place at, bool more);
-    void wait_for(Place at, Span wait);
+    void wait_for(Place at, Duration wait);
     void close(Place at);
     void readable(Place at);
     void written(Place at);
--- a/tests/adding_up.cpp
+++ b/tests/adding_up.cpp
@@ -30,7 +30,7 @@
     {
         SubsetConfig rule;
         rule.size = size;
-        return choose(rule, members, self, upstreams, 1);
+        return select_subset(rule, members, self, upstreams, 1);
     }
     double greatest_over_mean(uint32_t size) const
     {
@@ -41,7 +41,7 @@
             double sum = 0;
             for (size_t u = 0; u < p.size(); ++u) sum += p[u] * upstreams[u].size;
             for (size_t u = 0; u < p.size(); ++u)
-                load[u] += s.weight * p[u] / sum, all += s.weight * p[u] / sum;
+                load[u] += s.traffic_weight * p[u] / sum, all += s.traffic_weight * p[u] / sum;
         }
         return *std::max_element(load.begin(), load.end()) * static_cast<double>(load.size()) / all;
     }
@@ -75,14 +75,14 @@
     SubsetConfig zones;
     zones.size = 4, zones.zones = true, zones.beyond = 2;
     for (size_t u = 0; u < r.upstreams.size(); ++u) r.upstreams[u].own_zone = u % 3 == 0;
-    const SubsetWeights z = choose(zones, r.members, 5, r.upstreams, 1);
+    const SubsetWeights z = select_subset(zones, r.members, 5, r.upstreams, 1);
     size_t own = 0;
     for (size_t u = 0; u < z.size(); ++u) own += z[u] > 0 && r.upstreams[u].own_zone;
     std::printf("by zones, 4 of the own and 2 beyond: %s\n",
                 yes(own >= 4 && used(z) - own >= 2 && used(z) <= 9));
 
     SubsetSize w(seconds(10));
-    Point now{1'000'000};
+    TimePoint now{1'000'000};
     std::printf("-- width\nhalf is free: %s\n", w.adjust(now, 0.6, 0, false) ? "WIDER" : "as it was");
     for (int i = 0; i < 3; ++i) (void)w.adjust(now, 0, 0, false);
     std::printf("nothing is free: at once %.0f times\n", w.widening());
@@ -103,7 +103,7 @@
     OutlierGossip signals;
     MemberKey key;
     explicit Teller(MemberKey k) : signals(OutlierGossipConfig{}, k, k * 10), key(k) {}
-    OutlierDigest finds(Point now, uint64_t upstream, double reduction)
+    OutlierDigest finds(TimePoint now, uint64_t upstream, double reduction)
     {
         signals.on_local_evidence(now, {{upstream, reduction, 0, 3, {}, seconds(9), {}}});
         return signals.next_digest(now, 1);
@@ -113,7 +113,7 @@
 void told()
 {
     std::printf("-- signals\n");
-    Point now{100'000'000};
+    TimePoint now{100'000'000};
     Teller a(1), b(2), c(3);
     OutlierGossip own(OutlierGossipConfig{}, 9, 90);
     const auto counts = [&](uint64_t upstream) {
@@ -136,7 +136,7 @@
     now = now + seconds(1.4);
     own.on_digest(now, first);
     std::printf("repeated late: %.2f still, %llu dropped\n", counts(7),
-                static_cast<unsigned long long>(own.stale()));
+                static_cast<unsigned long long>(own.stale_reports()));
     now = now + seconds(0.2);
     std::printf("past its validity: %.2f\n", counts(7));
     own.on_digest(now, first);
@@ -149,7 +149,7 @@
     // What holds is passed on with its age, and never said anew.
     OutlierGossip next(OutlierGossipConfig{}, 10, 100);
     Teller d(4);
-    const Point found = now;
+    const TimePoint found = now;
     (void)own.next_digest(now, 1);
     own.on_digest(now, d.finds(now, 8, 1));
     now = now + seconds(1);
@@ -188,7 +188,7 @@
     struct One {
         InstanceId instance = 0;
         std::optional<QuotaClient> shares;
-        Point next;
+        TimePoint next;
         bool up = true;
     };
     std::vector<One> all(n);
@@ -202,14 +202,14 @@
     QuotaAllocator allocator(rule, 0.02);
     Epoch epoch = 1;
     struct Late {
-        Point at;
+        TimePoint at;
         size_t to;
         InstanceId instance;
         QuotaResponse parts;
     };
     std::vector<Late> late;
     double most = 0;
-    Point now{1'000'000'000};
+    TimePoint now{1'000'000'000};
     allocator.on_lease_gained(now, epoch);
     for (int step = 0; step < 4000; ++step) {
         now = now + seconds(0.02);
@@ -268,7 +268,7 @@
     rule.whole["retries"] = 100;
     const BudgetName name{Budget::retries, 0};
     QuotaAllocator allocator(rule, 0.02);
-    Point now{1'000'000'000};
+    TimePoint now{1'000'000'000};
     allocator.on_lease_gained(now - seconds(60), 3);
     std::vector<QuotaClient> all;
     for (InstanceId i = 0; i < 10; ++i) all.emplace_back(rule, 10, i + 1);
@@ -297,7 +297,7 @@
     TokenBucket bucket;
     QuotaLease p{name, 10, 0, now + seconds(100), now + seconds(200)};
     size_t got = 0;
-    for (int i = 0; i < 1000; ++i) got += bucket.take(now + seconds(0.01 * i), p);
+    for (int i = 0; i < 1000; ++i) got += bucket.try_take(now + seconds(0.01 * i), p);
     std::printf("ten a second for 10 s: %s\n", yes(got >= 98 && got <= 101));
 }
 
--- a/tests/balancer_host.h
+++ b/tests/balancer_host.h
@@ -25,12 +25,12 @@
 struct Forwarded {
     InvocationId invocation;
     UpstreamId upstream;
-    Span limit;
+    Duration limit;
     bool operator==(const Forwarded&) const = default;
 };
 struct Throttled {
     InvocationId invocation;
-    bool with_retry_time;  // the answer says when to retry
+    bool with_retry_after;  // the answer says when to retry
     bool operator==(const Throttled&) const = default;
 };
 struct Errored {
@@ -40,7 +40,7 @@
 struct LimitChanged {
     InvocationId invocation;
     uint32_t forward;
-    Span limit;
+    Duration limit;
     bool operator==(const LimitChanged&) const = default;
 };
 struct Cancelled {
@@ -64,7 +64,7 @@
     bool operator==(const ListWatched&) const = default;
 };
 
-inline std::string two_decimals(Span span)
+inline std::string format_seconds(Duration span)
 {
     char text[32];
     std::snprintf(text, sizeof text, "%.2f s", span.seconds());
@@ -75,12 +75,12 @@
 inline std::ostream& operator<<(std::ostream& out, const Forwarded& each)
 {
     return out << "inv " << each.invocation << " forward u" << each.upstream << " limit "
-               << two_decimals(each.limit);
+               << format_seconds(each.limit);
 }
 inline std::ostream& operator<<(std::ostream& out, const Throttled& each)
 {
     return out << "inv " << each.invocation << " throttled, come back in "
-               << (each.with_retry_time ? "a while" : "no stated time");
+               << (each.with_retry_after ? "a while" : "no stated time");
 }
 inline std::ostream& operator<<(std::ostream& out, const Errored& each)
 {
@@ -89,7 +89,7 @@
 inline std::ostream& operator<<(std::ostream& out, const LimitChanged& each)
 {
     return out << "inv " << each.invocation << " forward " << each.forward << " limit "
-               << two_decimals(each.limit);
+               << format_seconds(each.limit);
 }
 inline std::ostream& operator<<(std::ostream& out, const Cancelled& each)
 {
@@ -121,80 +121,81 @@
   public:
     explicit BalancerHost(Settings settings, uint64_t seed = 1) : balancer(std::move(settings), seed, *this)
     {
-        balancer.started(now);
+        balancer.start(now);
     }
 
-    static Operation op(Idempotency repeat, DeduplicationScope group = DeduplicationScope::all)
+    static Operation make_operation(Idempotency repeat, DeduplicationScope group = DeduplicationScope::all)
     {
         return {repeat, group, seconds(2), seconds(1), 0, seconds(2)};
     }
 
-    static Settings settings(Operation operation)
+    static Settings make_settings(Operation operation)
     {
         Settings s;
         s.operations = {operation};
         s.max_forwards = 6;
-        s.may_cancel = s.may_overlap = s.may_probe = true;
+        s.may_cancel = s.may_overlap_forwards = s.may_probe = true;
         s.max_retry_after = seconds(1);
         return s;
     }
 
-    void wait(Span span) { now = now + span; }
-    void list(uint32_t n)
+    void advance_clock(Duration span) { now = now + span; }
+    void set_endpoints(uint32_t n)
     {
         std::vector<EndpointState> all;
         for (UpstreamId t = 0; t < n; ++t) all.push_back({t, t, EndpointPhase::ready, t % 2, t / 2, 1, {}});
-        balancer.list_is(now, all);
+        balancer.set_endpoints(now, all);
     }
-    void change(UpstreamId t, EndpointPhase phase, std::optional<Point> started = {})
+    void change_endpoint(UpstreamId t, EndpointPhase phase, std::optional<TimePoint> started = {})
     {
-        balancer.list_changed(now, {{t, t, phase, t % 2, t / 2, 1, started}});
+        balancer.update_endpoints(now, {{t, t, phase, t % 2, t / 2, 1, started}});
     }
-    void accept(InvocationId inv, Span left = seconds(2), uint32_t tenant = 0, uint64_t key = 0)
+    void accept(InvocationId inv, Duration left = seconds(2), uint32_t tenant = 0, uint64_t key = 0)
     {
         balancer.accept(now, inv, {0, tenant, left, false, key});
     }
-    void end(InvocationId inv, AttemptResult result, Span took = seconds(0.1), LoadReport report = {})
+    void end_attempt(InvocationId inv, AttemptResult result, Duration took = seconds(0.1),
+                     LoadReport report = {})
     {
         const auto nth = sent[inv]++;
-        balancer.ended(now, inv, nth, result, took, result == AttemptResult::succeeded, report);
+        balancer.on_forward_ended(now, inv, nth, result, took, result == AttemptResult::succeeded, report);
     }
-    bool is_out(InvocationId inv) const { return sent.count(inv) > 0; }
-    void leave(InvocationId inv) { balancer.client_left(now, inv); }
+    bool is_in_flight(InvocationId inv) const { return sent.count(inv) > 0; }
+    void disconnect_client(InvocationId inv) { balancer.on_client_disconnected(now, inv); }
     void wake()
     {
         auto due = std::move(timers);
         timers.clear();
-        for (const auto& [name, at] : due) now = std::max(now, at), balancer.woken(now, name);
+        for (const auto& [name, at] : due) now = std::max(now, at), balancer.on_timer_fired(now, name);
     }
     // Sends n invocations, each answered at once; returns how many each upstream got. Their effects are not
     // recorded.
-    std::map<UpstreamId, int> many(int n, AttemptResult result = AttemptResult::succeeded,
-                                   UpstreamId only = ~0u, Span every = seconds(0.01))
+    std::map<UpstreamId, int> send_many(int n, AttemptResult result = AttemptResult::succeeded,
+                                        UpstreamId only = ~0u, Duration every = seconds(0.01))
     {
         std::map<UpstreamId, int> got;
-        quiet = true;
+        recording_paused = true;
         for (int i = 0; i < n; ++i) {
-            wait(every);
-            last_tgt = ~0u;
+            advance_clock(every);
+            last_upstream = ~0u;
             accept(99);
-            if (last_tgt == ~0u) continue;
-            ++got[last_tgt];
-            const bool odd = only == ~0u || last_tgt == only;
-            end(99, odd ? result : AttemptResult::succeeded);
-            if (sent.count(99)) leave(99), end(99, AttemptResult::cancelled);
+            if (last_upstream == ~0u) continue;
+            ++got[last_upstream];
+            const bool odd = only == ~0u || last_upstream == only;
+            end_attempt(99, odd ? result : AttemptResult::succeeded);
+            if (sent.count(99)) disconnect_client(99), end_attempt(99, AttemptResult::cancelled);
         }
-        quiet = false;
+        recording_paused = false;
         return got;
     }
     // What was recorded since the last call.
     Decisions take_decisions() { return std::exchange(recorded, {}); }
 
-    Point now{1'000'000'000};
-    UpstreamId last_tgt = 0;
-    bool quiet = false;
-    int throttled = 0, closed = 0;
-    std::vector<std::string> told;  // to the other instances
+    TimePoint now{1'000'000'000};
+    UpstreamId last_upstream = 0;
+    bool recording_paused = false;
+    int throttled_count = 0, idle_closed_count = 0;
+    std::vector<std::string> peer_messages;  // to the other instances
     Balancer balancer;
 
   protected:
@@ -203,43 +204,46 @@
   private:
     void decided(const Decision& decision)
     {
-        if (!quiet) record(decision);
+        if (!recording_paused) record(decision);
     }
-    void forward(InvocationId inv, UpstreamId upstream_id, Span limit) override
+    void forward(InvocationId inv, UpstreamId upstream_id, Duration limit) override
     {
         sent.try_emplace(inv, 0);
-        last_tgt = upstream_id;
+        last_upstream = upstream_id;
         decided(decision::Forwarded{inv, upstream_id, limit});
     }
-    void throttle(InvocationId inv, Span back) override
+    void throttle(InvocationId inv, Duration back) override
     {
-        ++throttled;
-        decided(decision::Throttled{inv, back > Span{}});
+        ++throttled_count;
+        decided(decision::Throttled{inv, back > Duration{}});
     }
-    void error(InvocationId inv) override { decided(decision::Errored{inv}); }
-    void limit(InvocationId inv, uint32_t forward, Span limit) override
+    void fail(InvocationId inv) override { decided(decision::Errored{inv}); }
+    void set_forward_timeout(InvocationId inv, uint32_t forward, Duration limit) override
     {
         decided(decision::LimitChanged{inv, forward, limit});
     }
-    void cancel(InvocationId inv, uint32_t forward) override { decided(decision::Cancelled{inv, forward}); }
-    void released(InvocationId inv) override
+    void cancel_forward(InvocationId inv, uint32_t forward) override
+    {
+        decided(decision::Cancelled{inv, forward});
+    }
+    void release_invocation(InvocationId inv) override
     {
         sent.erase(inv);
         decided(decision::Released{inv});
     }
-    void wake(Point at, uint64_t name) override { timers[name] = at; }
+    void start_timer(TimePoint at, uint64_t name) override { timers[name] = at; }
     void probe(UpstreamId upstream_id) override { decided(decision::Probed{upstream_id}); }
-    void close_idle(UpstreamId upstream_id) override
+    void close_idle_connections(UpstreamId upstream_id) override
     {
-        ++closed;
+        ++idle_closed_count;
         decided(decision::IdleConnectionsClosed{upstream_id});
     }
-    void watch_list() override { decided(decision::ListWatched{}); }
-    void tell(const std::string& message) override { told.push_back(message); }
+    void watch_endpoint_list() override { decided(decision::ListWatched{}); }
+    void broadcast(const std::string& message) override { peer_messages.push_back(message); }
 
     Decisions recorded;
     std::map<InvocationId, uint32_t> sent;
-    std::map<uint64_t, Point> timers;
+    std::map<uint64_t, TimePoint> timers;
 };
 
 }  // namespace firtide
--- a/tests/compatibility.cpp
+++ b/tests/compatibility.cpp
@@ -106,14 +106,14 @@
 {
     place("voter.log");
     const FleetConfig file = recorded_fleet();
-    VoterAgent agent(file, disk_, VoterTimes{}, 3);
-    Point now{5'000'000};
+    VoterAgent agent(file, disk_, VoterTiming{}, 3);
+    TimePoint now{5'000'000};
     std::optional<VoterStatus> status;
     std::optional<LeaseTable> table;
     const auto take = [&](std::vector<VoterAgentEffect> effects) {
         for (VoterAgentEffect& effect : effects) {
             if (auto* said = std::get_if<VoterStatus>(&effect)) status = std::move(*said);
-            if (auto* said = std::get_if<TableUpdated>(&effect)) table = std::move(said->table);
+            if (auto* said = std::get_if<LeaseTableUpdated>(&effect)) table = std::move(said->table);
         }
     };
     take(agent.start(now));
@@ -156,26 +156,26 @@
     EXPECT_EQ(memory.fleet, "edge");
     EXPECT_EQ(memory.member, "m-1");
     EXPECT_EQ(memory.incarnation, 12u);
-    EXPECT_EQ(memory.boot, "0b5f6f0e-5f4f-4a53-9a1c-1f6f5a3c2d10");
-    EXPECT_EQ(memory.boot_us, 123456789);
+    EXPECT_EQ(memory.boot_id, "0b5f6f0e-5f4f-4a53-9a1c-1f6f5a3c2d10");
+    EXPECT_EQ(memory.written_at_boot_us, 123456789);
     EXPECT_EQ(memory.list_version, 41u);
-    EXPECT_EQ(memory.list, R"({"rev":41,"all":true,"targets":[]})");
-    EXPECT_EQ(memory.rate, 153.25);
-    EXPECT_EQ(memory.size, 12.5);
-    EXPECT_EQ(memory.peers, 3u);
+    EXPECT_EQ(memory.list_text, R"({"rev":41,"all":true,"targets":[]})");
+    EXPECT_EQ(memory.accepted_rate, 153.25);
+    EXPECT_EQ(memory.total_capacity, 12.5);
+    EXPECT_EQ(memory.peer_count, 3u);
     ASSERT_EQ(memory.reductions.size(), 2u);
-    EXPECT_EQ(memory.reductions[0].upstream, 0x1122334455667788u);
+    EXPECT_EQ(memory.reductions[0].upstream_hash, 0x1122334455667788u);
     EXPECT_EQ(memory.reductions[0].reduction, 0.25f);
-    EXPECT_EQ(memory.reductions[0].left_us, 1500000);
-    EXPECT_EQ(memory.reductions[1].upstream, 9u);
+    EXPECT_EQ(memory.reductions[0].remaining_us, 1500000);
+    EXPECT_EQ(memory.reductions[1].upstream_hash, 9u);
     EXPECT_EQ(memory.reductions[1].reduction, 1.0f);
-    EXPECT_EQ(memory.reductions[1].left_us, 40);
-    ASSERT_EQ(memory.epochs.size(), 2u);
-    EXPECT_EQ(memory.epochs[0].duty, "list");
-    EXPECT_EQ(memory.epochs[0].epoch, 7u);
-    EXPECT_EQ(memory.epochs[1].duty, "reports");
-    EXPECT_EQ(memory.epochs[1].epoch, 9u);
-    EXPECT_EQ(memory.open, (std::vector<std::string>{"9b1f03aa5c7e2d41", "b-2"}));
+    EXPECT_EQ(memory.reductions[1].remaining_us, 40);
+    ASSERT_EQ(memory.seen_epochs.size(), 2u);
+    EXPECT_EQ(memory.seen_epochs[0].duty, "list");
+    EXPECT_EQ(memory.seen_epochs[0].epoch, 7u);
+    EXPECT_EQ(memory.seen_epochs[1].duty, "reports");
+    EXPECT_EQ(memory.seen_epochs[1].epoch, 9u);
+    EXPECT_EQ(memory.open_request_ids, (std::vector<std::string>{"9b1f03aa5c7e2d41", "b-2"}));
     EXPECT_EQ(encode_member_snapshot(memory), read_data("snapshot"));
 }
 
--- a/tests/connections.cpp
+++ b/tests/connections.cpp
@@ -5,22 +5,22 @@
 
 static void play(const char* what, bool only_rested, AttemptResult broke = AttemptResult::timed_out)
 {
-    auto settings = Stage::settings(Stage::op(Idempotency::deduplicated));
-    settings.may_overlap = false;
-    Stage s(settings);
-    s.say(what);
-    s.list(3);
-    s.many(60);
-    s.closed = 0;
+    auto settings = TracingHost::make_settings(TracingHost::make_operation(Idempotency::deduplicated));
+    settings.may_overlap_forwards = false;
+    TracingHost s(settings);
+    s.print_heading(what);
+    s.set_endpoints(3);
+    s.send_many(60);
+    s.idle_closed_count = 0;
     for (int round = 0; round < 6; ++round) {
-        s.wait(seconds(3));
-        s.many(6, broke);
+        s.advance_clock(seconds(3));
+        s.send_many(6, broke);
         if (only_rested)
-            s.many(60, AttemptResult::succeeded, ~0u, seconds(0.001));
+            s.send_many(60, AttemptResult::succeeded, ~0u, seconds(0.001));
         else
-            s.many(60, broke, ~0u, seconds(0.001));
+            s.send_many(60, broke, ~0u, seconds(0.001));
     }
-    std::printf("idle connections %s\n", s.closed ? "closed before use" : "left alone");
+    std::printf("idle connections %s\n", s.idle_closed_count ? "closed before use" : "left alone");
 }
 
 int main()
--- a/tests/discovery.cpp
+++ b/tests/discovery.cpp
@@ -18,7 +18,7 @@
 {
   public:
     explicit RefusingDiscovery(int refusals)
-        : refusals_(refusals), stand_in_([this](Wire& wire) { serve(wire); })
+        : refusals_(refusals), stand_in_([this](TestConnection& wire) { serve(wire); })
     {
     }
 
@@ -30,9 +30,9 @@
     }
 
   private:
-    void serve(Wire& wire)
+    void serve(TestConnection& wire)
     {
-        for (std::string request; wire.open() && !(request = wire.message()).empty();) {
+        for (std::string request; wire.is_open() && !(request = wire.receive_message()).empty();) {
             size_t call = 0;
             {
                 const std::lock_guard hold(lock_);
@@ -41,25 +41,25 @@
                 call = targets_.size();
             }
             if (call == 1)
-                wire.send(http(ok, R"({"rev":7,"all":true,"targets":[]})"));
+                wire.send(http_message(status_line_ok, R"({"rev":7,"all":true,"targets":[]})"));
             else if (call <= 1 + static_cast<size_t>(refusals_))
-                wire.send(http("HTTP/1.1 503 busy"));
+                wire.send(http_message("HTTP/1.1 503 busy"));
             else
-                wire.send(http(ok, R"({"rev":7,"all":false,"targets":[]})"));
+                wire.send(http_message(status_line_ok, R"({"rev":7,"all":false,"targets":[]})"));
         }
     }
 
     const int refusals_;
     std::mutex lock_;
     std::vector<std::string> targets_;
-    StandIn stand_in_;
+    TestServer stand_in_;
 };
 
 std::vector<std::string> calls_of(RefusingDiscovery& discovery, size_t count, const std::string& settings)
 {
-    program = FIRTIDE_PROGRAM;
-    Running firtide(discovery.endpoint(), "1024", "", {}, 0, settings);
-    EXPECT_TRUE(until([&] { return discovery.targets().size() >= count; }, 20000));
+    program_path = FIRTIDE_PROGRAM;
+    BalancerProcess firtide(discovery.endpoint(), "1024", "", {}, 0, settings);
+    EXPECT_TRUE(wait_until([&] { return discovery.targets().size() >= count; }, 20000));
     auto targets = discovery.targets();
     targets.resize(std::min(targets.size(), count));
     return targets;
--- a/tests/endings.cpp
+++ b/tests/endings.cpp
@@ -29,7 +29,7 @@
   public:
     enum class Does { answers, is_silent, refuses, resets, tears, trickles, answers_late, is_behind };
 
-    Agent() : stand_in_([this](Wire& w) { serve(w); }) {}
+    Agent() : stand_in_([this](TestConnection& w) { serve(w); }) {}
     ~Agent() { done_ = true; }
 
     std::string endpoint() const { return stand_in_.endpoint(); }
@@ -65,27 +65,29 @@
         const std::lock_guard hold(lock_);
         return version_;
     }
-    void serve(Wire& w)
+    void serve(TestConnection& w)
     {
-        for (std::string request; w.open() && !(request = w.message()).empty();) {
+        for (std::string request; w.is_open() && !(request = w.receive_message()).empty();) {
             {
                 const std::lock_guard hold(lock_);
                 calls_.push_back(Clock::now());
             }
             const auto after = request.find("after=");
             const int known = after == std::string::npos ? -1 : std::stoi(request.substr(after + 6));
-            for (int i = 0; i < 400 && does_ == Does::answers && known >= version(); ++i) pause(5);
+            for (int i = 0; i < 400 && does_ == Does::answers && known >= version(); ++i) sleep_ms(5);
             switch (does_.load()) {
-                case Does::answers: w.send(http(ok, list(version()))); break;
-                case Does::is_silent: return (void)w.ended(10000);
-                case Does::refuses: w.send(http("HTTP/1.1 500 no")); break;
+                case Does::answers: w.send(http_message(status_line_ok, list(version()))); break;
+                case Does::is_silent: return (void)w.receives_eof(10000);
+                case Does::refuses: w.send(http_message("HTTP/1.1 500 no")); break;
                 case Does::resets: return w.reset();
-                case Does::tears: w.send(ok + "\r\nContent-Length: 900\r\n\r\n{\"rev\":"); return;
-                case Does::is_behind: w.send(http(ok, list(0))); break;
-                case Does::answers_late: pause(800), w.send(http(ok, list(version()))); break;
+                case Does::tears: w.send(status_line_ok + "\r\nContent-Length: 900\r\n\r\n{\"rev\":"); return;
+                case Does::is_behind: w.send(http_message(status_line_ok, list(0))); break;
+                case Does::answers_late:
+                    sleep_ms(800), w.send(http_message(status_line_ok, list(version())));
+                    break;
                 case Does::trickles:
-                    w.send(ok + "\r\nContent-Length: 900\r\n\r\n{");
-                    while (!done_ && !w.more(50) && !w.over()) w.send(" ");
+                    w.send(status_line_ok + "\r\nContent-Length: 900\r\n\r\n{");
+                    while (!done_ && !w.receive(50) && !w.at_eof()) w.send(" ");
                     return;
             }
         }
@@ -98,7 +100,7 @@
     std::atomic<bool> done_{false};
     std::vector<Clock::time_point> calls_;
     Clock::time_point since_ = Clock::now();
-    StandIn stand_in_;
+    TestServer stand_in_;
 };
 
 std::string an_id()
@@ -110,16 +112,16 @@
 std::string get(const std::string& more = "") { return "GET /safe/x HTTP/1.1\r\n" + an_id() + more + "\r\n"; }
 
 // Upstreams that say who they are.
-StandIn upstream_called(const std::string& name)
+TestServer upstream_called(const std::string& name)
 {
-    return StandIn([name](Wire& w) {
-        while (!w.message().empty()) w.send(http(ok, name));
+    return TestServer([name](TestConnection& w) {
+        while (!w.receive_message().empty()) w.send(http_message(status_line_ok, name));
     });
 }
 
 std::string who_answers(uint16_t port)
 {
-    const auto answer = Wire(port).ask(get());
+    const auto answer = TestConnection(port).send_and_receive(get());
     const auto body = answer.find("\r\n\r\n");
     return body == std::string::npos ? "nobody" : answer.substr(body + 4);
 }
@@ -130,15 +132,15 @@
 void silent_agent()
 {
     Agent agent;
-    StandIn first = upstream_called("the first");
+    TestServer first = upstream_called("the first");
     agent.list_is(target("a", first.endpoint()));
-    Running f(agent.endpoint());
+    BalancerProcess f(agent.endpoint());
     agent.does(Agent::Does::is_silent);
     agent.list_is(target("a", first.endpoint()));  // ends the watch that is out
     const auto before = agent.called();
-    until([&] { return agent.called() >= before + 2; }, 4000);
+    wait_until([&] { return agent.called() >= before + 2; }, 4000);
     agent.calls();
-    pause(3000);
+    sleep_ms(3000);
     double last = 0, longest = 0;
     for (const double at : agent.calls()) longest = std::max(longest, at - last), last = at;
     std::printf("a silent agent: it is called again %s\n",
@@ -149,17 +151,17 @@
 void spoilt_calls(const char* what, Agent::Does does, double within)
 {
     Agent agent;
-    StandIn first = upstream_called("the first"), second = upstream_called("the second");
+    TestServer first = upstream_called("the first"), second = upstream_called("the second");
     agent.list_is(target("a", first.endpoint()));
-    Running f(agent.endpoint());
-    until([&] { return who_answers(f.port) == "the first"; });
+    BalancerProcess f(agent.endpoint());
+    wait_until([&] { return who_answers(f.port) == "the first"; });
     agent.does(does);
     agent.list_is(target("b", second.endpoint()));
     const auto before = agent.called();
-    until([&] { return agent.called() >= before + 7; }, 9000);  // its pauses are the longest by then
+    wait_until([&] { return agent.called() >= before + 7; }, 9000);  // its pauses are the longest by then
     agent.does(Agent::Does::answers);
     const auto since = Clock::now();
-    until([&] { return who_answers(f.port) == "the second"; }, 7000);
+    wait_until([&] { return who_answers(f.port) == "the second"; }, 7000);
     const double took = seconds_since(since);
     std::printf("an agent %s: the change is in force %s\n", what,
                 took < within ? "in time" : std::to_string(took).c_str());
@@ -170,10 +172,10 @@
 void every_phase(const char* what, Agent::Does does, bool pushed, double within)
 {
     Agent agent;
-    StandIn upstreams[] = {upstream_called("0"), upstream_called("1")};
+    TestServer upstreams[] = {upstream_called("0"), upstream_called("1")};
     agent.list_is(target("u0", upstreams[0].endpoint()));
-    Running f(agent.endpoint(), "1024", "", {}, 0, pushed ? "" : R"("registry_mode":"subscribe",)");
-    until([&] { return who_answers(f.port) == "0"; });
+    BalancerProcess f(agent.endpoint(), "1024", "", {}, 0, pushed ? "" : R"("registry_mode":"subscribe",)");
+    wait_until([&] { return who_answers(f.port) == "0"; });
     std::vector<double> took;
     const int phases = pushed ? 8 : 3;
     for (int i = 1; i <= phases; ++i) {
@@ -181,11 +183,11 @@
         agent.does(does);
         agent.list_is(target("u" + now, upstreams[i % 2].endpoint()));
         const auto before = agent.called();
-        until([&] { return agent.called() >= before + (pushed ? 5 : 2); }, 12000);
-        pause(i * 47);  // somewhere within the next call or pause
+        wait_until([&] { return agent.called() >= before + (pushed ? 5 : 2); }, 12000);
+        sleep_ms(i * 47);  // somewhere within the next call or pause
         agent.does(Agent::Does::answers);
         const auto since = Clock::now();
-        until([&] { return who_answers(f.port) == now; }, 9000);
+        wait_until([&] { return who_answers(f.port) == now; }, 9000);
         took.push_back(seconds_since(since));
     }
     std::sort(took.begin(), took.end());
@@ -199,26 +201,27 @@
 void late_agent()
 {
     Agent agent;
-    StandIn first = upstream_called("the first");
+    TestServer first = upstream_called("the first");
     agent.list_is(target("a", first.endpoint()));
     agent.does(Agent::Does::answers_late);
-    Running f(agent.endpoint());
-    std::printf("an agent that takes 0.8 s: %s answers\n",
-                until([&] { return who_answers(f.port) == "the first"; }, 4000) ? "the first" : "nobody");
+    BalancerProcess f(agent.endpoint());
+    std::printf(
+        "an agent that takes 0.8 s: %s answers\n",
+        wait_until([&] { return who_answers(f.port) == "the first"; }, 4000) ? "the first" : "nobody");
 }
 
 // SIGHUP while the module waits for its turn to ask the old address again.
 void moved_between_calls()
 {
     Agent dead, agent;
-    StandIn first = upstream_called("the first");
+    TestServer first = upstream_called("the first");
     dead.does(Agent::Does::refuses);
     agent.list_is(target("a", first.endpoint()));
-    Running f(dead.endpoint(), "1024", "", {}, 0, R"("registry_mode":"subscribe",)");
-    until([&] { return dead.called() >= 3; }, 8000);  // 1 s at the least until the next
+    BalancerProcess f(dead.endpoint(), "1024", "", {}, 0, R"("registry_mode":"subscribe",)");
+    wait_until([&] { return dead.called() >= 3; }, 8000);  // 1 s at the least until the next
     const auto since = Clock::now();
-    f.reread(dead.endpoint(), agent.endpoint());
-    until([&] { return agent.called() > 0; }, 8000);
+    f.edit_config_and_reload(dead.endpoint(), agent.endpoint());
+    wait_until([&] { return agent.called() > 0; }, 8000);
     std::printf("moved while it waits to ask again: it asks the new agent %s\n",
                 seconds_since(since) < 0.5 ? "at once" : "late");
 }
@@ -227,25 +230,25 @@
 void list_behind_requests()
 {
     std::atomic<int> asked{0};
-    StandIn first([&](Wire& w) {
-        while (!w.message().empty()) ++asked, w.send(http(ok, "the first"));
+    TestServer first([&](TestConnection& w) {
+        while (!w.receive_message().empty()) ++asked, w.send(http_message(status_line_ok, "the first"));
     });
     Agent agent;
     agent.list_is(target("a", first.endpoint()));
-    Running f(agent.endpoint());
-    std::vector<Wire> callers;
+    BalancerProcess f(agent.endpoint());
+    std::vector<TestConnection> callers;
     for (int i = 0; i < 20; ++i) callers.emplace_back(f.port), callers.back().send(get());
-    for (auto& w : callers) w.message();
-    until([&] { return agent.called() >= 2; });  // the watch is out
-    kill(f.process, SIGSTOP);
+    for (auto& w : callers) w.receive_message();
+    wait_until([&] { return agent.called() >= 2; });  // the watch is out
+    kill(f.pid, SIGSTOP);
     asked = 0;
     for (auto& w : callers) w.send(get());
     // Long enough not to be read at once.
     agent.list_is(target("a", first.endpoint(), "draining") + std::string(60000, ' '));
-    pause(50);  // the watch is answered: its bytes are with the stopped process
-    kill(f.process, SIGCONT);
+    sleep_ms(50);  // the watch is answered: its bytes are with the stopped process
+    kill(f.pid, SIGCONT);
     int throttled = 0;
-    for (auto& w : callers) throttled += first_line(w.message()).find(" 503 ") != std::string::npos;
+    for (auto& w : callers) throttled += first_line(w.receive_message()).find(" 503 ") != std::string::npos;
     std::printf(
         "a list that came behind 20 requests, in a stall: %d throttled, %d sent to the one that drains\n",
         throttled, asked.load());
@@ -256,12 +259,12 @@
 struct Held {
     std::atomic<int> asked{0}, ended{0};
     std::atomic<bool> go{false};
-    StandIn upstream{[this](Wire& w) {
-        while (!w.message().empty()) {
+    TestServer upstream{[this](TestConnection& w) {
+        while (!w.receive_message().empty()) {
             ++asked;
-            while (!go && !w.over()) w.more(5);
-            if (w.over()) break;
-            w.send(http(ok, "held"));
+            while (!go && !w.at_eof()) w.receive(5);
+            if (w.at_eof()) break;
+            w.send(http_message(status_line_ok, "held"));
         }
         ++ended;
     }};
@@ -272,15 +275,15 @@
     Held held;
     Agent agent;
     agent.list_is(target("a", held.upstream.endpoint()));
-    Running f(agent.endpoint());
-    Wire caller(f.port);
+    BalancerProcess f(agent.endpoint());
+    TestConnection caller(f.port);
     caller.send(get());
-    until([&] { return held.asked == 1; });
+    wait_until([&] { return held.asked == 1; });
     caller.send(std::string(64 * 1024, 'x'));  // stays unread while the request waits
-    pause(60);                                 // sooner, it could be one that sends nothing more and listens
+    sleep_ms(60);                              // sooner, it could be one that sends nothing more and listens
     const auto since = Clock::now();
     caller.close();
-    until([&] { return held.ended == 1; });
+    wait_until([&] { return held.ended == 1; });
     std::printf("a caller closes behind 64 KiB that nobody reads: its forward is ended %s\n",
                 seconds_since(since) < 0.2 ? "at once" : "late");
 }
@@ -288,16 +291,16 @@
 void half_closed()
 {
     std::atomic<int> asked{0};
-    StandIn declines([&](Wire& w) {
-        while (!w.message().empty())
-            ++asked, pause(200), w.send(http("HTTP/1.1 503 no", "", "Srv-Declined: 1\r\n"));
+    TestServer declines([&](TestConnection& w) {
+        while (!w.receive_message().empty())
+            ++asked, sleep_ms(200), w.send(http_message("HTTP/1.1 503 no", "", "Srv-Declined: 1\r\n"));
     });
     Agent agent;
     agent.list_is(target("a", declines.endpoint()) + "," + target("b", declines.endpoint()));
-    Running f(agent.endpoint());
-    Wire caller(f.port);
-    caller.send(get()), caller.end_sending();
-    const auto answer = first_line(caller.message());
+    BalancerProcess f(agent.endpoint());
+    TestConnection caller(f.port);
+    caller.send(get()), caller.shutdown_write();
+    const auto answer = first_line(caller.receive_message());
     std::printf(
         "a caller closes its sending side with its request, which is declined 0.2 s later: %s, %d sent\n",
         answer.c_str(), asked.load());
@@ -310,17 +313,17 @@
     held.go = true;
     Agent agent;
     agent.list_is(target("a", held.upstream.endpoint()));
-    Running f(agent.endpoint());
-    Wire caller(f.port);
+    BalancerProcess f(agent.endpoint());
+    TestConnection caller(f.port);
     const auto request = get();
     caller.send(request.substr(0, 20));
-    Wire(f.port).ask(get());  // the first half has been read by now
-    kill(f.process, SIGSTOP);
-    pause(2700);
+    TestConnection(f.port).send_and_receive(get());  // the first half has been read by now
+    kill(f.pid, SIGSTOP);
+    sleep_ms(2700);
     caller.send(request.substr(20));
-    kill(f.process, SIGCONT);
+    kill(f.pid, SIGCONT);
     std::printf("a request that became whole in a stall of 2.7 s: %s\n",
-                first_line(caller.message()).c_str());
+                first_line(caller.receive_message()).c_str());
 }
 
 // Its request and its end come while the process stands still.
@@ -330,15 +333,15 @@
     held.go = true;
     Agent agent;
     agent.list_is(target("a", held.upstream.endpoint()));
-    Running f(agent.endpoint());
-    Wire caller(f.port);
-    caller.ask(get());
+    BalancerProcess f(agent.endpoint());
+    TestConnection caller(f.port);
+    caller.send_and_receive(get());
     const int before = held.asked;
-    kill(f.process, SIGSTOP);
-    caller.send(get()), caller.end_sending();
-    pause(200);
-    kill(f.process, SIGCONT);
-    const auto answer = first_line(caller.message());
+    kill(f.pid, SIGSTOP);
+    caller.send(get()), caller.shutdown_write();
+    sleep_ms(200);
+    kill(f.pid, SIGCONT);
+    const auto answer = first_line(caller.receive_message());
     std::printf("a caller asks and closes its sending side in a stall of 0.2 s: %s, %d sent on\n",
                 answer.c_str(), held.asked - before);
 }
@@ -348,31 +351,32 @@
 void burst_that_leaves(int after_ms)
 {
     const int full = socket(AF_INET, SOCK_STREAM, 0);
-    auto at = Wire::address(0);
+    auto at = TestConnection::loopback_address(0);
     bind(full, reinterpret_cast<sockaddr*>(&at), sizeof at);
     socklen_t size = sizeof at;
     getsockname(full, reinterpret_cast<sockaddr*>(&at), &size);
     listen(full, 0);
     const uint16_t port = ntohs(at.sin_port);
-    Wire fills(port);  // its queue: further connections never come up, and are given up after 0.1 s
+    TestConnection fills(port);  // its queue: further connections never come up, and are given up after 0.1 s
     std::atomic<int> sent_on{0};
-    StandIn other([&](Wire& w) {
-        for (std::string request; !(request = w.message()).empty(); w.send(http(ok, "the other")))
+    TestServer other([&](TestConnection& w) {
+        for (std::string request; !(request = w.receive_message()).empty();
+             w.send(http_message(status_line_ok, "the other")))
             sent_on += request.find("/safe/burst") != std::string::npos;
     });
     const auto nobody = target("a", "127.0.0.1:" + std::to_string(port));
     Agent agent;
     agent.list_is(nobody);
-    Running f(agent.endpoint());
-    std::vector<Wire> callers;
+    BalancerProcess f(agent.endpoint());
+    std::vector<TestConnection> callers;
     for (int i = 0; i < 100; ++i) callers.emplace_back(f.port);
     for (auto& w : callers) w.send("GET /safe/burst HTTP/1.1\r\n" + an_id() + "\r\n");
-    pause(after_ms);
+    sleep_ms(after_ms);
     callers.clear();
-    pause(60);  // what begins at the other one begins later than this after they have gone
+    sleep_ms(60);  // what begins at the other one begins later than this after they have gone
     agent.list_is(nobody + "," + target("b", other.endpoint()));
-    until([&] { return who_answers(f.port) == "the other"; }, 4000);
-    pause(300);  // by now all that they waited for is given up
+    wait_until([&] { return who_answers(f.port) == "the other"; }, 4000);
+    sleep_ms(300);  // by now all that they waited for is given up
     std::printf("a hundred leave %s, before their first attempt: %d sent on\n",
                 after_ms ? "a moment later" : "at once", sent_on.load());
     close(full);
@@ -384,18 +388,18 @@
     Held held;
     Agent agent;
     agent.list_is(target("a", held.upstream.endpoint()));
-    Running f(agent.endpoint(), "128");
-    std::vector<Wire> owed, idle;
+    BalancerProcess f(agent.endpoint(), "128");
+    std::vector<TestConnection> owed, idle;
     for (int i = 0; i < 8; ++i) owed.emplace_back(f.port), owed.back().send(get());
-    until([&] { return held.asked == 8; });
+    wait_until([&] { return held.asked == 8; });
     for (int i = 0; i < 100; ++i) idle.emplace_back(f.port);
-    Wire asks(f.port);
+    TestConnection asks(f.port);
     const auto since = Clock::now();
-    const auto answer = first_line(asks.ask("GET /-/ready HTTP/1.1\r\n\r\n"));
+    const auto answer = first_line(asks.send_and_receive("GET /-/ready HTTP/1.1\r\n\r\n"));
     const bool soon = seconds_since(since) < 1.5;
     held.go = true;
     int served = 0;
-    for (auto& w : owed) served += first_line(w.message()) == ok;
+    for (auto& w : owed) served += first_line(w.receive_message()) == status_line_ok;
     std::printf(
         "behind 100 that say nothing, with 128 descriptors: %s %s, %d of 8 that were owed an answer got it\n",
         answer.c_str(), soon ? "soon" : "late", served);
@@ -410,17 +414,17 @@
     agent.does(Agent::Does::is_silent);
     agent.list_is(target("a", held.upstream.endpoint()));
     const uint16_t management = free_port();
-    Running f(agent.endpoint(), "128", R"(,"mgmt":"127.0.0.1:)" + std::to_string(management) + "\"");
-    std::vector<Wire> idle;
+    BalancerProcess f(agent.endpoint(), "128", R"(,"mgmt":"127.0.0.1:)" + std::to_string(management) + "\"");
+    std::vector<TestConnection> idle;
     for (int i = 0; i < 200; ++i) idle.emplace_back(f.port);
     const auto before = agent.called();
-    until([&] { return agent.called() >= before + 3; });
+    wait_until([&] { return agent.called() >= before + 3; });
     agent.does(Agent::Does::answers);
     const auto since = Clock::now();
-    until([&] {
-        Wire w(management);
+    wait_until([&] {
+        TestConnection w(management);
         w.send("ready\n");
-        return w.rest() == "SUCCESS ready\n";
+        return w.receive_all() == "SUCCESS ready\n";
     });
     const auto answer = who_answers(f.port);
     std::printf("discovery is back behind 200 that say nothing: %s, %s\n", answer.c_str(),
@@ -434,16 +438,16 @@
     held.go = true;
     Agent agent;
     agent.list_is(target("a", held.upstream.endpoint()));
-    Running f(agent.endpoint(), "128");
-    Wire rests(f.port);
-    rests.ask(get());
+    BalancerProcess f(agent.endpoint(), "128");
+    TestConnection rests(f.port);
+    rests.send_and_receive(get());
     const int before = held.asked;
-    pause(2100);  // nobody who has rested for less than 2 s is evicted
-    std::vector<Wire> idle;
+    sleep_ms(2100);  // nobody who has rested for less than 2 s is evicted
+    std::vector<TestConnection> idle;
     for (int i = 0; i < 100; ++i) idle.emplace_back(f.port);
-    const bool ended = rests.ended(4000);
+    const bool ended = rests.receives_eof(4000);
     rests.send(get());
-    pause(5);
+    sleep_ms(5);
     std::printf("one that rests is evicted, and its next request crosses: %s, %s, %d sent on\n",
                 ended ? "the end came first" : "NO END", rests.was_reset() ? "reset" : "not reset",
                 held.asked - before);
@@ -461,29 +465,32 @@
         agent.list_is(target("a", held.upstream.endpoint()));
         const auto list =
             R"(,"known":{"rev":1,"all":true,"targets":[)" + target("a", held.upstream.endpoint()) + "]}";
-        std::vector<std::unique_ptr<Running>> all;
+        std::vector<std::unique_ptr<BalancerProcess>> all;
         std::vector<std::thread> starting;
         for (int i = 0; i < 30; ++i) all.emplace_back();
         for (auto& one : all)
             starting.emplace_back(
-                [&] { one = std::make_unique<Running>(agent.endpoint(), "256", known ? list : ""); });
+                [&] { one = std::make_unique<BalancerProcess>(agent.endpoint(), "256", known ? list : ""); });
         for (auto& t : starting) t.join();
         const auto ready = [&] {
             int n = 0;
-            for (auto& one : all) n += first_line(Wire(one->port).ask("GET /-/ready HTTP/1.1\r\n\r\n")) == ok;
+            for (auto& one : all)
+                n +=
+                    first_line(TestConnection(one->port).send_and_receive("GET /-/ready HTTP/1.1\r\n\r\n")) ==
+                    status_line_ok;
             return n;
         };
         const int down = ready();
         agent.does(Agent::Does::answers);
         const auto since = Clock::now();
-        until([&] { return ready() == 30; }, 5000);
+        wait_until([&] { return ready() == 30; }, 5000);
         const double took = seconds_since(since);
         std::fprintf(stderr, "thirty at once, %s: %d ready while discovery is down, all %.2f s after\n",
                      known ? "with a list" : "without", down, took);
         std::printf(
             "thirty start at once %s a list while discovery is down: %d ready, all %s once it is back\n",
             known ? "with" : "without", down, took < 2 ? "soon" : "late");
-        for (auto& one : all) kill(one->process, SIGTERM);
+        for (auto& one : all) kill(one->pid, SIGTERM);
     }
 }
 
@@ -493,17 +500,17 @@
     Held held;
     Agent agent;
     agent.list_is(target("a", held.upstream.endpoint()));
-    Running f(agent.endpoint());
+    BalancerProcess f(agent.endpoint());
     held.go = true;
-    Wire resting(f.port), silent(f.port);
-    resting.ask(get());
+    TestConnection resting(f.port), silent(f.port);
+    resting.send_and_receive(get());
     const int before = held.asked;
-    kill(f.process, SIGTERM);
-    const bool ended = resting.ended(3000) && silent.ended(3000);
+    kill(f.pid, SIGTERM);
+    const bool ended = resting.receives_eof(3000) && silent.receives_eof(3000);
     resting.send(get()), silent.send(get().substr(0, 9));
-    resting.end_sending(), silent.end_sending();
+    resting.shutdown_write(), silent.shutdown_write();
     int status = 0;
-    waitpid(std::exchange(f.process, 0), &status, 0);
+    waitpid(std::exchange(f.pid, 0), &status, 0);
     std::printf("a request crosses the end of its connection: %s, %d sent on, %s, exit status %d\n",
                 ended ? "the end came first" : "NO END", held.asked - before,
                 resting.was_reset() || silent.was_reset() ? "reset" : "not reset", status);
@@ -515,22 +522,22 @@
     Held held;
     Agent agent;
     agent.list_is(target("a", held.upstream.endpoint()));
-    Running f(agent.endpoint());
-    Wire half(f.port), before(f.port), never(f.port);
+    BalancerProcess f(agent.endpoint());
+    TestConnection half(f.port), before(f.port), never(f.port);
     half.send("POST /once/x HTTP/1.1\r\n" + an_id() + "Req-Deadline-Ms: 1000\r\nContent-Length: 1\r\n");
     never.send("POST /once/x HTTP/1.1\r\n");
     before.send(get("Req-Deadline-Ms: 1000\r\n"));
-    until([&] { return held.asked == 1; });
+    wait_until([&] { return held.asked == 1; });
     const auto since = Clock::now();
-    kill(f.process, SIGTERM);
-    kill(f.process, SIGTERM);
-    const auto first = first_line(before.message());
+    kill(f.pid, SIGTERM);
+    kill(f.pid, SIGTERM);
+    const auto first = first_line(before.receive_message());
     half.send("\r\nx");  // whole now, a second or so after the signal
-    const auto second = first_line(half.message());
-    const auto third = first_line(never.message());
+    const auto second = first_line(half.receive_message());
+    const auto third = first_line(never.receive_message());
     const double took = seconds_since(since);
     int status = 0;
-    waitpid(std::exchange(f.process, 0), &status, 0);
+    waitpid(std::exchange(f.pid, 0), &status, 0);
     std::printf(
         "stopping where clients wait for 1 s: %s, whole after the signal: %s, never whole: %s, all %s, "
         "exit status %d %s\n",
@@ -544,14 +551,14 @@
 {
     Agent agent;
     agent.does(Agent::Does::is_silent);
-    Running f(agent.endpoint());
-    Wire caller(f.port);
-    std::printf("no list yet: %s", first_line(caller.ask(get())).c_str());
-    kill(f.process, SIGTERM), kill(f.process, SIGHUP);
-    std::printf(", after SIGTERM and SIGHUP: %s", first_line(caller.ask(get())).c_str());
+    BalancerProcess f(agent.endpoint());
+    TestConnection caller(f.port);
+    std::printf("no list yet: %s", first_line(caller.send_and_receive(get())).c_str());
+    kill(f.pid, SIGTERM), kill(f.pid, SIGHUP);
+    std::printf(", after SIGTERM and SIGHUP: %s", first_line(caller.send_and_receive(get())).c_str());
     caller.close();
     int status = 0;
-    waitpid(std::exchange(f.process, 0), &status, 0);
+    waitpid(std::exchange(f.pid, 0), &status, 0);
     std::printf(", exit status %d\n", status);
 }
 
@@ -560,25 +567,26 @@
 // An answer with no length that is reset has not ended.
 void reset_within_an_answer()
 {
-    StandIn resets([&](Wire& w) {
-        w.message();
-        w.send(ok + "\r\nConnection: close\r\n\r\nhalf");
-        w.more(100);
+    TestServer resets([&](TestConnection& w) {
+        w.receive_message();
+        w.send(status_line_ok + "\r\nConnection: close\r\n\r\nhalf");
+        w.receive(100);
         w.reset();
     });
-    StandIn ends([&](Wire& w) {
-        w.message();
-        w.send(ok + "\r\nConnection: close\r\n\r\nwhole");
+    TestServer ends([&](TestConnection& w) {
+        w.receive_message();
+        w.send(status_line_ok + "\r\nConnection: close\r\n\r\nwhole");
     });
     Agent agent;
     agent.list_is(target("a", resets.endpoint()));
-    Running f(agent.endpoint());
-    Wire caller(f.port);
-    std::printf(
-        "an answer with no length is reset: %s\n",
-        first_line(caller.ask("POST /once/x HTTP/1.1\r\n" + an_id() + "Content-Length: 0\r\n\r\n")).c_str());
+    BalancerProcess f(agent.endpoint());
+    TestConnection caller(f.port);
+    std::printf("an answer with no length is reset: %s\n",
+                first_line(caller.send_and_receive("POST /once/x HTTP/1.1\r\n" + an_id() +
+                                                   "Content-Length: 0\r\n\r\n"))
+                    .c_str());
     agent.list_is(target("b", ends.endpoint()));
-    until([&] { return who_answers(f.port) == "whole"; });
+    wait_until([&] { return who_answers(f.port) == "whole"; });
     std::printf("it ends: %s\n", who_answers(f.port).c_str());
 }
 
@@ -586,7 +594,7 @@
 
 int main(int, char** argv)
 {
-    program = argv[1];
+    program_path = argv[1];
     signal(SIGPIPE, SIG_IGN);
     std::printf("-- discovery\n");
     silent_agent();
--- a/tests/fleet.cpp
+++ b/tests/fleet.cpp
@@ -21,48 +21,48 @@
     Fleet(uint32_t balancers, uint32_t upstreams, uint32_t seed = 0, bool uneven = false)
         : upstreams_(upstreams), held(upstreams), first_parts_(uneven ? 5 : 1), chance(7 + seed)
     {
-        auto settings = Stage::settings(Stage::op(Idempotency::idempotent));
-        settings.balancers = balancers;
-        settings.crossing_price = 0.015;
-        settings.cold = seconds(20);
-        settings.cold_share = 0.16;
-        settings.fall = seconds(1);
-        settings.fall_multiple = 2.5;
+        auto settings = TracingHost::make_settings(TracingHost::make_operation(Idempotency::idempotent));
+        settings.balancer_count = balancers;
+        settings.cross_zone_price = 0.015;
+        settings.slow_start_duration = seconds(20);
+        settings.slow_start_min_share = 0.16;
+        settings.collapse_window = seconds(1);
+        settings.collapse_multiple = 2.5;
         for (uint32_t i = 0; i < balancers; ++i) {
-            settings.self = i;
+            settings.self_index = i;
             settings.zone = i % 2;
-            stages.push_back(std::make_unique<Stage>(settings, i + 1 + seed * 1000));
-            stages.back()->quiet = true;
-            stages.back()->list(upstreams);
+            stages.push_back(std::make_unique<TracingHost>(settings, i + 1 + seed * 1000));
+            stages.back()->recording_paused = true;
+            stages.back()->set_endpoints(upstreams);
             spare.emplace_back();
         }
     }
 
-    void change(UpstreamId t, EndpointPhase phase, std::optional<Point> started = {})
+    void change(UpstreamId t, EndpointPhase phase, std::optional<TimePoint> started = {})
     {
-        for (auto& s : stages) s->now = now, s->change(t, phase, started);
+        for (auto& s : stages) s->now = now, s->change_endpoint(t, phase, started);
     }
 
     // `rate` invocations a second, dealt out by chance.
-    void play(Span span, double rate)
+    void play(Duration span, double rate)
     {
-        const Point end = now + span;
+        const TimePoint end = now + span;
         sends.clear();
         away = 0;
         const auto next = [&] { return now + seconds(std::exponential_distribution<>(rate)(chance)); };
-        for (Point arrival = next(); arrival < end || (!out.empty() && out.top().at < end);) {
+        for (TimePoint arrival = next(); arrival < end || (!out.empty() && out.top().at < end);) {
             if (!out.empty() && out.top().at < arrival) {
                 const Out o = out.top();
                 out.pop();
                 now = o.at;
-                Stage& s = *stages[o.stage];
+                TracingHost& s = *stages[o.stage];
                 s.now = now;
                 LoadReport report;
-                report.inflight = --held[o.upstream_id];
+                report.in_flight = --held[o.upstream_id];
                 const bool up = !lost(o.upstream_id);
-                s.last_tgt = ~0u;
-                s.end(o.inv, up ? AttemptResult::succeeded : AttemptResult::unreachable, took,
-                      up ? report : LoadReport{});
+                s.last_upstream = ~0u;
+                s.end_attempt(o.inv, up ? AttemptResult::succeeded : AttemptResult::unreachable, took,
+                              up ? report : LoadReport{});
                 settle(o.stage, o.inv);
                 continue;
             }
@@ -72,12 +72,12 @@
             const auto i = static_cast<uint32_t>(part < first_parts_ ? 0 : part - first_parts_ + 1);
             if (spare[i].empty()) spare[i].push_back(names++);
             const InvocationId inv = spare[i].back();
-            Stage& s = *stages[i];
+            TracingHost& s = *stages[i];
             s.now = now;
-            s.last_tgt = ~0u;
+            s.last_upstream = ~0u;
             s.accept(inv);
             spare[i].pop_back();
-            away += s.last_tgt == ~0u;
+            away += s.last_upstream == ~0u;
             settle(i, inv);
         }
         now = end;
@@ -85,13 +85,13 @@
 
     // Sends a second to each of some upstreams in the last play, and the most that one got in any second.
     template <class Which>
-    void tell(const char* what, Span span, Which which) const
+    void tell(const char* what, Duration span, Which which) const
     {
         int n = 0, count = 0, most = 0;
         for (UpstreamId t = 0; t < upstreams_; ++t) {
             if (!which(t)) continue;
             ++count;
-            std::vector<Point> at;
+            std::vector<TimePoint> at;
             for (const auto& [when, upstream_id] : sends)
                 if (upstream_id == t) at.push_back(when);
             n += static_cast<int>(at.size());
@@ -111,9 +111,9 @@
         uint64_t all = 0, over = 0;
         double worst = 0;
     };
-    void windows(UpstreamId upstream_id, Point started, double warm_rate, Windows& w) const
+    void windows(UpstreamId upstream_id, TimePoint started, double warm_rate, Windows& w) const
     {
-        std::vector<Point> at;
+        std::vector<TimePoint> at;
         for (const auto& [when, to] : sends)
             if (to == upstream_id) at.push_back(when);
         for (size_t first = 0, last = 0; first < at.size(); ++first) {
@@ -137,8 +137,8 @@
         return sum / n;
     }
 
-    Span took = seconds(0.2);
-    Point now{1'000'000'000};
+    Duration took = seconds(0.2);
+    TimePoint now{1'000'000'000};
     int away = 0;
     std::function<bool(UpstreamId)> lost = [](UpstreamId) {
         return false;
@@ -148,7 +148,7 @@
     // Sends what the instance has just forwarded, or takes the invocation's name back.
     void settle(uint32_t i, InvocationId inv)
     {
-        const UpstreamId upstream_id = stages[i]->last_tgt;
+        const UpstreamId upstream_id = stages[i]->last_upstream;
         if (upstream_id == ~0u) return spare[i].push_back(inv);
         ++held[upstream_id];
         sends.emplace_back(now, upstream_id);
@@ -156,7 +156,7 @@
     }
 
     struct Out {
-        Point at;
+        TimePoint at;
         uint32_t stage;
         InvocationId inv;
         UpstreamId upstream_id;
@@ -164,11 +164,11 @@
     };
     uint32_t upstreams_;
     std::vector<double> held;
-    std::vector<std::unique_ptr<Stage>> stages;
+    std::vector<std::unique_ptr<TracingHost>> stages;
     std::vector<std::vector<InvocationId>> spare;
     InvocationId names = 0;
     std::priority_queue<Out> out;
-    std::vector<std::pair<Point, UpstreamId>> sends;
+    std::vector<std::pair<TimePoint, UpstreamId>> sends;
     size_t first_parts_;
     std::ranlux24_base chance;
 };
@@ -207,7 +207,7 @@
 
 // What all together send to cold upstreams, against what the settings allow and chance may add: 200 seeds
 // each.
-void cold_windows(const char* what, bool uneven, double before, double after, Span lead = seconds(5))
+void cold_windows(const char* what, bool uneven, double before, double after, Duration lead = seconds(5))
 {
     std::printf("-- cold upstreams under the sum of all, %s\n", what);
     for (const uint32_t balancers : {1u, 5u, 20u, 30u}) {
@@ -215,7 +215,7 @@
         for (uint32_t seed = 1; seed <= 200; ++seed) {
             Fleet fleet(balancers, 20, seed, uneven);
             fleet.play(lead, before);
-            const Point started = fleet.now;
+            const TimePoint started = fleet.now;
             fleet.change(0, EndpointPhase::ready, started), fleet.change(1, EndpointPhase::ready, started);
             fleet.play(seconds(4), after);
             for (const UpstreamId t : {0u, 1u}) fleet.windows(t, started, after / 20, w);
--- a/tests/fleet_config.cpp
+++ b/tests/fleet_config.cpp
@@ -13,7 +13,7 @@
 {
     const auto got = decode_fleet_config(text);
     if (const auto* fault = std::get_if<ConfigError>(&got)) {
-        std::printf("%s: %s\n", what, text_of(*fault).c_str());
+        std::printf("%s: %s\n", what, to_string(*fault).c_str());
         return;
     }
     const auto& f = std::get<FleetConfig>(got);
--- a/tests/fleet_store.cpp
+++ b/tests/fleet_store.cpp
@@ -23,7 +23,7 @@
 {
     std::vector<Said> said;
     Store store(disk);
-    std::printf("at first: %s\n", text_of(store.open("edge", "a", 7)));
+    std::printf("at first: %s\n", to_string(store.open("edge", "a", 7)));
     const auto sync = [&] {
         if (!store.sync()) std::printf("SYNC FAILED\n");
         said.push_back({store.file_bytes(), store.state()});
@@ -70,7 +70,7 @@
                     store.sync() ? "well" : "still failed", store.error()->text().c_str());
         Store again(disk);
         const auto opened = again.open("edge", "a", 8);
-        std::printf("  opened again: %s, term %llu, disk %llu\n", text_of(opened),
+        std::printf("  opened again: %s, term %llu, disk %llu\n", to_string(opened),
                     static_cast<unsigned long long>(again.state().term),
                     static_cast<unsigned long long>(again.owner().disk));
     }
@@ -88,7 +88,7 @@
     for (size_t cut = 0; cut <= whole.size(); ++cut) {
         PersistentState kept;
         const auto opened = open(whole.substr(0, cut), kept);
-        ++seen[text_of(opened)];
+        ++seen[to_string(opened)];
         if (opened != OpenResult::intact && opened != OpenResult::truncated) continue;
         // No more than was written, no less than was acknowledged with so many bytes.
         const Said* last = nullptr;
@@ -106,7 +106,7 @@
         bytes[bit / 8] = static_cast<char>(bytes[bit / 8] ^ 1 << bit % 8);
         PersistentState kept;
         const auto opened = open(bytes, kept);
-        ++seen[text_of(opened)];
+        ++seen[to_string(opened)];
         // What can't be told from half a record at the end knows of fewer records: other voters tell.
         if (opened == OpenResult::intact || opened == OpenResult::fresh) ++wrong;
         if (opened == OpenResult::truncated && kept.writes >= said.back().kept.writes) ++wrong;
@@ -114,7 +114,7 @@
     std::printf("each bit turned: %zu wrong\n", wrong);
     for (const auto& [what, n] : seen) std::printf("  %s%s\n", what.c_str(), n ? "" : " never");
     PersistentState kept;
-    std::printf("another member's: %s\n", text_of(open(whole, kept, "b")));
+    std::printf("another member's: %s\n", to_string(open(whole, kept, "b")));
     {
         simulation::Disk small;
         (void)small.replace(file, whole);
--- a/tests/history_checker.cpp
+++ b/tests/history_checker.cpp
@@ -14,11 +14,11 @@
 
 void show(const char* what, const Checker& checker)
 {
-    const auto wrong = checker.wrong(Point{} + seconds(100));
+    const auto wrong = checker.wrong(TimePoint{} + seconds(100));
     std::printf("%s: %s\n", what, wrong.empty() ? "nothing" : wrong[0].c_str());
 }
 
-Point at(double s) { return Point{} + seconds(s); }
+TimePoint at(double s) { return TimePoint{} + seconds(s); }
 
 void checker()
 {
@@ -78,7 +78,7 @@
     for (const bool fleet : {false, true}) {
         Plan plan;
         plan.members = 3, plan.duties = 1, plan.fleet = fleet;
-        TestCluster fault_injection(plan, program, "", 59);
+        TestCluster fault_injection(plan, program_path, "", 59);
         fault_injection.start(0);
         fault_injection.until([&] { return fault_injection.request(0) == 200; }, seconds(5));
         fault_injection.run(seconds(1));
@@ -94,7 +94,7 @@
 
 int main(int, char** argv)
 {
-    program = argv[1];
+    program_path = argv[1];
     checker();
     with_and_without();
 }
--- a/tests/list_deltas.cpp
+++ b/tests/list_deltas.cpp
@@ -29,7 +29,7 @@
         sent = {};
     }
 
-    void change(uint64_t times, Span apart = seconds(0.8))
+    void change(uint64_t times, Duration apart = seconds(0.8))
     {
         for (uint64_t i = 0; i < times; ++i) {
             cluster.discovery_is(++version);
@@ -51,12 +51,12 @@
         ASSERT_NE(holder(), SIZE_MAX) << "list is held by nobody";
         const EndpointReplica& published = replica(holder());
         EXPECT_EQ(published.version().number, version);
-        EXPECT_EQ(published.texts(), cluster.discovery_lines(version));
+        EXPECT_EQ(published.endpoints(), cluster.discovery_lines(version));
         for (size_t i = 0; i < cluster.size(); ++i) {
             if (!cluster.up(i)) continue;
             EXPECT_EQ(replica(i).revision(), published.revision()) << "m" << i + 1;
             EXPECT_EQ(replica(i).digest(), published.digest()) << "m" << i + 1;
-            EXPECT_EQ(cluster.shown_list(i), published.texts()) << "m" << i + 1;
+            EXPECT_EQ(cluster.shown_list(i), published.endpoints()) << "m" << i + 1;
             EXPECT_EQ(cluster.list_of(i), version) << "m" << i + 1;
         }
         for (const Broken& broken : cluster.broken()) ADD_FAILURE() << broken.rule;
@@ -308,7 +308,7 @@
     const EndpointReplica& replica = lists.replica(0);
     const auto line = "list revision " + std::to_string(replica.revision().epoch) + "." +
                       std::to_string(replica.revision().number) + " entries " +
-                      std::to_string(replica.texts().size()) + " behind no\n";
+                      std::to_string(replica.endpoints().size()) + " behind no\n";
     EXPECT_NE(lists.shown(0).find(line), std::string::npos) << lists.shown(0);
 }
 
