--- a/tests/list_replica.cpp
+++ b/tests/list_replica.cpp
@@ -16,7 +16,7 @@
 
 constexpr MemberIndex first = 1, second = 2;
 constexpr Epoch epoch = 3;
-const Point start{1'000'000'000};
+const TimePoint start{1'000'000'000};
 
 EndpointListVersion version(uint64_t number, const std::string& source = "agent") { return {source, number}; }
 
@@ -25,9 +25,9 @@
     return R"({"endpoint":"127.0.0.1:)" + std::to_string(port) + R"(","state":"ready","uid":")" + uid + "\"}";
 }
 
-EndpointTexts lines_of(size_t count, int port = 1)
+EndpointMap lines_of(size_t count, int port = 1)
 {
-    EndpointTexts lines;
+    EndpointMap lines;
     for (size_t i = 0; i < count; ++i) {
         const auto uid = "u" + std::to_string(i);
         lines[uid] = line(uid, port);
@@ -35,7 +35,7 @@
     return lines;
 }
 
-std::vector<EndpointDelta> publish(EndpointReplica& replica, uint64_t number, const EndpointTexts& lines,
+std::vector<EndpointDelta> publish(EndpointReplica& replica, uint64_t number, const EndpointMap& lines,
                                    Epoch at = epoch)
 {
     return replica.publish(at, version(number), replica.difference(lines));
@@ -51,7 +51,7 @@
     EXPECT_EQ(replica.revision(), other.revision());
     EXPECT_EQ(replica.digest(), other.digest());
     EXPECT_EQ(replica.version(), other.version());
-    EXPECT_EQ(replica.texts(), other.texts());
+    EXPECT_EQ(replica.endpoints(), other.endpoints());
 }
 
 // ---- deltas ----
@@ -99,7 +99,7 @@
     apply_all(member, publish(holder, 3, {}));
     expect_same(member, holder);
     EXPECT_EQ(member.revision(), (EndpointRevision{epoch, 3}));
-    EXPECT_TRUE(member.texts().empty());
+    EXPECT_TRUE(member.endpoints().empty());
     EXPECT_EQ(member.digest(), 0u);
 }
 
@@ -111,7 +111,7 @@
     const auto third = publish(holder, 3, lines_of(7));
     EXPECT_EQ(member.apply(third[0]), Result::behind);
     EXPECT_EQ(member.revision(), (EndpointRevision{epoch, 1}));
-    EXPECT_EQ(member.texts(), lines_of(5));
+    EXPECT_EQ(member.endpoints(), lines_of(5));
 }
 
 TEST(EndpointReplica, RepeatedDeltaIsStale)
@@ -189,16 +189,16 @@
     const EndpointDeltaConfig rule{1000, seconds(1), 1024};
     EndpointReplica holder{rule}, member{rule};
     apply_all(member, publish(holder, 1, lines_of(100)));
-    EndpointTexts others;
+    EndpointMap others;
     for (size_t i = 0; i < 100; ++i) {
         const auto uid = "v" + std::to_string(i);
         others[uid] = line(uid);
     }
     for (const EndpointDelta& delta : publish(holder, 2, others)) {
         ASSERT_EQ(member.apply(delta), Result::applied);
-        EXPECT_GE(member.texts().size(), 100u);
+        EXPECT_GE(member.endpoints().size(), 100u);
     }
-    EXPECT_EQ(member.texts(), others);
+    EXPECT_EQ(member.endpoints(), others);
 }
 
 // ---- the log, and snapshots ----
@@ -237,7 +237,7 @@
 {
     EndpointSnapshot whole{chunks[0].revision, chunks[0].version, chunks[0].digest, chunks[0].partial, {}};
     for (const EndpointSnapshotChunk& chunk : chunks)
-        for (const EndpointEntry& entry : chunk.entries) whole.texts[entry.uid] = entry.text;
+        for (const EndpointEntry& entry : chunk.entries) whole.endpoints[entry.uid] = entry.text;
     return whole;
 }
 
@@ -278,7 +278,7 @@
     EndpointReplica holder{EndpointDeltaConfig{}}, member{EndpointDeltaConfig{}};
     apply_all(member, publish(holder, 2, lines_of(5)));
     auto wrong = assembled(holder.snapshot());
-    wrong.texts.erase("u1");
+    wrong.endpoints.erase("u1");
     EXPECT_FALSE(member.replace(wrong));
     auto earlier = assembled(holder.snapshot());
     earlier.revision = {epoch - 1, 9};
@@ -296,7 +296,7 @@
 struct Pair {
     explicit Pair(const EndpointDeltaConfig& rule) : holder(rule), member(rule) {}
 
-    void settle(Point now)
+    void settle(TimePoint now)
     {
         for (bool more = true; more;) {
             more = false;
@@ -304,11 +304,11 @@
             for (Send& send : holder.take_sends()) more = true, hear(now, member, first, send.message);
         }
     }
-    void hear(Point now, EndpointDistribution& by, MemberIndex from, Message& message)
+    void hear(TimePoint now, EndpointDistribution& by, MemberIndex from, Message& message)
     {
         if (const auto* want = std::get_if<EndpointDeltaRequest>(&message)) {
             ++wants;
-            return by.handle(now, from, *want, Span{});
+            return by.handle(now, from, *want, Duration{});
         }
         if (const auto* chunk = std::get_if<EndpointSnapshotChunk>(&message)) {
             ++chunks;
@@ -316,7 +316,7 @@
         }
         by.handle(now, from, std::get<EndpointDelta>(message));
     }
-    void ping(Point now)
+    void ping(TimePoint now)
     {
         member.on_peer_revision(now, first, holder.replica().revision(), holder.replica().digest());
         settle(now);
@@ -413,7 +413,8 @@
 {
     EndpointDistribution behind{EndpointDeltaConfig{}};
     behind.publish(epoch, version(7), lines_of(5), {});
-    behind.handle(start, second, EndpointDeltaRequest{{epoch - 1, 4}, version(8), 1, false, {}, 0}, Span{});
+    behind.handle(start, second, EndpointDeltaRequest{{epoch - 1, 4}, version(8), 1, false, {}, 0},
+                  Duration{});
     EXPECT_TRUE(behind.take_sends().empty());
 }
 
@@ -425,9 +426,9 @@
     holder.publish(epoch, version(1), lines_of(50), {});
     auto use = holder.take_use();
     ASSERT_TRUE(use);
-    EXPECT_TRUE(use->all);
-    EndpointTexts used;
-    net::take_in(used, use->text);
+    EXPECT_TRUE(use->is_full);
+    EndpointMap used;
+    net::apply_list_update(used, use->text);
     EXPECT_EQ(used, lines_of(50));
 
     auto lines = lines_of(49);
@@ -435,10 +436,10 @@
     holder.publish(epoch, version(2), lines, std::vector<std::string>{"u7", "u49"});
     use = holder.take_use();
     ASSERT_TRUE(use);
-    EXPECT_FALSE(use->all);
+    EXPECT_FALSE(use->is_full);
     EXPECT_EQ(use->version, 2u);
     EXPECT_LT(use->text.size(), 200u);
-    net::take_in(used, use->text);
+    net::apply_list_update(used, use->text);
     EXPECT_EQ(used, lines);
     EXPECT_FALSE(holder.take_use());
 }
@@ -471,9 +472,9 @@
 TEST(EndpointDistribution, OwnNewerListStaysWhileTheFleetsChangesBelowIt)
 {
     EndpointDistribution holder{EndpointDeltaConfig{}}, member{EndpointDeltaConfig{}};
-    EndpointTexts used;
+    EndpointMap used;
     const auto take = [&] {
-        if (const auto use = member.take_use()) net::take_in(used, use->text);
+        if (const auto use = member.take_use()) net::apply_list_update(used, use->text);
     };
     const auto hear = [&](const std::vector<EndpointDelta>& deltas) {
         for (const EndpointDelta& delta : deltas) member.handle(start, first, delta);
@@ -481,7 +482,7 @@
     };
     hear(holder.publish(epoch, version(1), {{"a", line("a", 1)}, {"b", line("b", 1)}}, {}));
     // `a` changes at version 2 and back at 3, which this member knows from its own discovery.
-    const EndpointTexts newest{{"a", line("a", 1)}, {"b", line("b", 3)}};
+    const EndpointMap newest{{"a", line("a", 1)}, {"b", line("b", 3)}};
     member.use_local(version(3), newest);
     take();
     EXPECT_EQ(used, newest);
@@ -512,14 +513,14 @@
     holder.publish(epoch, version(1), lines_of(5), {});
     holder.skip();  // version 2, which added u5
     holder.publish(epoch, version(3), lines_of(7), std::vector<std::string>{"u6"});
-    EXPECT_EQ(holder.replica().texts(), lines_of(7));
+    EXPECT_EQ(holder.replica().endpoints(), lines_of(7));
 }
 
 TEST(ListText, UidsAreQuoted)
 {
     const std::string uid = "a\"b\\c\n";
-    EndpointTexts lines{{uid, "x"}};
-    net::take_in(lines, list_changes_text(1, {uid}, {}));
+    EndpointMap lines{{uid, "x"}};
+    net::apply_list_update(lines, encode_list_changes(1, {uid}, {}));
     EXPECT_TRUE(lines.empty());
 }
 
@@ -607,7 +608,7 @@
 {
     const auto got = decode_fleet_config(fleet_file(more));
     const auto* fault = std::get_if<ConfigError>(&got);
-    return fault ? text_of(*fault) : "none";
+    return fault ? to_string(*fault) : "none";
 }
 
 TEST(DeltasTable, IsOffWithoutItAndHasDefaults)
--- a/tests/members.cpp
+++ b/tests/members.cpp
@@ -13,8 +13,8 @@
 namespace
 {
 
-constexpr Span period = seconds(0.4);
-constexpr Point began{1'000'000};
+constexpr Duration period = seconds(0.4);
+constexpr TimePoint began{1'000'000};
 
 FleetConfig file_of(size_t members, MemberIndex self = 0)
 {
@@ -22,7 +22,7 @@
     for (size_t i = 0; i < members; ++i) {
         MemberConfig line;
         line.id = "m" + std::to_string(i);
-        line.voter = i < 3;
+        line.is_voter = i < 3;
         file.members.push_back(std::move(line));
     }
     file.self = self;
@@ -48,7 +48,7 @@
 {
     std::vector<std::tuple<MemberIndex, Incarnation, Health>> view;
     for (MemberIndex m = 0; m < size; ++m)
-        if (const auto& one = members.of(m); one.incarnation)
+        if (const auto& one = members.state_of(m); one.incarnation)
             view.emplace_back(m, one.incarnation, one.health);
     return view;
 }
@@ -134,7 +134,7 @@
         for (size_t a = 0; a < 3; ++a)
             for (size_t b = 0; b < a; ++b) {
                 const bool same = view_of(*members[a], size) == view_of(*members[b], size);
-                ASSERT_EQ(same, members[a]->digest() == members[b]->digest()) << "step " << step;
+                ASSERT_EQ(same, members[a]->view_digest() == members[b]->view_digest()) << "step " << step;
                 ++(same ? equal : different);
             }
     }
@@ -147,16 +147,16 @@
     const FleetConfig file = file_of(5);
     Membership members(file, 7, 1, period, 1);
     members.start(began);
-    EXPECT_EQ(members.alive(), 1u);
+    EXPECT_EQ(members.alive_count(), 1u);
     members.on_updates(began, 1, MembershipUpdates{{update(file, 1, Health::alive, 1)}, false});
     members.on_updates(began, 1, MembershipUpdates{{update(file, 2, Health::alive, 1)}, false});
-    EXPECT_EQ(members.alive(), 3u);
+    EXPECT_EQ(members.alive_count(), 3u);
     members.on_updates(began, 1, MembershipUpdates{{update(file, 2, Health::suspect, 1)}, false});
     members.on_updates(began, 1, MembershipUpdates{{update(file, 2, Health::gone, 1)}, false});
-    EXPECT_EQ(members.alive(), 2u);
-    const auto version = members.version();
+    EXPECT_EQ(members.alive_count(), 2u);
+    const auto version = members.view_version();
     members.on_updates(began, 1, MembershipUpdates{{update(file, 2, Health::gone, 1)}, false});
-    EXPECT_EQ(members.version(), version);
+    EXPECT_EQ(members.view_version(), version);
 }
 
 TEST(Membership, WhoWasNeverHeardOfIsGoneAfterAWhileAndTriedInTurn)
@@ -164,13 +164,13 @@
     const FleetConfig file = file_of(5);
     Membership members(file, 7, 1, period, 1);
     members.start(began);
-    Point now = began;
+    TimePoint now = began;
     for (; now - began <= period * 4; now = now + seconds(0.05)) members.tick(now);
-    EXPECT_EQ(members.of(4).health, Health::suspect);
+    EXPECT_EQ(members.state_of(4).health, Health::suspect);
     (void)members.take_sends();
     members.tick(now);
     std::set<MemberIndex> gone;
-    for (const HealthChange& change : members.take_changes()) {
+    for (const HealthChange& change : members.take_health_changes()) {
         EXPECT_EQ(change.health, Health::gone);
         gone.insert(change.member);
     }
@@ -192,12 +192,12 @@
     Membership members(file, 7, 1, period, 1);
     members.start(began);
     members.seed_members(std::vector<MemberState>(5, {1, 7, Health::alive, 0}));
-    const Point suspected = began + period;
+    const TimePoint suspected = began + period;
     members.on_updates(suspected, 1, MembershipUpdates{{update(file, 2, Health::suspect, 1)}, false});
     members.tick(suspected + period * 4);
-    EXPECT_EQ(members.of(2).health, Health::suspect);
-    members.tick(suspected + period * 4 + Span{1});
-    EXPECT_EQ(members.of(2).health, Health::gone);
+    EXPECT_EQ(members.state_of(2).health, Health::suspect);
+    members.tick(suspected + period * 4 + Duration{1});
+    EXPECT_EQ(members.state_of(2).health, Health::gone);
 }
 
 TEST(Membership, ThreeOthersThatAreAliveAreAskedAboutASilentNeighbour)
@@ -213,7 +213,7 @@
     members.tick(began);
     (void)members.take_sends();
     std::set<MemberIndex> asked;
-    for (Point now = began; now - began <= period * 3; now = now + seconds(0.05)) members.tick(now);
+    for (TimePoint now = began; now - began <= period * 3; now = now + seconds(0.05)) members.tick(now);
     (void)members.take_sends();
     members.tick(began + period * 3 + seconds(0.05));
     const size_t asks = asks_in(members.take_sends(), asked);
@@ -230,11 +230,11 @@
     for (Membership* members : {&first, &second}) {
         members->start(began);
         members->seed_members(all);
-        EXPECT_EQ(members->alive(), 10u);
+        EXPECT_EQ(members->alive_count(), 10u);
         EXPECT_TRUE(members->take_sends().empty());
-        EXPECT_TRUE(members->take_changes().empty());
+        EXPECT_TRUE(members->take_health_changes().empty());
     }
-    EXPECT_EQ(first.digest(), second.digest());
+    EXPECT_EQ(first.view_digest(), second.view_digest());
 }
 
 }  // namespace
--- a/tests/message.cpp
+++ b/tests/message.cpp
@@ -20,12 +20,12 @@
 ServiceConfig service_config()
 {
     ServiceConfig config;
-    config.operations = {"op"};
-    config.settings = BalancerHost::settings(BalancerHost::op(Idempotency::non_idempotent));
-    config.tenants = {"one", "two"};
-    config.zones = {"x", "y"};
-    config.report_names = {"queue", "util"};
-    config.report = {&LoadReport::queue, &LoadReport::utilisation};
+    config.operation_names = {"op"};
+    config.settings = BalancerHost::make_settings(BalancerHost::make_operation(Idempotency::non_idempotent));
+    config.tenant_names = {"one", "two"};
+    config.zone_names = {"x", "y"};
+    config.load_report_fields = {"queue", "util"};
+    config.load_report_members = {&LoadReport::queue_length, &LoadReport::utilisation};
     return config;
 }
 
@@ -37,7 +37,7 @@
 {
     Request request{"POST", target, "", 0, 0, {}, {}, "body"};
     const auto refused = decode_request(service_config(), std::move(headers), request);
-    if (refused) return std::to_string(refused->status) + " " + refused->why;
+    if (refused) return std::to_string(refused->status) + " " + refused->reason;
     return "tenant " + std::to_string(request.tenant) + ", " + std::to_string(request.time_left.us / 1000) +
            " ms\n" + encode_request(request, "host:1", seconds(0.4567));
 }
@@ -92,7 +92,7 @@
 // ---- readers ----
 
 struct Taken {
-    MessageReader::State state = MessageReader::State::more;
+    MessageReader::State state = MessageReader::State::incomplete;
     size_t used = 0;
 };
 
@@ -100,13 +100,13 @@
 template <class Reader>
 Taken take_in_two(Reader& reader, const std::string& bytes, size_t cut)
 {
-    auto state = reader.take(bytes.substr(0, cut));
+    auto state = reader.parse(bytes.substr(0, cut));
     size_t before = 0;
-    if (state == MessageReader::State::more && cut < bytes.size()) {
-        state = reader.take(bytes.substr(cut));
+    if (state == MessageReader::State::incomplete && cut < bytes.size()) {
+        state = reader.parse(bytes.substr(cut));
         before = cut;
     }
-    return {state, before + reader.used()};
+    return {state, before + reader.consumed_bytes()};
 }
 
 std::string read_response(const std::string& bytes, size_t cut)
@@ -115,15 +115,16 @@
     ResponseReader reader(config);
     const Taken taken = take_in_two(reader, bytes, cut);
     if (taken.state == ResponseReader::State::malformed) return "malformed";
-    if (taken.state == ResponseReader::State::more) return "not whole";
+    if (taken.state == ResponseReader::State::incomplete) return "not whole";
     const Response& response = reader.response();
     const bool is_long = response.body.size() > 40;
     const std::string body = is_long ? std::to_string(response.body.size()) + " bytes" : response.body;
     std::string text = "whole " + std::to_string(response.status) + (response.declined ? " declined" : "");
     text += " '" + body + "'";
-    if (!reader.keeps_connection() || taken.used != bytes.size()) text += ", connection over";
-    if (response.report.queue) text += ", queue " + std::to_string(*response.report.queue);
-    for (const auto& [name, value] : response.passed_on) text += ", " + name;
+    if (!reader.keep_alive() || taken.used != bytes.size()) text += ", connection over";
+    if (response.load_report.queue_length)
+        text += ", queue " + std::to_string(*response.load_report.queue_length);
+    for (const auto& [name, value] : response.forwarded_headers) text += ", " + name;
     return text;
 }
 
@@ -141,11 +142,11 @@
     RequestReader reader(config);
     const Taken taken = take_in_two(reader, bytes, cut);
     if (taken.state == RequestReader::State::malformed)
-        return std::to_string(reader.why().status) + " " + reader.why().why;
-    if (taken.state == RequestReader::State::more) return "not whole";
+        return std::to_string(reader.error().status) + " " + reader.error().reason;
+    if (taken.state == RequestReader::State::incomplete) return "not whole";
     const Request& request = reader.request();
     return request.method + " " + request.target + " id " + request.id + " '" + request.body + "'" +
-           (reader.old() ? ", old" : "") + (reader.keeps_connection() ? "" : ", closes") +
+           (reader.is_http_1_0() ? ", old" : "") + (reader.keep_alive() ? "" : ", closes") +
            (taken.used < bytes.size() ? ", more behind it" : "");
 }
 
@@ -258,12 +259,12 @@
     const auto config = service_config();
     ResponseReader reader(config);
     std::string taken;
-    auto state = ResponseReader::State::more;
-    for (size_t at = 0; at < bytes.size() && state == ResponseReader::State::more; at += piece_size) {
-        state = reader.take(bytes.substr(at, piece_size));
-        if (reader.large()) taken += reader.take_piece();
+    auto state = ResponseReader::State::incomplete;
+    for (size_t at = 0; at < bytes.size() && state == ResponseReader::State::incomplete; at += piece_size) {
+        state = reader.parse(bytes.substr(at, piece_size));
+        if (reader.exceeds_buffer()) taken += reader.take_body();
     }
-    EXPECT_EQ(state, ResponseReader::State::whole);
+    EXPECT_EQ(state, ResponseReader::State::complete);
     EXPECT_TRUE(taken == body) << taken.size() << " of " << body.size() << " bytes";
 }
 
@@ -301,9 +302,9 @@
 
 TEST(LargeBody, IsFramedAsChunksWhereItsLengthIsNotStated)
 {
-    EXPECT_EQ(encode_piece("ab", true, false), "2\r\nab\r\n");
-    EXPECT_EQ(encode_piece("", true, true), "0\r\n\r\n");
-    EXPECT_EQ(encode_piece("c", false, true), "c");
+    EXPECT_EQ(encode_body_chunk("ab", true, false), "2\r\nab\r\n");
+    EXPECT_EQ(encode_body_chunk("", true, true), "0\r\n\r\n");
+    EXPECT_EQ(encode_body_chunk("c", false, true), "c");
 }
 
 // ---- the configuration ----
@@ -326,7 +327,7 @@
     const auto config =
         decode_config(config_head + R"(,"name":"n1","settings":{"operations":[)" + operation + "]}}");
     EXPECT_EQ(config.name, "n1");
-    EXPECT_EQ(config.setup.operations.size(), 1u);
+    EXPECT_EQ(config.service_config.operation_names.size(), 1u);
 }
 
 TEST(Configuration, IsRefusedWhereAPartIsMissing)
@@ -368,7 +369,7 @@
 
 TEST(Configuration, SaysTheSameFlatAndNested)
 {
-    const auto flat = decode_settings(split_lines(
+    const auto flat = decode_settings(parse_flat_settings(
         "operations.count=1\noperations.0.name=op\noperations.0.repeat=guarded\noperations.0.group=zone\n"
         "contract.cold_share=0.25\ntelemetry.fields=depth,tps\npolicy_limits.cancel=true\ndcs=x,y\n"
         "tier=1"));
@@ -377,37 +378,37 @@
             R"({"listen":"a:1","discovery":"a:2","seed":"1","settings":{"dcs":["x","y"],"tier":1,
                 "operations":[{"name":"op","repeat":"guarded","group":"zone"}],"contract":{"cold_share":0.25},
                 "telemetry":{"fields":["depth","tps"]},"policy_limits":{"cancel":true}}})")
-            .setup;
-    EXPECT_EQ(flat.operations, nested.operations);
-    EXPECT_EQ(flat.zones, nested.zones);
-    EXPECT_TRUE(flat.report == nested.report);
-    EXPECT_EQ(flat.report_names, nested.report_names);
-    EXPECT_EQ(flat.settings.cold_share, nested.settings.cold_share);
+            .service_config;
+    EXPECT_EQ(flat.operation_names, nested.operation_names);
+    EXPECT_EQ(flat.zone_names, nested.zone_names);
+    EXPECT_TRUE(flat.load_report_members == nested.load_report_members);
+    EXPECT_EQ(flat.load_report_fields, nested.load_report_fields);
+    EXPECT_EQ(flat.settings.slow_start_min_share, nested.settings.slow_start_min_share);
     EXPECT_EQ(flat.settings.tier, 1u);
     EXPECT_EQ(nested.settings.tier, 1u);
-    EXPECT_EQ(flat.settings.operations[0].repeat, nested.settings.operations[0].repeat);
+    EXPECT_EQ(flat.settings.operations[0].idempotency, nested.settings.operations[0].idempotency);
     EXPECT_TRUE(flat.settings.may_cancel);
     EXPECT_TRUE(nested.settings.may_cancel);
-    EXPECT_EQ(flat.settings.operations[0].group, DeduplicationScope::zone);
-    EXPECT_EQ(nested.settings.operations[0].group, DeduplicationScope::zone);
+    EXPECT_EQ(flat.settings.operations[0].deduplication_scope, DeduplicationScope::zone);
+    EXPECT_EQ(nested.settings.operations[0].deduplication_scope, DeduplicationScope::zone);
 }
 
 // ---- lists of upstreams ----
 
-std::optional<List> decoded(const std::string& text)
+std::optional<EndpointList> decoded(const std::string& text)
 {
-    return decode_list(service_config(), text, Point{-1'000'000});
+    return decode_list(service_config(), text, TimePoint{-1'000'000});
 }
 
 void expect_entry(const ListedEndpoint& entry, const std::string& uid, const std::string& endpoint,
-                  EndpointPhase phase, uint32_t zone, uint32_t cell, std::optional<Point> started)
+                  EndpointPhase phase, uint32_t zone, uint32_t cell, std::optional<TimePoint> started)
 {
     EXPECT_EQ(entry.uid, uid);
     EXPECT_EQ(entry.endpoint, endpoint);
     EXPECT_EQ(entry.phase, phase);
     EXPECT_EQ(entry.zone, zone);
     EXPECT_EQ(entry.cell, cell);
-    EXPECT_EQ(entry.started, started);
+    EXPECT_EQ(entry.started_at, started);
 }
 
 TEST(EndpointList, HasAllFieldsOfItsEntries)
@@ -417,28 +418,28 @@
         "state":"ready","boot_ms":2500},{"uid":"b","endpoint":"e","az":"?","state":"draining","boot_ms":0}]})");
     ASSERT_TRUE(list);
     EXPECT_EQ(list->version, 7u);
-    EXPECT_TRUE(list->told.all);
-    ASSERT_EQ(list->told.entries.size(), 2u);
-    expect_entry(list->told.entries[0], "a", "1.2.3.4:5", EndpointPhase::ready, 1, 3, Point{1'500'000});
-    expect_entry(list->told.entries[1], "b", "e", EndpointPhase::draining, 2, 0, std::nullopt);
+    EXPECT_TRUE(list->update.is_full);
+    ASSERT_EQ(list->update.entries.size(), 2u);
+    expect_entry(list->update.entries[0], "a", "1.2.3.4:5", EndpointPhase::ready, 1, 3, TimePoint{1'500'000});
+    expect_entry(list->update.entries[1], "b", "e", EndpointPhase::draining, 2, 0, std::nullopt);
 }
 
 TEST(EndpointList, HasChanges)
 {
     const auto gone = decoded(R"({"rev":8,"all":false,"targets":[{"uid":"a","state":"gone"}]})");
-    ASSERT_TRUE(gone && gone->told.entries.size() == 1);
+    ASSERT_TRUE(gone && gone->update.entries.size() == 1);
     EXPECT_EQ(gone->version, 8u);
-    EXPECT_FALSE(gone->told.all);
-    expect_entry(gone->told.entries[0], "a", "", EndpointPhase::gone, 2, 0, std::nullopt);
+    EXPECT_FALSE(gone->update.is_full);
+    expect_entry(gone->update.entries[0], "a", "", EndpointPhase::gone, 2, 0, std::nullopt);
 }
 
 TEST(EndpointList, TakesAnUnknownStateForDraining)
 {
     const auto odd = decoded(R"({"rev":8,"all":false,"targets":[{"uid":"a","state":"odd"}]})");
-    ASSERT_TRUE(odd && odd->told.entries.size() == 1);
+    ASSERT_TRUE(odd && odd->update.entries.size() == 1);
     EXPECT_EQ(odd->version, 8u);
-    EXPECT_FALSE(odd->told.all);
-    expect_entry(odd->told.entries[0], "a", "", EndpointPhase::draining, 2, 0, std::nullopt);
+    EXPECT_FALSE(odd->update.is_full);
+    expect_entry(odd->update.entries[0], "a", "", EndpointPhase::draining, 2, 0, std::nullopt);
 }
 
 TEST(EndpointList, IsNoneWithoutTargetsOrJson)
--- a/tests/modbus_config.cpp
+++ b/tests/modbus_config.cpp
@@ -15,7 +15,7 @@
 {
     const auto got = decode_operator_file(text);
     if (const auto* fault = std::get_if<ConfigError>(&got)) {
-        std::printf("%s: %s\n", what, text_of(*fault).c_str());
+        std::printf("%s: %s\n", what, to_string(*fault).c_str());
         return;
     }
     const auto& file = std::get<OperatorFile>(got);
--- a/tests/modbus_routes.cpp
+++ b/tests/modbus_routes.cpp
@@ -27,8 +27,8 @@
 {
     const auto made = Routes::make(std::move(pools), routes);
     if (const auto* fault = std::get_if<ConfigError>(&made)) {
-        std::printf("%s: line %u, %s: %s\n", what, fault->at.line, fault->at.key.c_str(),
-                    fault->what.c_str());
+        std::printf("%s: line %u, %s: %s\n", what, fault->location.line, fault->location.key.c_str(),
+                    fault->message.c_str());
         return;
     }
     const auto& r = std::get<Routes>(made);
--- a/tests/operation.cpp
+++ b/tests/operation.cpp
@@ -13,7 +13,7 @@
 {
 
 // The upstream answers by the last part of the path: so many bytes, in one of three forms, or what it got.
-void serve_upstream(Wire& wire);
+void serve_upstream(TestConnection& wire);
 std::string upstream_endpoint;
 std::atomic<int> met{0};
 
@@ -31,56 +31,56 @@
     return at == std::string::npos ? 0 : std::stoul(text.substr(at + std::strlen(before)));
 }
 
-void send_many(Wire& wire, size_t bytes)
+void send_many(TestConnection& wire, size_t bytes)
 {
     const std::string block(65536, 'x');
     for (size_t sent = 0; sent < bytes; sent += block.size())
         wire.send(block.substr(0, std::min(block.size(), bytes - sent)));
 }
 
-void serve_upstream(Wire& wire)
+void serve_upstream(TestConnection& wire)
 {
-    for (std::string head; wire.open() && !(head = wire.head()).empty();) {
+    for (std::string head; wire.is_open() && !(head = wire.receive_head()).empty();) {
         ++met;
         const size_t coming = number_in(head, "Content-Length: ");
         const bool chunked = head.find("Transfer-Encoding: chunked") != std::string::npos;
-        const size_t came = chunked ? wire.chunks() : wire.skip(coming);
+        const size_t came = chunked ? wire.receive_chunked_body() : wire.discard(coming);
         const size_t wanted = number_in(head, "/bytes/");
-        if (head.find("/slow") != std::string::npos) pause(150);
+        if (head.find("/slow") != std::string::npos) sleep_ms(150);
         if (head.find("/cut") != std::string::npos) {
-            wire.send(ok + "\r\nContent-Length: " + std::to_string(wanted) + "\r\n\r\n");
+            wire.send(status_line_ok + "\r\nContent-Length: " + std::to_string(wanted) + "\r\n\r\n");
             send_many(wire, wanted / 2);
             return;
         }
         if (head.find("/chunks") != std::string::npos) {
-            wire.send(ok + "\r\nTransfer-Encoding: chunked\r\n\r\n");
+            wire.send(status_line_ok + "\r\nTransfer-Encoding: chunked\r\n\r\n");
             const std::string block(50000, 'x');
             for (size_t n = 0; n < wanted / block.size(); ++n) wire.send("c350;e=1\r\n" + block + "\r\n");
             wire.send("0\r\nT: x\r\n\r\n");
         } else if (head.find("/bytes/") != std::string::npos) {
-            wire.send(ok + "\r\nContent-Length: " + std::to_string(wanted) + "\r\n\r\n");
+            wire.send(status_line_ok + "\r\nContent-Length: " + std::to_string(wanted) + "\r\n\r\n");
             send_many(wire, wanted);
         } else {
-            wire.send(http(ok, "got " + std::to_string(came)));
+            wire.send(http_message(status_line_ok, "got " + std::to_string(came)));
         }
     }
 }
 
-void serve_discovery(Wire& wire)
+void serve_discovery(TestConnection& wire)
 {
-    for (std::string request; wire.open() && !(request = wire.message()).empty();) {
-        if (request.find("after=") != std::string::npos) pause(200);
-        wire.send(http(ok, R"({"rev":1,"all":true,"targets":[{"uid":"u","endpoint":")" + upstream_endpoint +
-                               R"(","state":"ready"}]})"));
+    for (std::string request; wire.is_open() && !(request = wire.receive_message()).empty();) {
+        if (request.find("after=") != std::string::npos) sleep_ms(200);
+        wire.send(http_message(status_line_ok, R"({"rev":1,"all":true,"targets":[{"uid":"u","endpoint":")" +
+                                                   upstream_endpoint + R"(","state":"ready"}]})"));
     }
 }
 
 // One line to the management address, and all that comes back.
 std::string order(uint16_t management, const std::string& line)
 {
-    Wire wire(management);
+    TestConnection wire(management);
     wire.send(line);
-    return wire.rest();
+    return wire.receive_all();
 }
 
 std::string one_line(std::string text)
@@ -106,12 +106,12 @@
 void at_the_management_address(const std::string& discovery)
 {
     const uint16_t management = free_port();
-    Running firtide(discovery, "64", management_key(management));
+    BalancerProcess firtide(discovery, "64", management_key(management));
     say("ready", order(management, "ready\n"));
     say("with a carriage return", order(management, "ready\r\n"));
-    Wire caller(firtide.port);
-    for (int i = 0; i < 3; ++i) caller.ask(get("x"));
-    caller.ask("POST /once/x HTTP/1.1\r\n" + an_id() + "Content-Length: 1\r\n\r\nx");
+    TestConnection caller(firtide.port);
+    for (int i = 0; i < 3; ++i) caller.send_and_receive(get("x"));
+    caller.send_and_receive("POST /once/x HTTP/1.1\r\n" + an_id() + "Content-Length: 1\r\n\r\nx");
     say("show-stat", order(management, "show-stat\n"));
     say("unknown", order(management, "hello\n"));
     say("empty", order(management, "\n"));
@@ -120,7 +120,7 @@
     say("two lines: the first counts", order(management, "ready\nresume\n"));
     // Guards against operators who wait behind callers: with all descriptors of their side in use, hundreds
     // at the management address that finish no line, and requests all the time.
-    std::vector<Wire> silent, crowd;
+    std::vector<TestConnection> silent, crowd;
     for (int i = 0; i < 200; ++i) crowd.emplace_back(firtide.port), crowd.back().send("GET /safe");
     for (int i = 0; i < 100; ++i) silent.emplace_back(management), silent.back().send("rea");
     const auto since = std::chrono::steady_clock::now();
@@ -134,30 +134,32 @@
 void draining(const std::string& discovery)
 {
     const uint16_t management = free_port();
-    Running firtide(discovery, "1024", management_key(management));
+    BalancerProcess firtide(discovery, "1024", management_key(management));
     say("resume without drain", order(management, "resume\n"));
-    Wire rests(firtide.port), busy(firtide.port), silent(firtide.port);
-    rests.ask(get("x"));
+    TestConnection rests(firtide.port), busy(firtide.port), silent(firtide.port);
+    rests.send_and_receive(get("x"));
     busy.send(get("slow"));
     say("drain", order(management, "drain\n"));
     say("drain again", order(management, "drain\n"));
     const std::string is_ready = "GET /-/ready HTTP/1.1\r\n\r\n";
-    std::printf("/-/ready: %s\n", first_line(Wire(firtide.port).ask(is_ready)).c_str());
-    std::printf("what was in flight: %s\n", first_line(busy.message()).c_str());
-    std::printf("who still comes: %s\n", first_line(Wire(firtide.port).ask(get("x"))).c_str());
-    pause(500);
-    const auto late = Wire(firtide.port).ask(get("x"));
+    std::printf("/-/ready: %s\n",
+                first_line(TestConnection(firtide.port).send_and_receive(is_ready)).c_str());
+    std::printf("what was in flight: %s\n", first_line(busy.receive_message()).c_str());
+    std::printf("who still comes: %s\n",
+                first_line(TestConnection(firtide.port).send_and_receive(get("x"))).c_str());
+    sleep_ms(500);
+    const auto late = TestConnection(firtide.port).send_and_receive(get("x"));
     std::printf("who comes later: %s, %s\n", first_line(late).c_str(),
                 late.find("Connection: close") != std::string::npos ? "the last on its connection" : "kept");
-    std::printf("who rests is %s, who said nothing is %s\n", rests.ended() ? "closed" : "still there",
-                silent.ended() ? "closed" : "still there");
+    std::printf("who rests is %s, who said nothing is %s\n", rests.receives_eof() ? "closed" : "still there",
+                silent.receives_eof() ? "closed" : "still there");
     say("resume", order(management, "resume\n"));
-    Wire back(firtide.port);
-    std::printf("/-/ready: %s\n", first_line(back.ask(is_ready)).c_str());
-    std::printf("and then %s\n", back.ended(600) ? "closed" : "kept");
+    TestConnection back(firtide.port);
+    std::printf("/-/ready: %s\n", first_line(back.send_and_receive(is_ready)).c_str());
+    std::printf("and then %s\n", back.receives_eof(600) ? "closed" : "kept");
     order(management, "drain\n");
-    kill(firtide.process, SIGTERM);
-    pause(50);
+    kill(firtide.pid, SIGTERM);
+    sleep_ms(50);
     say("stopping, drained: resume", order(management, "resume\n"));
     std::printf("exit status %d\n", firtide.stop().status);
 }
@@ -165,7 +167,7 @@
 void upgrading(const std::string& discovery)
 {
     const int listener = socket(AF_INET, SOCK_STREAM, 0);
-    auto at = Wire::address(0);
+    auto at = TestConnection::loopback_address(0);
     bind(listener, reinterpret_cast<sockaddr*>(&at), sizeof at);
     listen(listener, 128);
     socklen_t size = sizeof at;
@@ -186,25 +188,26 @@
     std::vector<std::thread> callers;
     int status = 0;
     {
-        auto old = std::make_unique<Running>(discovery, "1024", management_key(management), inherits, port);
+        auto old =
+            std::make_unique<BalancerProcess>(discovery, "1024", management_key(management), inherits, port);
         for (int i = 0; i < 6; ++i)
             callers.emplace_back([&, i] {
                 // Half of them open a new connection for each request, half keep theirs.
-                for (auto wire = std::make_unique<Wire>(port); on; pause(2)) {
-                    const auto answer = wire->ask(get("x"));
-                    ++(first_line(answer) == ok ? served : other);
+                for (auto wire = std::make_unique<TestConnection>(port); on; sleep_ms(2)) {
+                    const auto answer = wire->send_and_receive(get("x"));
+                    ++(first_line(answer) == status_line_ok ? served : other);
                     if (i % 2 || answer.find("Connection: close") != std::string::npos)
-                        wire = std::make_unique<Wire>(port);
+                        wire = std::make_unique<TestConnection>(port);
                 }
             });
-        pause(200);
-        Running next(discovery, "1024", management_key(new_door), inherits, port);
-        until([&] { return order(new_door, "ready\n") == "SUCCESS ready\n"; });
+        sleep_ms(200);
+        BalancerProcess next(discovery, "1024", management_key(new_door), inherits, port);
+        wait_until([&] { return order(new_door, "ready\n") == "SUCCESS ready\n"; });
         say("the new one", order(new_door, "ready\n"));
         say("the old one beside it", order(management, "ready\n"));
         status = old->stop().status;
         std::printf("the old one ends with %d\n", status);
-        pause(200);
+        sleep_ms(200);
         const auto figures = order(new_door, "show-stat\n");
         std::printf("the new one serves: %s\n", number_in(figures, "node.success.safe:") > 20 ? "yes" : "no");
         on = false;
@@ -215,7 +218,7 @@
     ::close(listener);
     // Guards against a descriptor that is something else.
     {
-        Running never(discovery, "1024", "", [] {
+        BalancerProcess never(discovery, "1024", "", [] {
             dup2(socket(AF_INET, SOCK_STREAM, 0), 5);
             setenv("NODE_PASSED_SOCKET", "5", 1);
         });
@@ -229,16 +232,16 @@
 void large(const std::string& discovery)
 {
     const uint16_t management = free_port();
-    Running firtide(discovery, "256,\"memory_mb\":48", management_key(management));
+    BalancerProcess firtide(discovery, "256,\"memory_mb\":48", management_key(management));
     constexpr size_t much = 32 << 20;
     const auto answer = [&](const char* what, const std::string& path, int slowly = 0) {
-        Wire caller(firtide.port);
+        TestConnection caller(firtide.port);
         caller.send(get(path));
-        const auto head = caller.head();
-        if (slowly > 0) pause(slowly);
+        const auto head = caller.receive_head();
+        if (slowly > 0) sleep_ms(slowly);
         const bool chunked = head.find("Transfer-Encoding: chunked") != std::string::npos;
         const size_t due = number_in(head, "Content-Length: ");
-        const size_t n = chunked ? caller.chunks() : caller.skip(due);
+        const size_t n = chunked ? caller.receive_chunked_body() : caller.discard(due);
         // Guards against counting what a reset takes back: how much of it had come is the system's affair.
         if (!chunked && n < due)
             return void(std::printf("%s: %s, not whole\n", what, first_line(head).c_str()));
@@ -249,7 +252,7 @@
     answer("just over what is taken in whole", "bytes/65537");
     answer("broken in the middle", "bytes/1000000/cut");
     for (const bool chunked : {false, true}) {
-        Wire caller(firtide.port);
+        TestConnection caller(firtide.port);
         caller.send("POST /once/x HTTP/1.1\r\n" + an_id() +
                     (chunked ? "Transfer-Encoding: chunked\r\n\r\n"
                              : "Content-Length: " + std::to_string(much) + "\r\n\r\n"));
@@ -257,7 +260,7 @@
         for (size_t sent = 0; sent < much; sent += block.size())
             caller.send(chunked ? "10000\r\n" + block + "\r\n" : block);
         if (chunked) caller.send("0\r\n\r\n");
-        const auto got = caller.message();
+        const auto got = caller.receive_message();
         std::printf("a request of 32 MB%s: %s\n", chunked ? " in chunks" : "",
                     one_line(got.substr(got.find("\r\n\r\n") + 4)).c_str());
     }
@@ -266,22 +269,22 @@
     std::atomic<int> whole{0};
     for (int i = 0; i < 5; ++i)
         readers.emplace_back([&] {
-            Wire caller(firtide.port);
+            TestConnection caller(firtide.port);
             caller.send(get("bytes/" + std::to_string(much)));
-            caller.head();
-            pause(600);
-            whole += caller.skip(much) == much;
+            caller.receive_head();
+            sleep_ms(600);
+            whole += caller.discard(much) == much;
         });
     for (auto& r : readers) r.join();
     std::printf("5 slow readers of 32 MB at once: %d whole\n", whole.load());
     met = 0;
     {
-        Wire leaves(firtide.port);
+        TestConnection leaves(firtide.port);
         leaves.send("POST /once/x HTTP/1.1\r\n" + an_id() + "Content-Length: 1000000\r\n\r\n" +
                     std::string(300000, 'x'));
-        until([] { return met == 1; });
+        wait_until([] { return met == 1; });
     }
-    pause(100);
+    sleep_ms(100);
     const auto all = order(management, "show-stat\n");
     for (const char* name :
          {"success.safe", "failure.safe", "success.once", "failure.once", "backend_calls", "inflight"})
@@ -295,9 +298,9 @@
 
 int main(int, char** argv)
 {
-    program = argv[1];
+    program_path = argv[1];
     signal(SIGPIPE, SIG_IGN);
-    StandIn origin(serve_upstream), discovery(serve_discovery);
+    TestServer origin(serve_upstream), discovery(serve_discovery);
     upstream_endpoint = origin.endpoint();
     const auto play = [&](const char* what, void (*part)(const std::string&)) {
         std::printf("-- %s\n", what);
--- a/tests/recovery.cpp
+++ b/tests/recovery.cpp
@@ -13,11 +13,11 @@
 MemberSnapshot some()
 {
     MemberSnapshot m;
-    m.fleet = "edge", m.member = "a", m.incarnation = 7, m.boot = "this", m.boot_us = 5;
-    m.list_version = 3, m.list = "a list", m.rate = 100, m.size = 4, m.peers = 3;
+    m.fleet = "edge", m.member = "a", m.incarnation = 7, m.boot_id = "this", m.written_at_boot_us = 5;
+    m.list_version = 3, m.list_text = "a list", m.accepted_rate = 100, m.total_capacity = 4, m.peer_count = 3;
     m.reductions = {{11, 0.5F, 1'000'000}};
-    m.epochs = {{"list", 9}, {"report", 4}};
-    m.open = {"id-1"};
+    m.seen_epochs = {{"list", 9}, {"report", 4}};
+    m.open_request_ids = {"id-1"};
     return m;
 }
 
@@ -27,7 +27,7 @@
     const auto back = std::get<MemberSnapshot>(decode_member_snapshot(whole));
     std::printf("-- the snapshot\nback: list %llu, epoch %llu, open %s\n",
                 static_cast<unsigned long long>(back.list_version),
-                static_cast<unsigned long long>(back.epochs[0].epoch), back.open[0].c_str());
+                static_cast<unsigned long long>(back.seen_epochs[0].epoch), back.open_request_ids[0].c_str());
     size_t cut = 0, flipped = 0;
     for (size_t n = 0; n < whole.size(); ++n) {
         const auto shorter = decode_member_snapshot(std::string_view(whole).substr(0, n));
@@ -42,10 +42,11 @@
     std::printf("cut at every byte: %s refused; every bit flipped: %s refused\n",
                 cut == whole.size() ? "all" : "NOT ALL", flipped == whole.size() * 8 ? "all" : "NOT ALL");
     std::printf("more behind it: %s\n",
-                std::get<SnapshotError>(decode_member_snapshot(whole + "x")).text.c_str());
+                std::get<SnapshotError>(decode_member_snapshot(whole + "x")).message.c_str());
     std::printf("another fleet's: %s; another member's: %s; its own: '%s'\n",
-                check_owner(back, "core", "a")->text.c_str(), check_owner(back, "edge", "b")->text.c_str(),
-                check_owner(back, "edge", "a").value_or(SnapshotError{}).text.c_str());
+                check_owner(back, "core", "a")->message.c_str(),
+                check_owner(back, "edge", "b")->message.c_str(),
+                check_owner(back, "edge", "a").value_or(SnapshotError{}).message.c_str());
 }
 
 FleetConfig file()
@@ -63,7 +64,7 @@
 {
     const FleetConfig f = file();
     Fleet fleet(f, 1, 1, 1);
-    const Point now{1'000'000};
+    const TimePoint now{1'000'000};
     std::printf("%s:", what);
     const auto effects = fleet.reduce(now, std::move(recalled));
     for (const FleetEffect& e : effects)
@@ -79,7 +80,7 @@
 {
     const FleetConfig f = file();
     Fleet fleet(f, 1, 1, 1);
-    Point now{1'000'000};
+    TimePoint now{1'000'000};
     (void)fleet.reduce(now, SnapshotLoaded{some(), {}});
     (void)fleet.reduce(now, StartupEvent{});
     const auto takes = [&](uint64_t version) {
@@ -104,7 +105,7 @@
 {
     std::printf("-- stages, alone in the world\n");
     StartupSequencer r{StartupConfig{}};
-    Point now{1'000'000};
+    TimePoint now{1'000'000};
     r.start(now);
     FleetState alone{9, 1, false, 2, 0};
     r.set_fleet_state(alone);
@@ -113,11 +114,11 @@
         r.tick(now, 10, 10, false);
         if (r.stage() == last) continue;
         last = r.stage();
-        std::printf("%s at %.1f s, %s\n", text_of(last), i * 0.1, r.ready() ? "ready" : "not ready");
+        std::printf("%s at %.1f s, %s\n", to_string(last), i * 0.1, r.is_ready() ? "ready" : "not ready");
     }
     std::printf("-- all there, upstreams cold\n");
     StartupSequencer s{StartupConfig{}};
-    now = Point{1'000'000};
+    now = TimePoint{1'000'000};
     s.start(now);
     s.set_baseline({100, 10, 9});
     s.set_fleet_state({9, 9, true, 2, 2});
@@ -125,21 +126,21 @@
         size_t admitted_share = 0, least = 0;
         for (int i = 0; i < 1000; ++i, now = now + seconds(0.01)) {  // 500 a second arrive, of two kinds
             if (i % 10 == 0) s.tick(now, warm, 10, true);
-            for (int n = 0; n < 5; ++n) (n % 2 ? least : admitted_share) += s.admits(now, n % 2);
+            for (int n = 0; n < 5; ++n) (n % 2 ? least : admitted_share) += s.try_admit(now, n % 2);
         }
         std::printf("warm %.0f %%: %s, admits %.0f a second, of the least valuable %s\n", warm * 10,
-                    text_of(s.stage()), static_cast<double>(admitted_share + least) / 10,
+                    to_string(s.stage()), static_cast<double>(admitted_share + least) / 10,
                     least * 4 < admitted_share ? "few" : "as many");
     }
     StartupSequencer t{StartupConfig{}};
-    now = Point{1'000'000};
+    now = TimePoint{1'000'000};
     t.start(now);
     t.set_baseline({100, 10, 9});
     t.set_fleet_state({9, 3, true, 2, 2});
     size_t admitted_share = 0;
     for (int i = 0; i < 1000; ++i, now = now + seconds(0.01)) {
         if (i % 10 == 0) t.tick(now, 4, 10, true);
-        for (int n = 0; n < 10; ++n) admitted_share += t.admits(now, 0);
+        for (int n = 0; n < 10; ++n) admitted_share += t.try_admit(now, 0);
     }
     std::printf("six of nine did not come back: each admits %.0f a second at 40 %%\n",
                 static_cast<double>(admitted_share) / 10);
@@ -149,13 +150,14 @@
 {
     std::printf("-- what was in flight\n");
     ServiceConfig setup;
-    setup.settings = firtide::Stage::settings(firtide::Stage::op(Idempotency::non_idempotent));
-    setup.settings.operations.push_back(firtide::Stage::op(Idempotency::idempotent));
-    setup.operations = {"order", "read"};
+    setup.settings = firtide::TracingHost::make_settings(
+        firtide::TracingHost::make_operation(Idempotency::non_idempotent));
+    setup.settings.operations.push_back(firtide::TracingHost::make_operation(Idempotency::idempotent));
+    setup.operation_names = {"order", "read"};
     net::Reducer reducer(setup, 1, "here:1");
-    reducer.join({});
-    reducer.recover({});
-    Point now{1'000'000};
+    reducer.join_fleet({});
+    reducer.enable_staged_startup({});
+    TimePoint now{1'000'000};
     net::RequestId caller = 0;
     const auto tell = [&](net::Event event) {
         now = now + seconds(0.01);
@@ -179,13 +181,13 @@
     std::printf("an id that may have run: %s; of what may be repeated: %s; another id: %s\n",
                 ask(0, "id-1").c_str(), ask(1, "id-1").c_str(), ask(0, "id-2").c_str());
     tell(net::EndpointListUpdated{true, {}});
-    std::printf("an empty list leaves %zu\n", reducer.figures().hosts_listed);
+    std::printf("an empty list leaves %zu\n", reducer.statistics().hosts_listed);
     tell(net::EndpointListUpdated{true, {{"u", "1.1.1.1:1", EndpointPhase::ready, 0, 0, 1, {}}}});
     for (int i = 0; i < 12; ++i)
         for (const auto& e : tell(net::Tick{}))
             if (const auto* o = std::get_if<LocalObservations>(&e); o && i > 8)
-                std::printf("a loss in the middle: %.0f a second among %u are remembered\n", o->accepted,
-                            o->sharers),
+                std::printf("a loss in the middle: %.0f a second among %u are remembered\n", o->accepted_rate,
+                            o->peer_count),
                     i = 12;
     std::printf("a list that was told: %s\n", reducer.ready() ? "ready" : "NOT READY");
 }
--- a/tests/reducer.cpp
+++ b/tests/reducer.cpp
@@ -16,10 +16,10 @@
 ServiceConfig service_config(Idempotency repeat)
 {
     ServiceConfig config;
-    config.settings = BalancerHost::settings(BalancerHost::op(repeat));
-    config.operations = {"op"};
-    config.report_names = {"q"};
-    config.report = {&LoadReport::queue};
+    config.settings = BalancerHost::make_settings(BalancerHost::make_operation(repeat));
+    config.operation_names = {"op"};
+    config.load_report_fields = {"q"};
+    config.load_report_members = {&LoadReport::queue_length};
     return config;
 }
 
@@ -33,7 +33,7 @@
     return {"b", "2.2.2.2:2", phase, 0, 0, 1, {}};
 }
 
-std::string two_decimals(Span span)
+std::string two_decimals(Duration span)
 {
     char text[32];
     std::snprintf(text, sizeof text, "%.2f", span.seconds());
@@ -49,41 +49,41 @@
     void operator()(const SendResponse& effect)
     {
         add("answer caller " + std::to_string(effect.caller) + ": " + std::to_string(effect.response.status) +
-            (effect.response.passed_on.empty() ? "" : ", come back later") +
-            (effect.last_on_connection ? ", the last on its connection" : ""));
+            (effect.response.forwarded_headers.empty() ? "" : ", come back later") +
+            (effect.close_connection ? ", the last on its connection" : ""));
     }
     void operator()(const ConnectUpstream& effect)
     {
         add("dial " + effect.endpoint + " for attempt " + std::to_string(effect.attempt) + " within " +
-            two_decimals(effect.limit) + " s");
+            two_decimals(effect.timeout) + " s");
     }
     void operator()(const WriteUpstream& effect)
     {
         const auto end = effect.bytes.find('\r');
         const std::string what = end == std::string::npos ? std::to_string(effect.bytes.size()) + " bytes"
                                                           : effect.bytes.substr(0, end);
-        add("write " + what + (effect.more ? ", more follows" : ""));
+        add("write " + what + (effect.request_incomplete ? ", more follows" : ""));
     }
     void operator()(const SetResponseReading& effect)
     {
-        add(effect.more ? "read on from the upstream" : "hold the upstream");
+        add(effect.enabled ? "read on from the upstream" : "hold the upstream");
     }
     void operator()(const SetRequestReading& effect)
     {
-        add(effect.more ? "read on from the caller" : "hold the caller");
+        add(effect.enabled ? "read on from the caller" : "hold the caller");
     }
     void operator()(const SendResponseChunk& effect)
     {
-        add("pass " + std::to_string(effect.bytes.size()) + " bytes" + (effect.last ? ", the last" : ""));
+        add("pass " + std::to_string(effect.bytes.size()) + " bytes" + (effect.is_last ? ", the last" : ""));
     }
     void operator()(const AbortResponse&) { add("cut the answer"); }
-    void operator()(const SetAttemptTimeout& effect) { add("within " + two_decimals(effect.limit) + " s"); }
+    void operator()(const SetAttemptTimeout& effect) { add("within " + two_decimals(effect.timeout) + " s"); }
     void operator()(const AdminCommandResult& effect)
     {
         add((effect.success ? "obeyed, " : "not obeyed, ") +
             std::to_string(static_cast<int>(effect.serving_state)));
     }
-    void operator()(const MoveEndpointWatch& effect) { add("move the watch to " + effect.discovery); }
+    void operator()(const MoveEndpointWatch& effect) { add("move the watch to " + effect.discovery_address); }
     void operator()(const CloseUpstream&) { add("hang up"); }
     void operator()(const CancelWrite& effect) { add("withdraw attempt " + std::to_string(effect.attempt)); }
     void operator()(const CloseIdle& effect)
@@ -105,11 +105,11 @@
 class Play
 {
   public:
-    explicit Play(Idempotency repeat, bool probes = false, Span client_timeout = seconds(2))
+    explicit Play(Idempotency repeat, bool probes = false, Duration client_timeout = seconds(2))
         : config_(service_config(repeat))
     {
         config_.settings.operations[0].client_timeout = client_timeout;
-        config_.settings.may_probe = config_.settings.reports_by_probe = probes;
+        config_.settings.may_probe = config_.settings.load_reports_by_probe = probes;
         reducer = std::make_unique<Reducer>(config_, 1, "here:1");
         tell(ServiceStarted{});
         list(true, {endpoint_a(EndpointPhase::ready)});
@@ -120,7 +120,7 @@
         now = now + seconds(0.01);
         for (const Effect& effect : reducer->reduce(now, std::move(event))) {
             if (const auto* connect = std::get_if<ConnectUpstream>(&effect)) last = connect->attempt;
-            if (const auto* timer = std::get_if<StartTimer>(&effect)) last_timer_ = timer->name;
+            if (const auto* timer = std::get_if<StartTimer>(&effect)) last_timer_ = timer->timer_id;
             if (!quiet) std::visit(EffectWriter(lines), effect);
         }
     }
@@ -129,7 +129,7 @@
     {
         tell(EndpointListUpdated{all, std::move(entries)});
     }
-    void arrive(RequestId caller = 1, const char* id = nullptr, Span left = seconds(2))
+    void arrive(RequestId caller = 1, const char* id = nullptr, Duration left = seconds(2))
     {
         const std::string name = id ? id : "id" + std::to_string(caller);
         tell(RequestReceived{caller,
@@ -154,8 +154,8 @@
     {
         Request request{"POST",  "/op/x", "id" + std::to_string(caller), 0, 0, seconds(2), {},
                         "begun", edition};
-        request.more = true;
-        request.length = 300000;
+        request.body_incomplete = true;
+        request.content_length = 300000;
         tell(RequestReceived{caller, std::move(request)});
     }
     void bring(RequestId caller, size_t bytes, bool last_chunk)
@@ -166,8 +166,8 @@
     void begins_answer(int status = 200)
     {
         Response response{status, false, {}, {}, "begun"};
-        response.more = true;
-        response.length = 300000;
+        response.body_incomplete = true;
+        response.content_length = 300000;
         tell(ResponseReceived{last, std::move(response)});
     }
     void comes(size_t bytes, bool last_chunk)
@@ -175,9 +175,9 @@
         tell(ResponseChunkReceived{last, std::string(bytes, 'x'), last_chunk});
     }
     // New settings with another margin of clocks.
-    void set_margin(Span margin)
+    void set_margin(Duration margin)
     {
-        config_.settings.left_margin = margin;
+        config_.settings.time_left_margin = margin;
         tell(ConfigReloaded{"here:1", config_});
         ++edition;
     }
@@ -186,10 +186,10 @@
     // Whatever happened: what was taken is answered, in flight or left.
     void write_statistics()
     {
-        const auto figures = reducer->figures();
+        const auto figures = reducer->statistics();
         uint64_t answered = 0;
         std::string line;
-        for (const auto& [name, count] : figures.of_operation) {
+        for (const auto& [name, count] : figures.outcomes_by_operation) {
             answered += count.success + count.busy + count.failure;
             line += name + ": " + std::to_string(count.success) + " succeeded, " +
                     std::to_string(count.busy) + " throttled, " + std::to_string(count.failure) +
@@ -198,7 +198,7 @@
         line += std::to_string(figures.backend_calls) + " written, " + std::to_string(figures.inflight) +
                 " in flight, " + std::to_string(figures.hosts_listed) + " listed, " +
                 std::to_string(figures.hosts_down) + " avoided";
-        EXPECT_EQ(figures.taken, answered + figures.inflight + figures.left);
+        EXPECT_EQ(figures.requests_received, answered + figures.inflight + figures.requests_abandoned);
         note(line);
     }
     Lines finish()
@@ -208,7 +208,7 @@
     }
 
     std::unique_ptr<Reducer> reducer;
-    Point now{1'000'000'000};
+    TimePoint now{1'000'000'000};
     AttemptId last = 0;
     bool quiet = false;
     uint32_t edition = 0;  // of the settings that requests are decoded with
@@ -286,7 +286,7 @@
 
 TEST(AttemptEnd, BrokenAfterTheLastByteMayHaveRun)
 {
-    const auto end = [](Play& play) { play.failed(AttemptProgress::written, FailureCause::broken); };
+    const auto end = [](Play& play) { play.failed(AttemptProgress::written, FailureCause::connection_lost); };
     expect_end(Idempotency::idempotent, end,
                {"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
                 "dial 1.1.1.1:1 for attempt 2 within 0.98 s",
@@ -299,7 +299,9 @@
 
 TEST(AttemptEnd, BrokenWithinTheAnswerMayHaveRun)
 {
-    const auto end = [](Play& play) { play.failed(AttemptProgress::answering, FailureCause::broken); };
+    const auto end = [](Play& play) {
+        play.failed(AttemptProgress::receiving_response, FailureCause::connection_lost);
+    };
     expect_end(Idempotency::idempotent, end,
                {"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
                 "dial 1.1.1.1:1 for attempt 2 within 0.98 s",
@@ -312,7 +314,9 @@
 
 TEST(AttemptEnd, AnUnreadableAnswerMayHaveRun)
 {
-    const auto end = [](Play& play) { play.failed(AttemptProgress::answering, FailureCause::malformed); };
+    const auto end = [](Play& play) {
+        play.failed(AttemptProgress::receiving_response, FailureCause::invalid_response);
+    };
     expect_end(Idempotency::idempotent, end,
                {"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
                 "dial 1.1.1.1:1 for attempt 2 within 0.98 s",
@@ -325,7 +329,9 @@
 
 TEST(AttemptEnd, BrokenBeforeTheLastByteNeverRan)
 {
-    const auto end = [](Play& play) { play.failed(AttemptProgress::partly_written, FailureCause::broken); };
+    const auto end = [](Play& play) {
+        play.failed(AttemptProgress::partly_written, FailureCause::connection_lost);
+    };
     expect_end(Idempotency::idempotent, end,
                {"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
                 "dial 1.1.1.1:1 for attempt 2 within 0.98 s",
@@ -339,7 +345,7 @@
 TEST(AttemptEnd, TimeUpBeforeTheLastByteNeverRan)
 {
     const auto end = [](Play& play) {
-        play.failed(AttemptProgress::partly_written, FailureCause::no_answer_in_time);
+        play.failed(AttemptProgress::partly_written, FailureCause::timed_out);
     };
     expect_end(Idempotency::idempotent, end,
                {"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
@@ -353,9 +359,7 @@
 
 TEST(AttemptEnd, TimeUpAfterTheLastByteMayHaveRun)
 {
-    const auto end = [](Play& play) {
-        play.failed(AttemptProgress::written, FailureCause::no_answer_in_time);
-    };
+    const auto end = [](Play& play) { play.failed(AttemptProgress::written, FailureCause::timed_out); };
     expect_end(Idempotency::idempotent, end,
                {"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
                 "dial 1.1.1.1:1 for attempt 2 within 0.98 s",
@@ -388,7 +392,7 @@
     play.connected();
     play.answered(200);
     play.answered(200);
-    play.failed(AttemptProgress::written, FailureCause::broken);
+    play.failed(AttemptProgress::written, FailureCause::connection_lost);
     EXPECT_EQ(
         play.finish(),
         (Lines{"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
@@ -519,7 +523,7 @@
     play.arrive();
     play.connected();
     play.list(false, {endpoint_a(EndpointPhase::draining), endpoint_b(EndpointPhase::draining)});
-    play.failed(AttemptProgress::partly_written, FailureCause::withdrawn);
+    play.failed(AttemptProgress::partly_written, FailureCause::write_cancelled);
     EXPECT_EQ(
         play.finish(),
         (Lines{"dial 2.2.2.2:2 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1",
@@ -534,7 +538,7 @@
     play.list(false, {endpoint_b()});
     play.arrive(1, nullptr, seconds(6));
     play.connected();
-    play.failed(AttemptProgress::written, FailureCause::broken);
+    play.failed(AttemptProgress::written, FailureCause::connection_lost);
     play.pass(0.1);
     play.connected();
     EXPECT_EQ(
@@ -550,7 +554,7 @@
     play.list(false, {endpoint_b()});
     play.arrive(1, nullptr, seconds(6));
     play.connected();
-    play.failed(AttemptProgress::written, FailureCause::broken);
+    play.failed(AttemptProgress::written, FailureCause::connection_lost);
     play.pass(2.5);
     play.connected();
     EXPECT_EQ(
@@ -594,16 +598,16 @@
 
 // ---- the shutdown ----
 
-void shut_down(Play& play, Span client_timeout)
+void shut_down(Play& play, Duration client_timeout)
 {
     play.set_margin(seconds(0.2));
     char line[64];
     std::snprintf(line, sizeof line, "%.1f s: answers for %.1f s", client_timeout.seconds(),
-                  play.reducer->answers_for().seconds());
+                  play.reducer->shutdown_response_time().seconds());
     play.note(line);
     play.tell(ShutdownStarted{});
     for (const double after : {0.3, 0.7, 1.9}) {
-        const bool turned_out = play.reducer->turns_out(play.now + seconds(after));
+        const bool turned_out = play.reducer->should_close_connections(play.now + seconds(after));
         std::snprintf(line, sizeof line, "%.1f s after: callers are %s", after,
                       turned_out ? "turned out" : "served");
         play.note(line);
@@ -739,16 +743,16 @@
 {
     Play play(Idempotency::non_idempotent);
     ServiceConfig next = service_config(Idempotency::non_idempotent);
-    next.operations = {"other", "op"};
+    next.operation_names = {"other", "op"};
     next.settings.operations.insert(next.settings.operations.begin(),
-                                    BalancerHost::op(Idempotency::idempotent));
+                                    BalancerHost::make_operation(Idempotency::idempotent));
     play.arrive(1);
     play.connected();
     play.tell(ConfigReloaded{"here:1", next});
     play.arrive(2);
     play.connected();
-    play.failed(AttemptProgress::written, FailureCause::broken);
-    next.operations = {"other", "third"};
+    play.failed(AttemptProgress::written, FailureCause::connection_lost);
+    next.operation_names = {"other", "third"};
     play.tell(ConfigReloaded{"here:1", next});
     play.arrive(3);
     EXPECT_EQ(
@@ -776,7 +780,7 @@
         play.answered(200);
     }
     play.quiet = false;
-    play.note(std::to_string(play.reducer->places()) + " places");
+    play.note(std::to_string(play.reducer->upstream_slot_count()) + " places");
     play.arrive(3);
     play.connected();
     play.answered(200);
@@ -793,7 +797,7 @@
 {
     Play play(Idempotency::idempotent);
     play.list(true, {endpoint_b(), endpoint_a(EndpointPhase::ready)});
-    play.note(std::to_string(play.reducer->places()) + " places");
+    play.note(std::to_string(play.reducer->upstream_slot_count()) + " places");
     EXPECT_EQ(
         play.finish(),
         (Lines{"2 places",
@@ -832,7 +836,7 @@
     play.arrive();
     play.connected();
     play.begins_answer();
-    play.failed(AttemptProgress::answering, FailureCause::broken);
+    play.failed(AttemptProgress::receiving_response, FailureCause::connection_lost);
     play.answered(200);
     EXPECT_EQ(
         play.finish(),
@@ -904,7 +908,7 @@
     Play play(Idempotency::non_idempotent);
     play.begin(1);
     play.connected();
-    play.failed(AttemptProgress::partly_written, FailureCause::broken);
+    play.failed(AttemptProgress::partly_written, FailureCause::connection_lost);
     play.connected();
     play.written();
     play.bring(1, 10, true);
@@ -925,7 +929,7 @@
     play.connected();
     play.written();
     play.bring(1, 10, false);
-    play.failed(AttemptProgress::partly_written, FailureCause::broken);
+    play.failed(AttemptProgress::partly_written, FailureCause::connection_lost);
     EXPECT_EQ(
         play.finish(),
         (Lines{"dial 1.1.1.1:1 for attempt 1 within 3600.00 s", "write POST /op/x HTTP/1.1, more follows",
@@ -941,7 +945,7 @@
     play.connected();
     play.written();
     play.bring(1, 10, true);
-    play.failed(AttemptProgress::written, FailureCause::broken);
+    play.failed(AttemptProgress::written, FailureCause::connection_lost);
     EXPECT_EQ(
         play.finish(),
         (Lines{"dial 1.1.1.1:1 for attempt 1 within 3600.00 s", "write POST /op/x HTTP/1.1, more follows",
--- a/tests/scale.cpp
+++ b/tests/scale.cpp
@@ -28,7 +28,7 @@
 Options options_of(std::string_view experiment, const std::vector<Word>& over = {})
 {
     const auto decoded = decode_options(experiment, over);
-    if (const auto* fault = std::get_if<ConfigError>(&decoded)) ADD_FAILURE() << text_of(*fault);
+    if (const auto* fault = std::get_if<ConfigError>(&decoded)) ADD_FAILURE() << to_string(*fault);
     const auto* options = std::get_if<Options>(&decoded);
     return options ? *options : Options{};
 }
@@ -37,7 +37,7 @@
 {
     const auto decoded = decode_options(experiment, over);
     const auto* fault = std::get_if<ConfigError>(&decoded);
-    return fault ? text_of(*fault) : "";
+    return fault ? to_string(*fault) : "";
 }
 
 TEST(ScaleOptions, UpstreamsAndServicesFollowTheMembers)
--- a/tests/simulation_scale.cpp
+++ b/tests/simulation_scale.cpp
@@ -31,8 +31,9 @@
     EXPECT_TRUE(result.trouble->seconds_until_agreed);
     for (size_t i = 0; i < plan.members; ++i) {
         ASSERT_TRUE(run.cluster().up(i));
-        EXPECT_EQ(run.cluster().fleet(i).membership().alive(), plan.members);
-        EXPECT_EQ(run.cluster().fleet(i).membership().digest(), run.cluster().fleet(0).membership().digest());
+        EXPECT_EQ(run.cluster().fleet(i).membership().alive_count(), plan.members);
+        EXPECT_EQ(run.cluster().fleet(i).membership().view_digest(),
+                  run.cluster().fleet(0).membership().view_digest());
     }
 }
 
@@ -116,7 +117,7 @@
 {
     for (const auto trouble : {ScaleTrouble::none, ScaleTrouble::killed, ScaleTrouble::zone,
                                ScaleTrouble::regions, ScaleTrouble::restart})
-        EXPECT_EQ(scale_trouble_of(text_of(trouble)), trouble);
+        EXPECT_EQ(scale_trouble_of(to_string(trouble)), trouble);
     EXPECT_FALSE(scale_trouble_of("flood"));
 }
 
--- a/tests/sockets.cpp
+++ b/tests/sockets.cpp
@@ -10,12 +10,12 @@
 {
 
 // What the upstream does with a request, by the last part of its path.
-std::function<void(Wire&, const std::string&)> upstream_does;
+std::function<void(TestConnection&, const std::string&)> upstream_does;
 std::atomic<int> asked{0}, ended{0};
 
-void serve_upstream(Wire& wire)
+void serve_upstream(TestConnection& wire)
 {
-    for (std::string request; wire.open() && !(request = wire.message()).empty();) {
+    for (std::string request; wire.is_open() && !(request = wire.receive_message()).empty();) {
         ++asked;
         upstream_does(wire, request);
     }
@@ -28,17 +28,17 @@
 std::atomic<int> version{1}, watches{0};
 std::atomic<bool> silent{false};
 
-void serve_discovery(Wire& wire)
+void serve_discovery(TestConnection& wire)
 {
-    for (std::string request; wire.open() && !(request = wire.message()).empty();) {
+    for (std::string request; wire.is_open() && !(request = wire.receive_message()).empty();) {
         const auto after = request.find("after=");
         ++watches;
         if (after != std::string::npos)
             for (int i = 0; i < 20 && std::stoi(request.substr(after + 6)) >= version; ++i)
                 std::this_thread::sleep_for(std::chrono::milliseconds(10));
-        if (silent) return (void)wire.ended(10000);
+        if (silent) return (void)wire.receives_eof(10000);
         const std::lock_guard hold(list_lock);
-        wire.send(http(ok, list_now));
+        wire.send(http_message(status_line_ok, list_now));
     }
 }
 
@@ -74,8 +74,8 @@
 
 std::string post(const std::string& path, const std::string& body = "b")
 {
-    return http("POST /once/" + path + " HTTP/1.1", body,
-                "Host: a\r\n" + an_id() + "Req-Deadline-Ms: 600\r\n");
+    return http_message("POST /once/" + path + " HTTP/1.1", body,
+                        "Host: a\r\n" + an_id() + "Req-Deadline-Ms: 600\r\n");
 }
 
 void tell(const char* what, const std::string& answer)
@@ -86,148 +86,166 @@
                 text.size() > 80 ? (std::to_string(text.size()) + " bytes").c_str() : text.c_str());
 }
 
-void outcomes(Running& firtide, const StandIn& upstream)
+void outcomes(BalancerProcess& firtide, const TestServer& upstream)
 {
-    const std::pair<const char*, std::function<void(Wire&, const std::string&)>> ways[] = {
-        {"answers", [](Wire& w, auto&) { w.send(http(ok, "well")); }},
+    const std::pair<const char*, std::function<void(TestConnection&, const std::string&)>> ways[] = {
+        {"answers", [](TestConnection& w, auto&) { w.send(http_message(status_line_ok, "well")); }},
         {"answers in chunks",
-         [](Wire& w, auto&) { w.send(ok + "\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nwell\r\n0\r\n\r\n"); }},
+         [](TestConnection& w, auto&) {
+             w.send(status_line_ok + "\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nwell\r\n0\r\n\r\n");
+         }},
         {"answers and closes",
-         [](Wire& w, auto&) { w.send(http(ok, "well", "Connection: close\r\n")), w.close(); }},
-        {"answers 500", [](Wire& w, auto&) { w.send(http("HTTP/1.1 500 no")); }},
-        {"answers 503", [](Wire& w, auto&) { w.send(http("HTTP/1.1 503 no")); }},
-        {"declines", [](Wire& w, auto&) { w.send(http("HTTP/1.1 503 no", "", "Srv-Declined: 1\r\n")); }},
-        {"closes without an answer", [](Wire& w, auto&) { w.close(); }},
-        {"resets", [](Wire& w, auto&) { w.reset(); }},
-        {"answers half", [](Wire& w, auto&) { w.send(ok + "\r\nContent-Length: 9\r\n\r\nhalf"), w.close(); }},
-        {"answers nonsense", [](Wire& w, auto&) { w.send("nonsense\r\n\r\n"); }},
-        {"is silent", [](Wire& w, auto&) { w.ended(1500), w.close(); }},
+         [](TestConnection& w, auto&) {
+             w.send(http_message(status_line_ok, "well", "Connection: close\r\n")), w.close();
+         }},
+        {"answers 500", [](TestConnection& w, auto&) { w.send(http_message("HTTP/1.1 500 no")); }},
+        {"answers 503", [](TestConnection& w, auto&) { w.send(http_message("HTTP/1.1 503 no")); }},
+        {"declines", [](TestConnection& w,
+                        auto&) { w.send(http_message("HTTP/1.1 503 no", "", "Srv-Declined: 1\r\n")); }},
+        {"closes without an answer", [](TestConnection& w, auto&) { w.close(); }},
+        {"resets", [](TestConnection& w, auto&) { w.reset(); }},
+        {"answers half",
+         [](TestConnection& w, auto&) {
+             w.send(status_line_ok + "\r\nContent-Length: 9\r\n\r\nhalf"), w.close();
+         }},
+        {"answers nonsense", [](TestConnection& w, auto&) { w.send("nonsense\r\n\r\n"); }},
+        {"is silent", [](TestConnection& w, auto&) { w.receives_eof(1500), w.close(); }},
     };
     for (const auto& [what, way] : ways) {
         upstream_does = way;
         list_is(target(what, upstream.endpoint(), "ready"));  // one that nothing is known of
-        pause(50);
+        sleep_ms(50);
         asked = 0;
-        Wire caller(firtide.port);
+        TestConnection caller(firtide.port);
         std::printf("upstream %s: ", what);
-        const auto once = first_line(caller.ask(post("x")));
+        const auto once = first_line(caller.send_and_receive(post("x")));
         const int forwards = asked.exchange(0);
-        const auto safe = first_line(caller.ask(get("x")));
+        const auto safe = first_line(caller.send_and_receive(get("x")));
         std::printf("once %s after %d, safe %s after %d\n", once.c_str(), forwards, safe.c_str(),
                     asked.load());
     }
 }
 
 // Answers that come spoilt, or bring more than belongs to them.
-void spoilt(Running& firtide, const StandIn& upstream)
+void spoilt(BalancerProcess& firtide, const TestServer& upstream)
 {
     const std::pair<const char*, std::string> ways[] = {
-        {"begins and goes no further", ok + "\r\nContent-Length: 9\r\n\r\nhalf"},
-        {"never ends its head", ok + "\r\nX: y\r\n"},
-        {"says that it has 3 GB", ok + "\r\nContent-Length: 3221225472\r\n\r\nxxxx"},
+        {"begins and goes no further", status_line_ok + "\r\nContent-Length: 9\r\n\r\nhalf"},
+        {"never ends its head", status_line_ok + "\r\nX: y\r\n"},
+        {"says that it has 3 GB", status_line_ok + "\r\nContent-Length: 3221225472\r\n\r\nxxxx"},
         {"has a length and chunks",
-         ok + "\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nwell\r\n0\r\n\r\n"},
+         status_line_ok +
+             "\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nwell\r\n0\r\n\r\n"},
     };
     for (const auto& [what, bytes] : ways) {
-        upstream_does = [&](Wire& w, auto&) {
-            if (asked > 1) return w.send(http(ok, "well"));
+        upstream_does = [&](TestConnection& w, auto&) {
+            if (asked > 1) return w.send(http_message(status_line_ok, "well"));
             w.send(bytes);
-            w.ended(1500);
+            w.receives_eof(1500);
         };
         list_is(target(what, upstream.endpoint(), "ready"));  // one that nothing is known of
-        pause(50);
+        sleep_ms(50);
         std::printf("an answer %s: ", what);
-        Wire caller(firtide.port);
+        TestConnection caller(firtide.port);
         asked = 0;
-        const auto once = first_line(caller.ask(post("x")));
+        const auto once = first_line(caller.send_and_receive(post("x")));
         asked = 0;
-        const auto safe = first_line(caller.ask(get("x")));
+        const auto safe = first_line(caller.send_and_receive(get("x")));
         std::printf("once %s, safe %s after %d\n", once.c_str(), safe.c_str(), asked.load());
-        for (int i = 0; i < 12; ++i) caller.ask(get("x"));  // earns another second try
+        for (int i = 0; i < 12; ++i) caller.send_and_receive(get("x"));  // earns another second try
     }
     list_is(target("another", upstream.endpoint(), "ready"));
-    pause(50);
-    upstream_does = [](Wire& w, auto&) {
-        w.send("HTTP/1.1 102 Processing\r\n\r\n"), pause(600), w.send(http(ok, "well"));
+    sleep_ms(50);
+    upstream_does = [](TestConnection& w, auto&) {
+        w.send("HTTP/1.1 102 Processing\r\n\r\n"), sleep_ms(600),
+            w.send(http_message(status_line_ok, "well"));
     };
-    tell("an interim answer, and the real one late", Wire(firtide.port).ask(get("x")));
+    tell("an interim answer, and the real one late", TestConnection(firtide.port).send_and_receive(get("x")));
     const auto go = std::make_shared<std::atomic<bool>>(false);
-    upstream_does = [go](Wire& w, const std::string& request) {
-        const auto answer = http(ok, request.substr(0, request.find(' ', 6)));
+    upstream_does = [go](TestConnection& w, const std::string& request) {
+        const auto answer = http_message(status_line_ok, request.substr(0, request.find(' ', 6)));
         w.send(answer);
-        until([&go] { return go->load(); });
+        wait_until([&go] { return go->load(); });
         w.send(answer);
     };
-    Wire caller(firtide.port);
-    caller.ask(post("one"));
-    kill(firtide.process, SIGSTOP);
-    caller.send(post("two")), pause(50);
-    *go = true, pause(50);
-    kill(firtide.process, SIGCONT);
-    tell("a second copy comes late, and the next request", caller.message());
+    TestConnection caller(firtide.port);
+    caller.send_and_receive(post("one"));
+    kill(firtide.pid, SIGSTOP);
+    caller.send(post("two")), sleep_ms(50);
+    *go = true, sleep_ms(50);
+    kill(firtide.pid, SIGCONT);
+    tell("a second copy comes late, and the next request", caller.receive_message());
 }
 
 // Upstreams that refuse, or that nobody answers for: the queue of this socket is full.
-void unreachable(Running& firtide)
+void unreachable(BalancerProcess& firtide)
 {
     const int full = socket(AF_INET, SOCK_STREAM, 0);
-    auto at = Wire::address(free_port());
+    auto at = TestConnection::loopback_address(free_port());
     const std::string port = std::to_string(ntohs(at.sin_port));
     bind(full, reinterpret_cast<sockaddr*>(&at), sizeof at);
     listen(full, 0);
-    Wire fills(ntohs(at.sin_port));
+    TestConnection fills(ntohs(at.sin_port));
     for (const auto& [what, where] :
          {std::pair("refuses", std::to_string(free_port())), {"is not there", port}}) {
         list_is(target(what, "127.0.0.1:" + where, "ready"));
-        pause(50);
-        std::printf("upstream %s: once %s\n", what, first_line(Wire(firtide.port).ask(post("x"))).c_str());
+        sleep_ms(50);
+        std::printf("upstream %s: once %s\n", what,
+                    first_line(TestConnection(firtide.port).send_and_receive(post("x"))).c_str());
     }
     close(full);
 }
 
 // The program stands still for a while, as on a machine short of processors.
-void stalled(Running& firtide)
+void stalled(BalancerProcess& firtide)
 {
-    upstream_does = [](Wire& w, const std::string& request) {
+    upstream_does = [](TestConnection& w, const std::string& request) {
         const int ms = std::stoi(request.substr(request.find("Req-Deadline-Ms: ") + 17));
-        w.send(http(ok, ms <= 330 ? "told how little time is left" : std::to_string(ms) + " ms"));
-        if (request.find("/closing") != std::string::npos) w.ended(100), w.close();
+        w.send(http_message(status_line_ok,
+                            ms <= 330 ? "told how little time is left" : std::to_string(ms) + " ms"));
+        if (request.find("/closing") != std::string::npos) w.receives_eof(100), w.close();
     };
-    Wire caller(firtide.port);
-    caller.ask(post("closing"));
-    kill(firtide.process, SIGSTOP);
+    TestConnection caller(firtide.port);
+    caller.send_and_receive(post("closing"));
+    kill(firtide.pid, SIGSTOP);
     caller.send(post("x"));
-    pause(300);  // the upstream closes its end meanwhile
-    kill(firtide.process, SIGCONT);
-    tell("after standing still", caller.message());
+    sleep_ms(300);  // the upstream closes its end meanwhile
+    kill(firtide.pid, SIGCONT);
+    tell("after standing still", caller.receive_message());
 }
 
-void callers(Running& firtide)
+void callers(BalancerProcess& firtide)
 {
-    upstream_does = [](Wire& w, const std::string& request) {
+    upstream_does = [](TestConnection& w, const std::string& request) {
         const auto deadline = request.find("Req-Deadline-Ms: ") + 17;
         const int ms = std::stoi(request.substr(deadline));
-        w.send(http(ok, request.substr(0, request.find('\r')) +
-                            (ms > 550 && ms <= 600 ? ", in time" : ", " + std::to_string(ms) + " ms") + ", " +
-                            std::to_string(request.size() - request.find("\r\n\r\n") - 4) + " bytes"));
+        w.send(http_message(status_line_ok,
+                            request.substr(0, request.find('\r')) +
+                                (ms > 550 && ms <= 600 ? ", in time" : ", " + std::to_string(ms) + " ms") +
+                                ", " + std::to_string(request.size() - request.find("\r\n\r\n") - 4) +
+                                " bytes"));
     };
-    Wire caller(firtide.port);
-    tell("plain", caller.ask(post("a/b?c=d%20e")));
-    tell("64 KiB", caller.ask(post("x", std::string(65536, 'x'))));
-    tell("chunked", caller.ask("POST /once/x HTTP/1.1\r\nReq-Id: 1\r\nReq-Deadline-Ms: 600\r\n"
-                               "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"));
+    TestConnection caller(firtide.port);
+    tell("plain", caller.send_and_receive(post("a/b?c=d%20e")));
+    tell("64 KiB", caller.send_and_receive(post("x", std::string(65536, 'x'))));
+    tell("chunked",
+         caller.send_and_receive("POST /once/x HTTP/1.1\r\nReq-Id: 1\r\nReq-Deadline-Ms: 600\r\n"
+                                 "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"));
     caller.send(post("first") + post("second"));
-    tell("two at once", caller.message());
-    tell("and the second", caller.message());
+    tell("two at once", caller.receive_message());
+    tell("and the second", caller.receive_message());
     const auto whole = post("slow");
-    caller.send(whole.substr(0, 30)), pause(30), caller.send(whole.substr(30, whole.size() - 31)), pause(30);
+    caller.send(whole.substr(0, 30)), sleep_ms(30), caller.send(whole.substr(30, whole.size() - 31)),
+        sleep_ms(30);
     caller.send(whole.substr(whole.size() - 1));
-    tell("in pieces", caller.message());
-    const auto expecting =
-        http("POST /once/x HTTP/1.1", "b", "Req-Id: 1\r\nReq-Deadline-Ms: 600\r\nExpect: 100-continue\r\n");
-    std::printf("asks first: %s", first_line(caller.ask(expecting.substr(0, expecting.size() - 1))).c_str());
-    tell(", and then", caller.ask("b"));
-    tell("70000 bytes, passed on", Wire(firtide.port).ask(post("x", std::string(70000, 'x'))));
+    tell("in pieces", caller.receive_message());
+    const auto expecting = http_message("POST /once/x HTTP/1.1", "b",
+                                        "Req-Id: 1\r\nReq-Deadline-Ms: 600\r\nExpect: 100-continue\r\n");
+    std::printf("asks first: %s",
+                first_line(caller.send_and_receive(expecting.substr(0, expecting.size() - 1))).c_str());
+    tell(", and then", caller.send_and_receive("b"));
+    tell("70000 bytes, passed on",
+         TestConnection(firtide.port).send_and_receive(post("x", std::string(70000, 'x'))));
     const std::pair<const char*, std::string> bad[] = {
         {"no HTTP", "hello\r\n\r\n"},
         {"bytes", std::string("\0\xff\x80\r\n\r\n", 7)},
@@ -252,37 +270,40 @@
         {"bad deadline", "GET /safe HTTP/1.1\r\nReq-Id: 1\r\nReq-Deadline-Ms: soon\r\n\r\n"},
     };
     for (const auto& [what, text] : bad)
-        std::printf("%s: %s\n", what, first_line(Wire(firtide.port).ask(text)).c_str());
-    tell("and after all that", Wire(firtide.port).ask(post("x")));
+        std::printf("%s: %s\n", what,
+                    first_line(TestConnection(firtide.port).send_and_receive(text)).c_str());
+    tell("and after all that", TestConnection(firtide.port).send_and_receive(post("x")));
 }
 
 // Callers who take their time. Guards against connections that live for ever on a byte now and then, and
 // against turning away the usual callers beside them.
-void slow(Running& firtide)
+void slow(BalancerProcess& firtide)
 {
-    upstream_does = [](Wire& w, auto&) { pause(200), w.send(http(ok, "well")); };
+    upstream_does = [](TestConnection& w, auto&) {
+        sleep_ms(200), w.send(http_message(status_line_ok, "well"));
+    };
     const std::pair<const char*, std::string> begun[] = {
         {"says nothing", ""},
         {"half a head", "GET /safe/x HTTP/1.1\r\n"},
-        {"half a body", http("POST /once/x HTTP/1.1", "body body", an_id()).substr(0, 60)},
+        {"half a body", http_message("POST /once/x HTTP/1.1", "body body", an_id()).substr(0, 60)},
         {"a head that never ends", "GET /safe/x HTTP/1.1\r\n"},
     };
-    std::vector<Wire> all;
+    std::vector<TestConnection> all;
     for (const auto& [what, text] : begun) all.emplace_back(firtide.port), all.back().send(text);
-    for (int i = 0; i < 28; ++i) pause(100), all.back().send("X: y\r\n");
+    for (int i = 0; i < 28; ++i) sleep_ms(100), all.back().send("X: y\r\n");
     for (size_t i = 0; i < all.size(); ++i) {
-        const auto answer = all[i].message();
+        const auto answer = all[i].receive_message();
         std::printf("%s: %s, %s within 3 s\n", begun[i].first, first_line(answer).c_str(),
-                    all[i].ended(200) ? "closed" : "still open");
+                    all[i].receives_eof(200) ? "closed" : "still open");
     }
-    Wire many(firtide.port), usual(firtide.port);
+    TestConnection many(firtide.port), usual(firtide.port);
     std::string hundreds;
     for (int i = 0; i < 100; ++i) hundreds += get("many");
     many.send(hundreds), usual.send(get("x"));
-    const auto answer = usual.message();
+    const auto answer = usual.receive_message();
     tell("beside a hundred requests at once", answer);
     int answers = 0;
-    while (!many.message().empty()) ++answers;
+    while (!many.receive_message().empty()) ++answers;
     std::printf("of the hundred %s were answered before their connection was closed\n",
                 answers > 0 && answers < 20 ? "a few" : std::to_string(answers).c_str());
 }
@@ -290,98 +311,101 @@
 // Bodies that would not fit are refused before they come. Guards against the limit of memory.
 void large(const std::string& discovery)
 {
-    Running firtide(discovery, "128,\"memory_mb\":16");
-    upstream_does = [](Wire& w, auto&) { w.send(http(ok, "well")); };
-    std::vector<Wire> all;
+    BalancerProcess firtide(discovery, "128,\"memory_mb\":16");
+    upstream_does = [](TestConnection& w, auto&) { w.send(http_message(status_line_ok, "well")); };
+    std::vector<TestConnection> all;
     const auto whole = post("x", std::string(65536, 'x'));
     for (int i = 0; i < 40; ++i) all.emplace_back(firtide.port), all.back().send(whole.substr(0, 60000));
     int refused = 0;
-    for (auto& w : all) refused += w.more(20);
+    for (auto& w : all) refused += w.receive(20);
     std::printf("of 40 bodies of 64 KiB at once %s refused early\n",
                 refused > 0 && refused < 40 ? "some are" : std::to_string(refused).c_str());
     all.clear();
-    pause(50);
-    tell("and then", Wire(firtide.port).ask(post("x", std::string(65536, 'x'))));
-    Wire huge(firtide.port);
+    sleep_ms(50);
+    tell("and then", TestConnection(firtide.port).send_and_receive(post("x", std::string(65536, 'x'))));
+    TestConnection huge(firtide.port);
     huge.send("POST /once/x HTTP/1.1\r\nReq-Id: 1\r\nContent-Length: 60000000\r\n\r\n");
-    std::printf("60 MB: %s, before a byte of it\n", first_line(huge.message()).c_str());
+    std::printf("60 MB: %s, before a byte of it\n", first_line(huge.receive_message()).c_str());
 }
 
 // Half requests by the dozen where few descriptors are left. Guards against callers that wait to be let in
 // until those have had all their time.
 void besieged(const std::string& discovery)
 {
-    Running firtide(discovery, "64");
-    upstream_does = [](Wire& w, auto&) { w.send(http(ok, "well")); };
+    BalancerProcess firtide(discovery, "64");
+    upstream_does = [](TestConnection& w, auto&) { w.send(http_message(status_line_ok, "well")); };
     // Guards against callers who ask once and stay: what rests may not be closed at once.
-    std::vector<Wire> half, staying;
+    std::vector<TestConnection> half, staying;
     std::string answer;
-    for (int i = 0; i < 24; ++i) staying.emplace_back(firtide.port), answer = staying.back().ask(get("x"));
+    for (int i = 0; i < 24; ++i)
+        staying.emplace_back(firtide.port), answer = staying.back().send_and_receive(get("x"));
     std::printf("the last of 24 who ask once and stay %s\n",
                 answer.find("Connection: close") != std::string::npos ? "is told to go" : "may stay");
     staying.clear();
-    pause(50);
+    sleep_ms(50);
     for (int i = 0; i < 60; ++i)
         half.emplace_back(firtide.port), half.back().send("GET /safe/x HTTP/1.1\r\n");
-    Wire usual(firtide.port);
+    TestConnection usual(firtide.port);
     usual.send(get("x"));
     std::printf("behind 60 half requests and 64 descriptors: %s\n",
-                usual.more(1500) ? first_line(usual.message()).c_str() : "nothing within 1.5 s");
+                usual.receive(1500) ? first_line(usual.receive_message()).c_str() : "nothing within 1.5 s");
 }
 
-void leaving(Running& firtide)
+void leaving(BalancerProcess& firtide)
 {
-    upstream_does = [](Wire& w, auto&) { w.ended(1500), w.close(); };
+    upstream_does = [](TestConnection& w, auto&) { w.receives_eof(1500), w.close(); };
     for (const bool by_reset : {false, true}) {
-        pause(50);
+        sleep_ms(50);
         ended = asked = 0;
-        Wire caller(firtide.port);
+        TestConnection caller(firtide.port);
         caller.send(get("x"));
-        until([] { return asked == 1; });
-        pause(60);  // sooner, it could be one that sends nothing more and listens
+        wait_until([] { return asked == 1; });
+        sleep_ms(60);  // sooner, it could be one that sends nothing more and listens
         by_reset ? caller.reset() : caller.close();
         std::printf("a caller leaves%s: its forward is %s\n", by_reset ? " by a reset" : "",
-                    until([] { return ended == 1; }, 300) ? "ended" : "still out");
+                    wait_until([] { return ended == 1; }, 300) ? "ended" : "still out");
     }
-    upstream_does = [](Wire& w, auto&) { pause(100), w.send(http(ok, "well")); };
-    Wire caller(firtide.port);
-    caller.send(get("x")), caller.end_sending();
-    tell("a caller closes its sending side alone", caller.message());
-    std::printf("and then its connection is %s\n", caller.ended(500) ? "closed" : "still open");
+    upstream_does = [](TestConnection& w, auto&) {
+        sleep_ms(100), w.send(http_message(status_line_ok, "well"));
+    };
+    TestConnection caller(firtide.port);
+    caller.send(get("x")), caller.shutdown_write();
+    tell("a caller closes its sending side alone", caller.receive_message());
+    std::printf("and then its connection is %s\n", caller.receives_eof(500) ? "closed" : "still open");
 }
 
-void idle(Running& firtide)
+void idle(BalancerProcess& firtide)
 {
-    upstream_does = [](Wire& w, auto&) { w.send(http(ok)); };
-    Wire(firtide.port).ask(get("x"));
+    upstream_does = [](TestConnection& w, auto&) { w.send(http_message(status_line_ok)); };
+    TestConnection(firtide.port).send_and_receive(get("x"));
     ended = 0;
     int stood = 0;
-    for (; ended == 0 && stood < 2000; stood += 10) pause(10);
+    for (; ended == 0 && stood < 2000; stood += 10) sleep_ms(10);
     std::printf("an idle connection is closed %s\n", stood > 200 && stood < 380
                                                          ? "clearly before the upstream would"
                                                          : std::to_string(stood).c_str());
 }
 
-void listed(Running& firtide, const StandIn& upstream)
+void listed(BalancerProcess& firtide, const TestServer& upstream)
 {
-    upstream_does = [](Wire& w, auto&) { w.send(http(ok)); };
-    StandIn other([](Wire& w) {
-        while (!w.message().empty()) w.send(http(ok, "the other"));
+    upstream_does = [](TestConnection& w, auto&) { w.send(http_message(status_line_ok)); };
+    TestServer other([](TestConnection& w) {
+        while (!w.receive_message().empty()) w.send(http_message(status_line_ok, "the other"));
     });
     const auto answers = [&] {
-        const auto a = Wire(firtide.port).ask(get("x"));
+        const auto a = TestConnection(firtide.port).send_and_receive(get("x"));
         return a.find("the other") != std::string::npos ? "the other"
-               : first_line(a) == ok                    ? "the first"
+               : first_line(a) == status_line_ok        ? "the first"
                                                         : "nobody";
     };
     const auto after = [&](const char* what, const std::string& targets) {
         list_is(targets);
-        pause(100);
+        sleep_ms(100);
         std::printf("%s: %s answers\n", what, answers());
     };
     const auto spoilt = [&](const char* what, const std::string& text) {
         list_is_spoilt(text);
-        pause(100);
+        sleep_ms(100);
         std::printf("%s: %s answers\n", what, answers());
     };
     const auto old = [&](const char* state) {
@@ -392,11 +416,11 @@
     spoilt("a target without an id", R"({"rev":900,"all":true,"targets":[{"state":"gone"}]})");
     spoilt("older than the last, in which it drains", old("draining"));
     list_is(target("u", upstream.endpoint(), "draining"));
-    until([&] { return std::string(answers()) == "nobody"; }, 5000);
+    wait_until([&] { return std::string(answers()) == "nobody"; }, 5000);
     std::printf("it drains: %s answers\n", answers());
     spoilt("older than the last, in which it is ready", old("ready"));
     list_is(target("u", upstream.endpoint(), "draining"));
-    pause(1200);  // longer than the longest pause between calls
+    sleep_ms(1200);  // longer than the longest pause between calls
     std::printf("it drains still: %s answers\n", answers());
     after("it is ready again", target("u", upstream.endpoint(), "ready"));
     after("it moves", target("u", other.endpoint(), "ready"));
@@ -404,13 +428,13 @@
     after("a list without it", "");
     silent = true;
     list_is(target("u", upstream.endpoint(), "ready"));
-    pause(300);
+    sleep_ms(300);
     std::printf("discovery falls silent: %s answers\n", answers());
     silent = false;
-    until([&] { return firtide.port && std::string(answers()) == "the first"; }, 5000);
+    wait_until([&] { return firtide.port && std::string(answers()) == "the first"; }, 5000);
     std::printf("and is back: %s answers\n", answers());
     const int before = watches;
-    pause(500);
+    sleep_ms(500);
     std::printf("a quiet watch is called again %s\n", watches - before <= 4 ? "as it ends" : "all the time");
 }
 
@@ -418,29 +442,32 @@
 // still answers after the move.
 void reloading(const std::string& discovery)
 {
-    Running firtide(discovery);
-    StandIn other([](Wire& w) {
-        while (!w.message().empty()) w.send(http(ok, "the other"));
+    BalancerProcess firtide(discovery);
+    TestServer other([](TestConnection& w) {
+        while (!w.receive_message().empty()) w.send(http_message(status_line_ok, "the other"));
     });
-    StandIn moved([&](Wire& w) {
+    TestServer moved([&](TestConnection& w) {
         const auto list =
             R"({"rev":1,"all":true,"targets":[)" + target("v", other.endpoint(), "ready") + "]}";
-        for (std::string request; !(request = w.message()).empty(); w.send(http(ok, list)))
-            if (request.find("after=1&") != std::string::npos) pause(100);
+        for (std::string request; !(request = w.receive_message()).empty();
+             w.send(http_message(status_line_ok, list)))
+            if (request.find("after=1&") != std::string::npos) sleep_ms(100);
     });
-    upstream_does = [](Wire& w, auto&) { pause(300), w.send(http(ok, "the first")); };
-    Wire busy(firtide.port), caller(firtide.port);
+    upstream_does = [](TestConnection& w, auto&) {
+        sleep_ms(300), w.send(http_message(status_line_ok, "the first"));
+    };
+    TestConnection busy(firtide.port), caller(firtide.port);
     busy.send(get("x"));
-    pause(50);
-    firtide.reread(discovery, "nowhere");
-    tell("a file that is wrong", caller.ask(get("x")));
-    firtide.reread("nowhere", moved.endpoint());
-    pause(100);
-    tell("discovery moved", caller.ask(get("x")));
-    tell("what was in flight", busy.message());
+    sleep_ms(50);
+    firtide.edit_config_and_reload(discovery, "nowhere");
+    tell("a file that is wrong", caller.send_and_receive(get("x")));
+    firtide.edit_config_and_reload("nowhere", moved.endpoint());
+    sleep_ms(100);
+    tell("discovery moved", caller.send_and_receive(get("x")));
+    tell("what was in flight", busy.receive_message());
     list_is(target("u", upstream_endpoint, "ready"));
-    pause(200);
-    tell("the old agent says something", caller.ask(get("x")));
+    sleep_ms(200);
+    tell("the old agent says something", caller.send_and_receive(get("x")));
     std::printf("exit status %d\n", firtide.stop().status);
 }
 
@@ -454,38 +481,40 @@
 // Guards against losing, answering or sending twice what was taken in.
 void switching(const std::string& discovery)
 {
-    Running firtide(discovery);
+    BalancerProcess firtide(discovery);
     const auto requests = std::make_shared<RequestCounts>();
-    upstream_does = [requests](Wire& w, const std::string& request) {
+    upstream_does = [requests](TestConnection& w, const std::string& request) {
         const auto at = request.find("Req-Id: ");
         {
             const std::lock_guard hold(requests->lock);
             ++requests->by_id[request.substr(at, request.find('\r', at) - at)];
         }
-        pause(60), w.send(http(ok, "done"));
+        sleep_ms(60), w.send(http_message(status_line_ok, "done"));
     };
     std::atomic<bool> on{true};
     std::atomic<int> served{0}, other{0};
     std::vector<std::thread> callers;
     for (int i = 0; i < 6; ++i)
         callers.emplace_back([&, i] {
-            for (Wire w(firtide.port); on;)
-                ++(first_line(w.ask(i % 2 ? post("x", "b") : get("x"))) == ok ? served : other);
+            for (TestConnection w(firtide.port); on;)
+                ++(first_line(w.send_and_receive(i % 2 ? post("x", "b") : get("x"))) == status_line_ok
+                       ? served
+                       : other);
         });
     const std::string was = R"("max_forwards":3)", is = R"("max_forwards":2,"may_duplicate":true)";
     const std::string last = "\"conn_idle_us\":400000,";
     for (int i = 0; i < 5; ++i) {
-        pause(80), firtide.reread(was, is);
-        pause(40), firtide.reread(last, "\"conn_idle_us\":\"soon\",");  // wrong
-        pause(40), firtide.reread("\"conn_idle_us\":\"soon\",", last);
-        const auto whole = firtide.text;
-        pause(40), firtide.reread(whole.substr(whole.size() / 2), "");  // cut in half
-        firtide.text = whole;
-        pause(40);
-        unlink(firtide.file.c_str()), kill(firtide.process, SIGHUP);  // not there
-        pause(40), firtide.reread(is, was);
+        sleep_ms(80), firtide.edit_config_and_reload(was, is);
+        sleep_ms(40), firtide.edit_config_and_reload(last, "\"conn_idle_us\":\"soon\",");  // wrong
+        sleep_ms(40), firtide.edit_config_and_reload("\"conn_idle_us\":\"soon\",", last);
+        const auto whole = firtide.config_text;
+        sleep_ms(40), firtide.edit_config_and_reload(whole.substr(whole.size() / 2), "");  // cut in half
+        firtide.config_text = whole;
+        sleep_ms(40);
+        unlink(firtide.config_path.c_str()), kill(firtide.pid, SIGHUP);  // not there
+        sleep_ms(40), firtide.edit_config_and_reload(is, was);
     }
-    pause(100);
+    sleep_ms(100);
     on = false;
     for (auto& c : callers) c.join();
     int twice = 0;
@@ -495,19 +524,19 @@
         "switched five times forth and back: %s served, %d not, %d effects for an answer too many, %d "
         "twice\n",
         served > 50 ? "all" : "few", other.load(), static_cast<int>(effects.size()) - served, twice);
-    Wire caller(firtide.port);
+    TestConnection caller(firtide.port);
     const std::string safe = R"({"name":"safe","repeat":"free","client_timeout_us":1000000},)";
-    firtide.reread(safe, ""), pause(50);
-    tell("an operation that is no more", caller.ask(get("x")));
-    Wire again(firtide.port);
-    tell("the other one", again.ask(post("x", "b")));
-    firtide.reread("[\n", "[" + safe + "\n"), pause(50);
-    Wire back(firtide.port);
-    tell("it is back", back.ask(get("x")));
-    firtide.text.replace(firtide.text.find(safe), safe.size(), "");
-    firtide.reread("\"127.0.0.1:" + std::to_string(firtide.port), "\"127.0.0.1:1");
-    pause(50);
-    tell("another address to listen at: refused as a whole", back.ask(get("x")));
+    firtide.edit_config_and_reload(safe, ""), sleep_ms(50);
+    tell("an operation that is no more", caller.send_and_receive(get("x")));
+    TestConnection again(firtide.port);
+    tell("the other one", again.send_and_receive(post("x", "b")));
+    firtide.edit_config_and_reload("[\n", "[" + safe + "\n"), sleep_ms(50);
+    TestConnection back(firtide.port);
+    tell("it is back", back.send_and_receive(get("x")));
+    firtide.config_text.replace(firtide.config_text.find(safe), safe.size(), "");
+    firtide.edit_config_and_reload("\"127.0.0.1:" + std::to_string(firtide.port), "\"127.0.0.1:1");
+    sleep_ms(50);
+    tell("another address to listen at: refused as a whole", back.send_and_receive(get("x")));
     std::printf("exit status %d\n", firtide.stop().status);
 }
 
@@ -515,16 +544,19 @@
 {
     // Clients that wait for 3 s: a process is killed no sooner than 3.7 s after the signal. What holds where
     // they wait for less is in endings.cpp.
-    Running firtide(discovery);
-    firtide.reread(R"("client_timeout_us":1000000},)", R"("client_timeout_us":3000000},)");
-    Wire(firtide.port).ask("GET /-/ready HTTP/1.1\r\n\r\n");
-    upstream_does = [](Wire& w, auto&) { pause(700), w.send(http(ok, "late")); };
-    Wire busy(firtide.port), resting(firtide.port), half(firtide.port), other(firtide.port);
+    BalancerProcess firtide(discovery);
+    firtide.edit_config_and_reload(R"("client_timeout_us":1000000},)", R"("client_timeout_us":3000000},)");
+    TestConnection(firtide.port).send_and_receive("GET /-/ready HTTP/1.1\r\n\r\n");
+    upstream_does = [](TestConnection& w, auto&) {
+        sleep_ms(700), w.send(http_message(status_line_ok, "late"));
+    };
+    TestConnection busy(firtide.port), resting(firtide.port), half(firtide.port), other(firtide.port);
     busy.send(get("x"));
-    resting.ask("GET /-/ready HTTP/1.1\r\n\r\n");
-    half.ask("GET /-/ready HTTP/1.1\r\n\r\n"), other.ask("GET /-/ready HTTP/1.1\r\n\r\n");
+    resting.send_and_receive("GET /-/ready HTTP/1.1\r\n\r\n");
+    half.send_and_receive("GET /-/ready HTTP/1.1\r\n\r\n"),
+        other.send_and_receive("GET /-/ready HTTP/1.1\r\n\r\n");
     half.send("GET /safe/x HTTP/1.1\r\n");
-    until([] { return asked > 0; });
+    wait_until([] { return asked > 0; });
     std::thread stop([&] {
         const auto since = std::chrono::steady_clock::now();
         std::printf("exit status %d", firtide.stop().status);
@@ -532,50 +564,55 @@
                     std::chrono::steady_clock::now() - since < std::chrono::seconds(10) ? "in spite of"
                                                                                         : "held up by");
     });
-    pause(300);
-    Wire late(firtide.port);
-    std::printf("0.3 s after SIGTERM: %s", first_line(late.ask("GET /-/ready HTTP/1.1\r\n\r\n")).c_str());
-    std::printf("%s", late.ended() ? ", its connection is closed\n" : "\n");
-    Wire last(firtide.port);
+    sleep_ms(300);
+    TestConnection late(firtide.port);
+    std::printf("0.3 s after SIGTERM: %s",
+                first_line(late.send_and_receive("GET /-/ready HTTP/1.1\r\n\r\n")).c_str());
+    std::printf("%s", late.receives_eof() ? ", its connection is closed\n" : "\n");
+    TestConnection last(firtide.port);
     last.send(get("x"));
-    std::printf("what was in flight: %s\n", first_line(busy.message()).c_str());
-    upstream_does = [](Wire& w, auto&) { w.send(http(ok, "quick")); };
-    pause(500);
+    std::printf("what was in flight: %s\n", first_line(busy.receive_message()).c_str());
+    upstream_does = [](TestConnection& w, auto&) { w.send(http_message(status_line_ok, "quick")); };
+    sleep_ms(500);
     std::printf("a second later, on a connection that rested: %s\n",
-                first_line(resting.ask(get("x"))).c_str());
+                first_line(resting.send_and_receive(get("x"))).c_str());
     other.send("GET /safe/x HTTP/1.1\r\n");
-    std::printf("an idle connection is %s\n", resting.ended() ? "closed" : "still open");
-    std::printf("what came after SIGTERM: %s\n", first_line(last.message()).c_str());
+    std::printf("an idle connection is %s\n", resting.receives_eof() ? "closed" : "still open");
+    std::printf("what came after SIGTERM: %s\n", first_line(last.receive_message()).c_str());
     // Guards against leaving with the last answer on its way: nobody answers this one, until just before the
     // end.
-    upstream_does = [](Wire& w, auto&) { w.ended(2000), w.close(); };
-    pause(900);
+    upstream_does = [](TestConnection& w, auto&) { w.receives_eof(2000), w.close(); };
+    sleep_ms(900);
     other.send(an_id() + "\r\n");
     std::printf("what is whole just before the end, and never answered: %s\n",
-                first_line(other.message()).c_str());
+                first_line(other.receive_message()).c_str());
     stop.join();
-    std::printf("a new caller %s\n", Wire(firtide.port).open() ? "still gets in" : "is not let in any more");
+    std::printf("a new caller %s\n",
+                TestConnection(firtide.port).is_open() ? "still gets in" : "is not let in any more");
 }
 
 void crowd(const std::string& discovery, int callers, const char* sockets, const std::string& body)
 {
-    Running firtide(discovery, sockets);
-    upstream_does = [](Wire& w, auto&) { pause(100), w.send(http(ok, std::string(65536, 'x'))); };
-    std::vector<Wire> all;
+    BalancerProcess firtide(discovery, sockets);
+    upstream_does = [](TestConnection& w, auto&) {
+        sleep_ms(100), w.send(http_message(status_line_ok, std::string(65536, 'x')));
+    };
+    std::vector<TestConnection> all;
     for (int i = 0; i < callers; ++i) {
         all.emplace_back(firtide.port);
         all.back().send(body.empty() ? get("x") : post("x", body));
     }
     int served = 0, refused = 0, other = 0;
     for (auto& w : all) {
-        const auto line = first_line(w.message());
-        ++(line == ok ? served : line.find(" 503 ") != std::string::npos ? refused : other);
+        const auto line = first_line(w.receive_message());
+        ++(line == status_line_ok ? served : line.find(" 503 ") != std::string::npos ? refused : other);
     }
     const auto used = firtide.stop();
     std::printf("%d callers and %s descriptors: ", callers, sockets);
     if (served == 0 || other > 0)
         std::printf("%d served, %d throttled, %d not answered, ", served, refused, other);
-    std::printf("exit status %d, %s spinning, %s 100 MB\n", used.status, used.cpu < 0.5 ? "no" : "with",
+    std::printf("exit status %d, %s spinning, %s 100 MB\n", used.status,
+                used.cpu_seconds < 0.5 ? "no" : "with",
                 used.memory_mb < 100 ? "under" : std::to_string(used.memory_mb).c_str());
 }
 
@@ -583,9 +620,9 @@
 
 int main(int, char** argv)
 {
-    program = argv[1];
+    program_path = argv[1];
     signal(SIGPIPE, SIG_IGN);
-    StandIn upstream(serve_upstream), discovery(serve_discovery);
+    TestServer upstream(serve_upstream), discovery(serve_discovery);
     upstream_endpoint = upstream.endpoint();
     list_is(target("u", upstream.endpoint(), "ready"));
     const auto play = [&](const char* what, auto&& part) {
@@ -594,44 +631,44 @@
         part();
     };
     play("outcomes", [&] {
-        Running f(discovery.endpoint());
+        BalancerProcess f(discovery.endpoint());
         outcomes(f, upstream);
     });
     list_is(target("u", upstream.endpoint(), "ready"));
     list_is(target("u", upstream.endpoint(), "ready"));
     play("spoilt answers", [&] {
-        Running f(discovery.endpoint());
+        BalancerProcess f(discovery.endpoint());
         spoilt(f, upstream);
     });
     play("callers", [&] {
-        Running f(discovery.endpoint());
+        BalancerProcess f(discovery.endpoint());
         callers(f);
     });
     play("slow callers", [&] {
-        Running f(discovery.endpoint());
+        BalancerProcess f(discovery.endpoint());
         slow(f);
     });
     play("half requests", [&] { besieged(discovery.endpoint()); });
     play("large bodies", [&] { large(discovery.endpoint()); });
     play("leaving", [&] {
-        Running f(discovery.endpoint());
+        BalancerProcess f(discovery.endpoint());
         leaving(f);
     });
     play("unreachable", [&] {
-        Running f(discovery.endpoint());
+        BalancerProcess f(discovery.endpoint());
         unreachable(f);
     });
     list_is(target("u", upstream.endpoint(), "ready"));
     play("a stall", [&] {
-        Running f(discovery.endpoint());
+        BalancerProcess f(discovery.endpoint());
         stalled(f);
     });
     play("idle", [&] {
-        Running f(discovery.endpoint());
+        BalancerProcess f(discovery.endpoint());
         idle(f);
     });
     play("the list", [&] {
-        Running f(discovery.endpoint());
+        BalancerProcess f(discovery.endpoint());
         listed(f, upstream);
     });
     play("the configuration is read again", [&] { reloading(discovery.endpoint()); });
--- a/tests/trace.h
+++ b/tests/trace.h
@@ -29,13 +29,13 @@
 {
 
 // Prints each decision as a line.
-class Stage : public BalancerHost
+class TracingHost : public BalancerHost
 {
   public:
     using BalancerHost::BalancerHost;
 
-    void say(const std::string& text) { std::printf("-- %s\n", text.c_str()); }
-    static void print(const char* what, const std::map<UpstreamId, int>& got)
+    void print_heading(const std::string& text) { std::printf("-- %s\n", text.c_str()); }
+    static void print_counts(const char* what, const std::map<UpstreamId, int>& got)
     {
         std::printf("%s:", what);
         for (const auto& [t, n] : got) std::printf(" u%u=%d", t, n);
@@ -52,19 +52,21 @@
 };
 
 // A connection with blocking reads that never wait for longer than two seconds.
-class Wire
+class TestConnection
 {
   public:
-    explicit Wire(int fd) : fd_(fd) {}
-    explicit Wire(uint16_t port) : fd_(socket(AF_INET, SOCK_STREAM, 0))
+    explicit TestConnection(int fd) : fd_(fd) {}
+    explicit TestConnection(uint16_t port) : fd_(socket(AF_INET, SOCK_STREAM, 0))
     {
-        const auto at = address(port);
+        const auto at = loopback_address(port);
         if (connect(fd_, reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0) close();
     }
-    Wire(Wire&& other) : fd_(std::exchange(other.fd_, -1)), text_(std::move(other.text_)) {}
-    ~Wire() { close(); }
+    TestConnection(TestConnection&& other) : fd_(std::exchange(other.fd_, -1)), text_(std::move(other.text_))
+    {
+    }
+    ~TestConnection() { close(); }
 
-    static sockaddr_in address(uint16_t port)
+    static sockaddr_in loopback_address(uint16_t port)
     {
         sockaddr_in at{};
         at.sin_family = AF_INET;
@@ -72,12 +74,12 @@
         at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
         return at;
     }
-    bool open() const { return fd_ >= 0; }
+    bool is_open() const { return fd_ >= 0; }
     void close()
     {
         if (fd_ >= 0) ::close(std::exchange(fd_, -1));
     }
-    void end_sending() const { shutdown(fd_, SHUT_WR); }
+    void shutdown_write() const { shutdown(fd_, SHUT_WR); }
     void reset()
     {
         const linger none{1, 0};
@@ -88,18 +90,18 @@
     {
         (void)!::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
     }
-    bool more(int ms = 2000)
+    bool receive(int ms = 2000)
     {
         pollfd at{fd_, POLLIN, 0};
         char bytes[16384];
-        if (!open() || poll(&at, 1, ms) <= 0) return false;
+        if (!is_open() || poll(&at, 1, ms) <= 0) return false;
         const auto n = recv(fd_, bytes, sizeof bytes, 0);
         if (n > 0) text_.append(bytes, static_cast<size_t>(n));
         ended_ = n <= 0;
         return n > 0;
     }
-    bool ended(int ms = 2000) { return !more(ms) && ended_; }
-    bool over() const { return ended_; }
+    bool receives_eof(int ms = 2000) { return !receive(ms) && ended_; }
+    bool at_eof() const { return ended_; }
     bool was_reset() const
     {
         int error = 0;
@@ -108,7 +110,7 @@
         return error != 0;
     }
     // One message with Content-Length or without a body; empty where none comes whole.
-    std::string message()
+    std::string receive_message()
     {
         for (;;) {
             const auto head = text_.find("\r\n\r\n");
@@ -121,40 +123,40 @@
                     return whole;
                 }
             }
-            if (!more()) return {};
+            if (!receive()) return {};
         }
     }
     // A head, without what follows it.
-    std::string head()
+    std::string receive_head()
     {
         while (text_.find("\r\n\r\n") == std::string::npos)
-            if (!more()) return {};
+            if (!receive()) return {};
         const auto all = text_.substr(0, text_.find("\r\n\r\n") + 4);
         text_.erase(0, all.size());
         return all;
     }
     // So many bytes, which are not kept; how many there were.
-    size_t skip(size_t bytes)
+    size_t discard(size_t bytes)
     {
         size_t got = 0;
         for (;;) {
             const auto n = std::min(bytes - got, text_.size());
             got += n;
             text_.erase(0, n);
-            if (got == bytes || !more()) return got;
+            if (got == bytes || !receive()) return got;
         }
     }
     // A body in chunks: the bytes in it.
-    size_t chunks()
+    size_t receive_chunked_body()
     {
         size_t got = 0;
         for (;;) {
             while (text_.find("\r\n") == std::string::npos)
-                if (!more()) return got;
+                if (!receive()) return got;
             const auto size = std::stoul(text_, nullptr, 16);
             text_.erase(0, text_.find("\r\n") + 2);
             if (size == 0) break;
-            const auto n = skip(size + 2);
+            const auto n = discard(size + 2);
             got += std::min<size_t>(n, size);
             if (n < size + 2) return got;
         }
@@ -162,22 +164,22 @@
             const auto end = text_.find("\r\n");
             if (end != std::string::npos)
                 text_.erase(0, end + 2);
-            else if (!more())
+            else if (!receive())
                 return got;
         }
         text_.erase(0, 2);
         return got;
     }
-    std::string rest()  // to the end of the connection
+    std::string receive_all()  // to the end of the connection
     {
-        while (more()) {
+        while (receive()) {
         }
         return std::exchange(text_, {});
     }
-    std::string ask(const std::string& bytes)
+    std::string send_and_receive(const std::string& bytes)
     {
         send(bytes);
-        return message();
+        return receive_message();
     }
 
   private:
@@ -187,13 +189,13 @@
 };
 
 // A stand-in: listens on loopback and handles each connection in a thread of its own.
-class StandIn
+class TestServer
 {
   public:
-    explicit StandIn(std::function<void(Wire&)> serve) : serve_(std::move(serve))
+    explicit TestServer(std::function<void(TestConnection&)> serve) : serve_(std::move(serve))
     {
         fd_ = socket(AF_INET, SOCK_STREAM, 0);
-        auto at = Wire::address(0);
+        auto at = TestConnection::loopback_address(0);
         bind(fd_, reinterpret_cast<sockaddr*>(&at), sizeof at);
         socklen_t size = sizeof at;
         getsockname(fd_, reinterpret_cast<sockaddr*>(&at), &size);
@@ -202,12 +204,12 @@
         accepting_ = std::thread([this] {
             for (int fd; (fd = accept(fd_, nullptr, nullptr)) >= 0;)
                 serving_.emplace_back([this, fd] {
-                    Wire wire(fd);
+                    TestConnection wire(fd);
                     serve_(wire);
                 });
         });
     }
-    ~StandIn()
+    ~TestServer()
     {
         shutdown(fd_, SHUT_RDWR);
         accepting_.join();
@@ -218,13 +220,14 @@
     uint16_t port = 0;
 
   private:
-    std::function<void(Wire&)> serve_;
+    std::function<void(TestConnection&)> serve_;
     int fd_;
     std::thread accepting_;
     std::vector<std::thread> serving_;
 };
 
-inline std::string http(const std::string& first, const std::string& body = "", const std::string& more = "")
+inline std::string http_message(const std::string& first, const std::string& body = "",
+                                const std::string& more = "")
 {
     return first + "\r\n" + more + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
@@ -234,21 +237,21 @@
     return message.empty() ? "(nothing)" : message.substr(0, message.find('\r'));
 }
 
-inline const std::string ok = "HTTP/1.1 200 OK";
-inline std::string program;  // under test
+inline const std::string status_line_ok = "HTTP/1.1 200 OK";
+inline std::string program_path;  // under test
 
 inline uint16_t free_port()
 {
-    return StandIn([](Wire&) {}).port;
+    return TestServer([](TestConnection&) {}).port;
 }
 
 // The program in a process of its own, until SIGTERM.
-struct Running {
+struct BalancerProcess {
     // more, settings: further keys of the configuration and of its settings; in_child: what is to be done
     // before the program starts.
-    explicit Running(const std::string& discovery, const std::string& sockets = "1024",
-                     const std::string& more = "", const std::function<void()>& in_child = {},
-                     uint16_t at = 0, const std::string& settings = "")
+    explicit BalancerProcess(const std::string& discovery, const std::string& sockets = "1024",
+                             const std::string& more = "", const std::function<void()>& in_child = {},
+                             uint16_t at = 0, const std::string& settings = "")
         : port(at ? at : free_port())
     {
         char path[] = "/tmp/firtide-test-XXXXXX";
@@ -261,55 +264,59 @@
             "policy_limits":{"max_forwards":3,"cancel":true,"conn_idle_us":400000,"connect_timeout_us":100000}}})";
         (void)!write(fd, config.data(), config.size());
         close(fd);
-        file = path, text = config;
-        if ((process = fork()) == 0) {
+        config_path = path, config_text = config;
+        if ((pid = fork()) == 0) {
             if (in_child) in_child();
-            execl(program.c_str(), program.c_str(), "serve", "--log-level", "error", path, nullptr);
+            execl(program_path.c_str(), program_path.c_str(), "serve", "--log-level", "error", path, nullptr);
             _exit(127);
         }
-        for (int i = 0; i < 200 && first_line(Wire(port).ask("GET /-/ready HTTP/1.1\r\n\r\n")) != ok; ++i)
+        for (int i = 0;
+             i < 200 && first_line(TestConnection(port).send_and_receive("GET /-/ready HTTP/1.1\r\n\r\n")) !=
+                            status_line_ok;
+             ++i)
             std::this_thread::sleep_for(std::chrono::milliseconds(5));
     }
-    ~Running()
+    ~BalancerProcess()
     {
-        if (process) stop();
-        unlink(file.c_str());
+        if (pid) stop();
+        unlink(config_path.c_str());
     }
     // Replaces `a` by `b` in the file of the configuration, and says so.
-    void reread(const std::string& a, const std::string& b)
+    void edit_config_and_reload(const std::string& a, const std::string& b)
     {
-        text.replace(text.find(a), a.size(), b);
-        const std::string fresh = file + ".new";
-        if (FILE* out = std::fopen(fresh.c_str(), "w")) std::fputs(text.c_str(), out), std::fclose(out);
-        rename(fresh.c_str(), file.c_str());
-        kill(process, SIGHUP);
+        config_text.replace(config_text.find(a), a.size(), b);
+        const std::string fresh = config_path + ".new";
+        if (FILE* out = std::fopen(fresh.c_str(), "w"))
+            std::fputs(config_text.c_str(), out), std::fclose(out);
+        rename(fresh.c_str(), config_path.c_str());
+        kill(pid, SIGHUP);
     }
-    struct Used {
+    struct ResourceUsage {
         int status = 0;
-        double cpu = 0;  // seconds
+        double cpu_seconds = 0;  // seconds
         long memory_mb = 0;
     };
-    Used stop()
+    ResourceUsage stop()
     {
         int status = 0;
         rusage used{};
-        kill(process, SIGTERM);
-        wait4(std::exchange(process, 0), &status, 0, &used);
+        kill(pid, SIGTERM);
+        wait4(std::exchange(pid, 0), &status, 0, &used);
         const auto s = [](timeval t) {
             return static_cast<double>(t.tv_sec) + 1e-6 * static_cast<double>(t.tv_usec);
         };
         return {status, s(used.ru_utime) + s(used.ru_stime), used.ru_maxrss / 1024};
     }
     uint16_t port;
-    pid_t process = 0;
-    std::string file, text;
+    pid_t pid = 0;
+    std::string config_path, config_text;
 };
 
-inline void pause(int ms) { std::this_thread::sleep_for(std::chrono::milliseconds(ms)); }
+inline void sleep_ms(int ms) { std::this_thread::sleep_for(std::chrono::milliseconds(ms)); }
 
-inline bool until(const std::function<bool()>& so, int ms = 2000)
+inline bool wait_until(const std::function<bool()>& so, int ms = 2000)
 {
-    for (; ms > 0 && !so(); ms -= 5) pause(5);
+    for (; ms > 0 && !so(); ms -= 5) sleep_ms(5);
     return so();
 }
 
--- a/tests/zones.cpp
+++ b/tests/zones.cpp
@@ -9,20 +9,20 @@
 {
 
 constexpr uint32_t upstreams = 8;  // by turns of the own zone and of another
-constexpr Span probed_every = seconds(6);
+constexpr Duration probed_every = seconds(6);
 
 Settings two_zones()
 {
-    auto settings = BalancerHost::settings(BalancerHost::op(Idempotency::idempotent));
-    settings.crossing_price = 0.02;
-    settings.reports_by_probe = true;
+    auto settings = BalancerHost::make_settings(BalancerHost::make_operation(Idempotency::idempotent));
+    settings.cross_zone_price = 0.02;
+    settings.load_reports_by_probe = true;
     return settings;
 }
 
 LoadReport places(double queue, double utilisation)
 {
     LoadReport report;
-    report.queue = queue;
+    report.queue_length = queue;
     report.utilisation = utilisation;
     return report;
 }
@@ -31,14 +31,14 @@
 double crossing_part(const LoadReport& own_zone, const LoadReport& other_zone)
 {
     BalancerHost host(two_zones());
-    host.list(upstreams);
+    host.set_endpoints(upstreams);
     int own = 0;
     int crossing = 0;
     for (int round = 0; round < 10; ++round) {
         for (UpstreamId each = 0; each < upstreams; ++each)
-            host.balancer.probed(host.now, each, AttemptResult::succeeded,
-                                 each % 2 == 0 ? own_zone : other_zone);
-        const auto sent = host.many(100, AttemptResult::succeeded, ~0u, probed_every * 0.01);
+            host.balancer.on_probe_completed(host.now, each, AttemptResult::succeeded,
+                                             each % 2 == 0 ? own_zone : other_zone);
+        const auto sent = host.send_many(100, AttemptResult::succeeded, ~0u, probed_every * 0.01);
         for (const auto& [upstream, count] : sent) (upstream % 2 == 0 ? own : crossing) += count;
     }
     return crossing / static_cast<double>(own + crossing);
