--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -55,7 +55,7 @@
     return std::all_of(text.begin(), text.end(), [](unsigned char c) { return c > 0x20 && c != 0x7f; });
 }
 
-constexpr double most_figure = 1e6;  // of a load report that can be meant
+constexpr double most_figure = 1e6;  // larger values in a load report are not plausible
 
 bool printable(std::string_view text)
 {
@@ -106,7 +106,7 @@
     return std::none_of(own.begin(), own.end(), [&](auto name) { return equals_ignore_case(name, header); });
 }
 
-// All of it or nothing. Guards against figures from a report that is spoilt elsewhere.
+// All or nothing: no value is used from a report that is invalid elsewhere.
 LoadReport decode_load_report(const ServiceConfig& setup, std::string_view text)
 {
     LoadReport report;
@@ -147,9 +147,9 @@
     into.config_version = setup.config_version;
     into.time_left = setup.settings.operations[*operation].client_timeout;
     const auto nobody = static_cast<uint32_t>(setup.tenant_names.size());
-    into.tenant = nobody;  // what no tenant is named for counts against nobody's share
+    into.tenant = nobody;  // a request without a known tenant counts against no tenant's share
     for (auto& [name, value] : headers) {
-        // Guards against a stray carriage return, which the next reader might take for the end of a line.
+        // The next parser might take a stray carriage return for the end of a line.
         if (!plain(name) || !printable(value)) return RequestError{400, "unreadable header"};
         if (equals_ignore_case(name, "Req-Id")) into.id = value;
         if (equals_ignore_case(name, "Req-Owner"))
@@ -168,7 +168,7 @@
 namespace
 {
 
-// Of a message of which there is more than the bytes that go with its head.
+// For a message with more body than is sent with its head.
 template <class Message>
 std::string framing_of(const Message& message)
 {
@@ -275,7 +275,8 @@
     return text;
 }
 
-// One part further; false where there is not enough yet or something is wrong.
+// Advances by one phase or line. Returns false if bytes are missing or, with `ok` false, the message is
+// invalid.
 bool MessageReader::step(bool& ok)
 {
     if (head_bytes_ > max_head_bytes || come_ > max_message_bytes) return ok = false;
@@ -301,7 +302,7 @@
         case Part::headers: {
             if (text->empty()) return ok = head_done();
             const auto colon = text->find(':');
-            // A line that goes on with the last header is read in two ways: by none here.
+            // Parsers disagree about a line that continues the previous header, so it is rejected.
             if (colon == std::string_view::npos || !plain(text->substr(0, colon)) || colon == 0)
                 return ok = false;
             const auto name = text->substr(0, colon), value = trimmed(text->substr(colon + 1));
@@ -333,7 +334,8 @@
     } else if (equals_ignore_case(name, "Connection")) {
         if (names_token(value, "close")) keeps_ = false;
     }
-    // Both at once are read in two ways: what one reader takes for the body, the next takes for a message.
+    // Parsers disagree about a message with both: what one takes for the body, the next takes for another
+    // message.
     return !(length_ && chunked_);
 }
 
@@ -372,7 +374,7 @@
 
 bool ResponseReader::head_done()
 {
-    if (response_.status < 200) {  // an interim answer: the real one follows, within the same limit of bytes
+    if (response_.status < 200) {  // an interim response: the final one follows, within the same size limit
         part_ = Part::first_line;
         begun_ = false;
         return response_.status != 101;
@@ -407,7 +409,7 @@
 
 bool RequestReader::first_line(std::string_view text)
 {
-    if (text.empty()) return true;  // left over from the last request, in the old way
+    if (text.empty()) return true;  // an empty line after the previous request, as old clients send it
     const auto one = text.find(' '), two = text.rfind(' ');
     if (one == std::string_view::npos || one == two) return false;
     const auto version = text.substr(two + 1);
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -1,5 +1,5 @@
-// What goes over the wire between callers, this program and upstreams: decoded once into small values here,
-// and encoded once. Nothing else reads or writes HTTP text.
+// HTTP messages between callers, this program and upstreams: decoded here into small values, and encoded
+// here. Other components do not parse HTTP text.
 #pragma once
 
 #include <optional>
@@ -13,15 +13,14 @@
 namespace firtide
 {
 
-inline constexpr size_t max_buffered_body_bytes = 64 * 1024;  // taken in whole; beyond, passed on in pieces
-inline constexpr size_t max_buffered_unsized_bytes =
-    8 * 1024;  // the same of an answer whose length is not told
-inline constexpr size_t max_message_bytes = size_t{40} << 20;  // in all
+inline constexpr size_t max_buffered_body_bytes = 64 * 1024;    // larger bodies are relayed in chunks
+inline constexpr size_t max_buffered_unsized_bytes = 8 * 1024;  // the same for a response of unknown length
+inline constexpr size_t max_message_bytes = size_t{40} << 20;   // of the body in total
 inline constexpr size_t max_head_bytes = 16 * 1024;
 
 using Headers = std::vector<std::pair<std::string, std::string>>;
 
-// An invocation as a caller asked for it.
+// A request as its caller sent it.
 struct Request {
     std::string method, target, id;
     uint32_t operation = 0, tenant = 0;
@@ -29,30 +28,30 @@
     Headers forwarded_headers;
     std::string body;
     uint32_t config_version = 0;                // of the settings that it was decoded with
-    bool body_incomplete = false;               // of the body is still to come
-    std::optional<size_t> content_length = {};  // of it in all, where it is known and more is to come
+    bool body_incomplete = false;               // more of the body is still to come
+    std::optional<size_t> content_length = {};  // of the whole body, if known and more is to come
 };
 
 struct Response {
     int status = 0;
-    bool declined = false;  // the upstream says that it has not begun
+    bool declined = false;  // the upstream says that it has not begun to execute the request
     LoadReport load_report;
     Headers forwarded_headers;
     std::string body;
-    bool body_incomplete = false;               // of the body follows in pieces
-    std::optional<size_t> content_length = {};  // of it in all, where it is known and more follows
+    bool body_incomplete = false;               // more of the body follows in chunks
+    std::optional<size_t> content_length = {};  // of the whole body, if known and more follows
 };
 
-// An answer of the balancer itself, with a line of text as its body.
+// A response of the balancer itself, with a line of text as its body.
 Response plain_response(int status, std::string_view text);
 
-// Why a request was not taken, as the status it is answered with.
+// Why a request was rejected, with the status of the response.
 struct RequestError {
     int status = 400;
     const char* reason = "";
 };
 
-// How far an attempt came, and what ended it. What this proves is decided in the reducer, once.
+// How far an attempt got, and what ended it. What this proves is decided by net::result_of() only.
 enum class AttemptProgress { not_connected, partly_written, written, receiving_response };
 enum class FailureCause {
     connect_failed,
@@ -67,23 +66,24 @@
     FailureCause cause = FailureCause::connection_lost;
 };
 
-std::string origin_form(std::string_view target);  // without scheme and host, where a target has them
+std::string origin_form(std::string_view target);  // without scheme and host, if the target has them
 std::optional<uint32_t> decode_operation(const ServiceConfig& setup, std::string_view target);
 std::optional<RequestError> decode_request(const ServiceConfig& setup, Headers headers, Request& into);
 std::string encode_request(const Request& request, std::string_view host, Duration wait);
-// Old callers, of HTTP/1.0, read to the end of the connection what has no length.
+// HTTP/1.0 callers read a body without a length to the end of the connection.
 std::string encode_response(const Response& response, bool last_on_connection, bool old = false);
-// What follows a message's head and first bytes, where there was more.
+// Encodes body bytes that follow the head and first bytes of a message.
 std::string encode_body_chunk(std::string bytes, bool chunked, bool last);
 LoadReport decode_load_report(const ServiceConfig& setup, std::string_view text);
 std::string encode_probe(std::string_view host, bool with_report);
 
 std::string encode_seconds(Duration span);
-bool equals_ignore_case(std::string_view a, std::string_view b);  // of headers: letter case is nothing
-bool is_forwarded_header(std::string_view header);                // is not of one connection alone
+bool equals_ignore_case(std::string_view a, std::string_view b);  // ASCII letters only
+// False for hop-by-hop headers and for those that are rewritten or dropped here.
+bool is_forwarded_header(std::string_view header);
 
-// Takes a message in as it comes, and nothing past its end: head, then a body of a stated length, in chunks
-// or to the end of the connection.
+// Parses a message as its bytes arrive, and nothing past its end: a head, then a body of a stated length, in
+// chunks or to the end of the connection.
 class MessageReader
 {
   public:
@@ -91,23 +91,23 @@
 
     virtual ~MessageReader() = default;
 
-    // How many of the bytes belong to this message is in used().
+    // consumed_bytes() says how many of the bytes belong to this message.
     State parse(std::string_view bytes);
     size_t consumed_bytes() const { return used_; }
     bool has_started() const { return begun_; }
     bool keep_alive() const { return keeps_; }
     bool is_head_complete() const { return part_ != Part::first_line && part_ != Part::headers; }
-    // Too much to be taken in whole: what has come may be taken away in pieces.
+    // The body is too large to buffer: take_body() may remove what has arrived so far.
     bool exceeds_buffer() const;
     std::string take_body() { return std::exchange(body(), {}); }
     std::optional<size_t> content_length() const { return length_; }
-    size_t body_bytes_received() const { return come_; }  // of the body
+    size_t body_bytes_received() const { return come_; }
     size_t max_remaining_body_bytes() const
     {
         return is_complete() ? 0 : length_.value_or(max_message_bytes) - come_;
-    }  // at most
+    }
     bool is_complete() const { return part_ == Part::done; }
-    // The connection has ended without a fault: whether that is the message's end.
+    // Whether a regular end of the connection completes the message.
     bool ends_at_close() const { return part_ == Part::to_the_end; }
 
   protected:
@@ -118,7 +118,7 @@
     virtual bool head_done() = 0;
     virtual std::string& body() = 0;
 
-    // Reads what tells the body's end. False where it cannot be relied on.
+    // Reads the headers that determine where the body ends. Returns false if they cannot be relied on.
     bool framing(std::string_view name, std::string_view value);
     void body_follows();
 
@@ -135,8 +135,8 @@
     size_t at_ = 0, wanted_ = 0, head_bytes_ = 0, used_ = 0;
 };
 
-// An answer of an upstream. Guards against answers cut short: up to the size that is taken in whole, only a
-// whole one is ever handed out, and one that is told by the end of the connection only if that was announced.
+// A response of an upstream. Truncated responses are not accepted: up to the buffered size only a complete
+// one is handed out, and one that ends with the connection only if closing it was announced.
 class ResponseReader : public MessageReader
 {
   public:
@@ -154,8 +154,8 @@
     Response response_;
 };
 
-// A request of a caller. What is wrong with it is known once its head is there: a body that belongs to such
-// a one is never read.
+// A request of a caller. It is checked once its head is complete: the body of a rejected request is never
+// read.
 class RequestReader : public MessageReader
 {
   public:
@@ -164,9 +164,9 @@
     Request& request() { return request_; }
     const RequestError& error() const { return why_; }
     bool is_readiness_check() const;
-    size_t body_bytes_to_buffer() const;  // bytes of its body at most, once the head is there
+    size_t body_bytes_to_buffer() const;  // an upper bound, once the head is complete
     bool expects_continue() const { return body_bytes_to_buffer() > 0 && expects_; }
-    bool is_http_1_0() const { return old_; }  // HTTP/1.0
+    bool is_http_1_0() const { return old_; }
     void mark_continue_sent() { expects_ = false; }
 
   private:
--- a/src/net/reducer.cpp
+++ b/src/net/reducer.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// Attempts go on to begin for so long for a client that has closed its sending side.
+// New attempts may start for this long after a caller has shut its sending side.
 constexpr Duration half_closed_grace = seconds(0.05);
 
 }  // namespace
@@ -36,8 +36,8 @@
     now_ = now;
     if (view_ && view_->needs_update([this](UpstreamId t) { return reduction(t); })) show();
     std::visit([this](auto& e) { on(e); }, event);
-    // The module is told only now of a forward that was cancelled, or that could not be made: it may not be
-    // called while it decides.
+    // The decision module learns only now of a forward that was cancelled or could not be made: it must not
+    // be called while it decides.
     while (!settled_.empty()) {
         const auto [id, result] = settled_.front();
         settled_.pop_front();
@@ -55,7 +55,7 @@
 
 void Reducer::on(RequestReceived& arrived)
 {
-    // Guards against a request whose head was read under other settings being taken for another operation.
+    // A request whose head was read under other settings must not be taken for another operation.
     if (arrived.request.config_version != setup_.config_version) {
         const auto operation = decode_operation(setup_, arrived.request.target);
         if (!operation) {
@@ -64,13 +64,13 @@
             return;
         }
         arrived.request.operation = *operation;
-        arrived.request.tenant = static_cast<uint32_t>(setup_.tenant_names.size());  // nobody
+        arrived.request.tenant = static_cast<uint32_t>(setup_.tenant_names.size());  // no tenant
     }
     ++taken_;
     if (view_) view_->count_request();
     OutcomeCounts& outcomes = outcomes_of(arrived.request.operation);
     if (turned_away(arrived)) return;
-    // Guards against two forwards under one id, of which an upstream would take the second for a copy.
+    // Of two forwards with one id, an upstream would take the second for a copy of the first.
     if (!open_ids_.insert(arrived.request.id).second) {
         ++outcomes.failure;
         effects_.push_back(SendResponse{arrived.caller, plain_response(409, "this id is open\n"), true});
@@ -113,15 +113,16 @@
     balancer_.on_client_disconnected(now_, at->second);
 }
 
-// One that has gone and one that listens look the same: what is out goes on, nothing more begins.
+// A caller that has disconnected and one that still reads look the same: running attempts continue, but no
+// new ones start.
 void Reducer::on(DownstreamHalfClosed closed)
 {
     if (const auto at = invocation_of_.find(closed.caller); at != invocation_of_.end())
         invocations_[at->second].half_closed = now_;
 }
 
-// The last check before bytes leave. Guards against an upstream that drained or moved, and an invocation that
-// ended or ran out of time, while the connection was being made.
+// The last check before bytes are sent: while the connection was being made, the upstream may have drained or
+// moved to another address, and the invocation may have ended or run out of time.
 bool Reducer::may_write(const Attempt& attempt) const
 {
     const Upstream& u = upstreams_[attempt.upstream_id];
@@ -168,9 +169,9 @@
         i.on_way = 0;
         return hear(i);
     }
-    // What took long to come took its caller's time, not the upstream's.
+    // The time it took to receive a streamed request is its caller's, not the upstream's.
     if (i.spent && !at->second.counted) at->second.sent = now_;
-    // Once: what came back may be heard of before the last byte is known to have left.
+    // Counted once: the response may be reported before the last byte is known to have been sent.
     backend_calls_ += !std::exchange(at->second.counted, true);
 }
 
@@ -190,7 +191,8 @@
 {
     const auto result = result_of(answered.response);
     if (const auto at = attempts_.find(answered.attempt); at != attempts_.end()) {
-        // An answer that comes before the request has gone is no more than a word on how it ended.
+        // A response that comes before the request has been sent only shows how the attempt ended: the
+        // request does not count as written, and a large response is not relayed.
         const bool early = at->second.inv && invocations_[*at->second.inv].request.body_incomplete;
         if (!early) on(RequestWritten{answered.attempt});
         if (answered.response.body_incomplete && result == AttemptResult::succeeded && !early)
@@ -216,7 +218,7 @@
 void Reducer::ended(AttemptId id, AttemptResult result, Response* response)
 {
     const auto at = attempts_.find(id);
-    if (at == attempts_.end()) return;  // called off before
+    if (at == attempts_.end()) return;  // cancelled before
     const Attempt a = at->second;
     attempts_.erase(at);
     if (a.inv && invocations_[*a.inv].goes_to == id) {
@@ -235,11 +237,12 @@
             now_, a.upstream_id, result, asked ? decode_load_report(setup_, response->body) : LoadReport{});
     }
     const LoadReport report = response ? response->load_report : LoadReport{};
-    // What is called off, or was never sent, says nothing of the upstream.
+    // An attempt that was cancelled, never sent, or failed because of the request itself says nothing about
+    // the upstream.
     if (view_ && result != AttemptResult::cancelled && result != AttemptResult::not_sent &&
         result != AttemptResult::invalid_request)
         view_->record_response(now_, a.upstream_id, result == AttemptResult::succeeded);
-    // The first success is the answer, without being asked for.
+    // The first success is the response; the decision module does not have to ask for it.
     if (result == AttemptResult::succeeded) answer(*a.inv, std::move(*response));
     const bool over = invocations_[*a.inv].over;
     balancer_.on_forward_ended(now_, *a.inv, a.nth, result, now_ - a.sent, over, report);
@@ -253,7 +256,7 @@
     open_ids_.erase(i.request.id);
 }
 
-// Every answer to a caller passes here; a second one never does.
+// The response to each invocation goes through here; a second one is never sent.
 void Reducer::answer(InvocationId inv, Response response)
 {
     Invocation& i = invocations_[inv];
@@ -290,8 +293,8 @@
     if (nth == 0) i.first_sent = now_;
     if (nth > 0 && i.window > Duration{}) attempt.written_by = i.first_sent + i.window;
     if (!i.spent && may_begin(i) && within_budgets(nth, upstream_id)) return dial(id, std::move(attempt));
-    // Guards against a request that lacks the bytes which were not held: there is nothing left to send. And
-    // against more than this balancer's part of a budget of the fleet.
+    // Not sent: the bytes of the request are no longer held, its caller may have disconnected, or this
+    // balancer's share of a fleet budget is used up.
     attempts_.emplace(id, std::move(attempt));
     settled_.emplace_back(id, AttemptResult::not_sent);
 }
--- a/src/net/reducer.h
+++ b/src/net/reducer.h
@@ -1,5 +1,6 @@
-// All changes of state: a typed event in, effects out. It calls the decision module, whose Outlet becomes
-// effects, and stands at the one place that every write to an upstream passes. It does no input or output.
+// The state machine of the balancer: takes typed events and returns the effects to carry out. It calls the
+// decision module, turns that module's calls of its BalancerDelegate into effects, and makes the last check
+// before any write to an upstream. No I/O.
 #pragma once
 
 #include <deque>
@@ -17,30 +18,30 @@
 namespace firtide::net
 {
 
-using RequestId = uint64_t;          // one request of a caller
-using AttemptId = uint64_t;          // one forward or probe
-using AdminConnectionId = uint64_t;  // one call at the management address
+using RequestId = uint64_t;          // a request of a caller
+using AttemptId = uint64_t;          // a forward or a probe
+using AdminConnectionId = uint64_t;  // a command at the management address
 
-// One lifecycle, which all that tells or asks of it reads.
+// The lifecycle state that operators and readiness checks are told.
 enum class ServingState { starting, ready, draining, stopping };
 
-// What operators may ask for.
+// Commands of operators.
 enum class AdminCommand { ready, show_stat, drain, resume };
 
-// Requests of one operation, from the start of this process.
+// Outcomes of an operation's requests since this process started.
 struct OutcomeCounts {
     uint64_t success = 0, busy = 0, failure = 0;
 };
 
-// `taken` is the sum of all outcomes, of what is in flight and of what its caller left.
+// `requests_received` is the sum of all outcomes, `inflight` and `requests_abandoned`.
 struct ServiceStatistics {
     std::map<std::string, OutcomeCounts> outcomes_by_operation;
-    uint64_t backend_calls = 0;  // forwards written whole; probes are none
+    uint64_t backend_calls = 0;  // completely written forwards, without probes
     uint64_t requests_received = 0, requests_abandoned = 0;
     size_t inflight = 0, hosts_listed = 0, hosts_down = 0;
 };
 
-// A line of the list of upstreams.
+// An entry of the list of upstreams.
 struct ListedEndpoint {
     std::string uid, endpoint;
     EndpointPhase phase = EndpointPhase::gone;
@@ -56,7 +57,7 @@
     bool is_full = false;
     std::vector<ListedEndpoint> entries;
 };
-struct EndpointListRestored {  // from before this start; it may be old
+struct EndpointListRestored {  // from before this start; it may be outdated
     std::vector<ListedEndpoint> entries;
 };
 struct EndpointListFetchFailed {
@@ -64,21 +65,22 @@
 struct RequestReceived {
     RequestId caller;
     Request request;
-    bool half_closed = false;  // by its caller, and a while ago
+    bool half_closed = false;  // by its caller, some time ago
 };
 struct DownstreamDisconnected {
     RequestId caller;
 };
-struct DownstreamHalfClosed {  // the caller sends nothing more: it listens, or has gone
+struct DownstreamHalfClosed {  // the caller sends nothing more: it may still read, or has disconnected
     RequestId caller;
 };
-struct RequestChunkReceived {  // more of a request's body
+struct RequestChunkReceived {  // more of the body of a request that is streamed
     RequestId caller;
     std::string bytes;
     bool is_last = false;
-    Duration read_delay = {};  // the last byte, unread
+    Duration read_delay = {};  // how long the last byte waited to be read
 };
-// To the caller: nearly all that was passed on to it; of an answer that was passed on whole, all.
+// Nearly all bytes handed over for the caller have been sent; of a response that was handed over completely,
+// all.
 struct ResponseDrained {
     RequestId caller;
 };
@@ -89,7 +91,7 @@
     AttemptId attempt;
     Response response;
 };
-struct ResponseChunkReceived {  // more of the body of an answer that is passed on
+struct ResponseChunkReceived {  // more of the body of a response that is relayed
     AttemptId attempt;
     std::string bytes;
     bool is_last = false;
@@ -98,10 +100,10 @@
     AttemptId attempt;
     ConnectionError error;
 };
-struct RequestWritten {  // all that was handed over for it has left
+struct RequestWritten {  // all bytes handed over for the attempt have been sent
     AttemptId attempt;
 };
-struct RequestRejected {  // before its body, with its head read: there was no room for it
+struct RequestRejected {  // after its head was read, because there was no memory for its body
     uint32_t operation = 0, config_version = 0;
 };
 struct AdminCommandReceived {
@@ -111,27 +113,28 @@
 struct TimerFired {
     uint64_t timer_id;
 };
-struct ProcessCountChanged {  // memory and descriptors, among so many processes of this balancer
+struct ProcessCountChanged {  // how many processes of this balancer share its memory and descriptors
     size_t process_count = 1;
 };
 struct ShutdownStarted {
-    bool other_process_listening = false;  // at the same listening socket
+    bool other_process_listening = false;  // serves at the same listening socket
 };
-// A duty's probes: of the upstreams of this part and slice of the fleet's. What they leave with is the stamp.
+// The probes of a fleet duty: of the upstreams in this shard and time slice. Their writes carry the fencing
+// token.
 struct ProbesDue {
     uint32_t shard = 0, shard_count = 1, slice = 0, slice_count = 1;
     uint64_t fencing_token = 0;
 };
-struct ProbeReportReceived {  // of a probe that another balancer has made
+struct ProbeReportReceived {  // of a probe made by another balancer
     std::string uid;
     bool success = false;
     std::string load_report;
 };
-struct ConfigReloaded {  // the configuration, while serving
+struct ConfigReloaded {  // while serving
     std::string discovery_address;
-    std::optional<ServiceConfig> service_config;  // where the settings are others
+    std::optional<ServiceConfig> service_config;  // only if the settings have changed
 };
-// Of the fleet that this balancer is a member of.
+// Events of the fleet that this balancer is a member of.
 struct SubsetPeersUpdated {
     std::vector<fleet::SubsetPeer> peers;
 };
@@ -141,13 +144,13 @@
 struct QuotasUpdated {
     std::vector<fleet::QuotaLease> leases;
 };
-struct SnapshotRestored {  // from before this start
+struct SnapshotRestored {  // saved before this start
     fleet::MemberSnapshot snapshot;
 };
 struct FleetStateUpdated {
     fleet::FleetState state;
 };
-struct Tick {  // every tenth of a second or so, as a member of a fleet
+struct Tick {  // about every 0.1 s, as a member of a fleet
 };
 using Event =
     std::variant<ServiceStarted, EndpointListUpdated, EndpointListRestored, EndpointListFetchFailed,
@@ -163,8 +166,8 @@
     Response response;
     bool close_connection = false;
 };
-struct ConnectUpstream {  // get a connection, then say Connected; Failed where there is no answer within the
-                          // limit
+struct ConnectUpstream {  // get a connection and report UpstreamConnected; report AttemptFailed if there is
+                          // no response within the timeout
     AttemptId attempt;
     UpstreamId upstream_id;
     std::string endpoint;
@@ -173,33 +176,34 @@
 struct WriteUpstream {
     AttemptId attempt;
     std::string bytes;
-    bool request_incomplete = false;  // of the request follows
-    uint64_t fencing_token = 0;       // of the duty that it is an effect of; zero: of none
+    bool request_incomplete = false;  // more of the request follows
+    uint64_t fencing_token = 0;       // of the fleet duty that it is written for; 0: none
 };
-struct SetAttemptTimeout {  // of an attempt that is out, anew
+struct SetAttemptTimeout {  // replaces the timeout of a running attempt
     AttemptId attempt;
     Duration timeout;
 };
-struct SendResponseChunk {  // a piece of an answer
+struct SendResponseChunk {  // part of the body of a relayed response
     RequestId caller;
     std::string bytes;
     bool is_last = false;
 };
-struct AbortResponse {  // an answer that cannot be finished, so that its caller can tell
+struct AbortResponse {  // ends a response that cannot be completed, so that its caller can tell
     RequestId caller;
 };
-struct SetRequestReading {  // more of a request from its caller, or for now no more
+struct SetRequestReading {  // resumes or pauses reading a request from its caller
     RequestId caller;
     bool enabled = false;
 };
-struct SetResponseReading {  // more of an answer from its upstream, or for now no more
+struct SetResponseReading {  // resumes or pauses reading a response from its upstream
     AttemptId attempt;
     bool enabled = false;
 };
 struct CloseUpstream {
     AttemptId attempt;
 };
-struct CancelWrite {  // what was handed over, as long as none of it has left; then Failed follows
+struct CancelWrite {  // takes back what was handed over if none of it has been sent; then AttemptFailed
+                      // follows
     AttemptId attempt;
 };
 struct CloseIdle {
@@ -211,16 +215,16 @@
 };
 struct WatchEndpointList {
 };
-struct MoveEndpointWatch {  // to another address; what the last one says from now on is nothing
+struct MoveEndpointWatch {  // to another address; what the previous one still sends is ignored
     std::string discovery_address;
 };
-struct ProbeCompleted {  // for the other balancers
+struct ProbeCompleted {  // for the other balancers of the fleet
     uint64_t fencing_token = 0;
     std::string uid;
     bool success = false;
     std::string load_report;
 };
-struct AdminCommandResult {  // or not, as the answer to an operator
+struct AdminCommandResult {  // the response to an operator
     AdminConnectionId connection;
     bool success = false;
     ServingState serving_state = ServingState::starting;
@@ -232,22 +236,23 @@
                             CloseUpstream, CancelWrite, CloseIdle, StartTimer, WatchEndpointList,
                             MoveEndpointWatch, AdminCommandResult, ProbeCompleted, LocalObservations>;
 
-// The same at every instance, whatever the order in which upstreams are met.
+// FNV-1a, the same at every instance, independent of the order in which upstreams become known.
 uint64_t hash_uid(std::string_view uid);
 
 class Reducer : private BalancerDelegate
 {
   public:
-    // The setup is the one that all parts read; new settings are put there. room: bytes of messages that are
-    // passed on, together.
+    // `config` is shared with all components; new settings are written to it. `relay_memory_bytes`: for all
+    // relayed messages together.
     Reducer(ServiceConfig& setup, uint64_t seed, std::string discovery, size_t room = size_t{1} << 30);
 
-    // As a member of a fleet: what the module is shown follows the choices of all. Before the first event.
+    // Makes this balancer a member of a fleet: what the decision module is shown of the upstreams then
+    // follows the choices of all members. To be called before the first event.
     void join_fleet(fleet::EndpointView::Config rules);
-    // And its return is in stages, with what it remembers.
+    // Makes the start of such a member staged, with what its snapshot holds.
     void enable_staged_startup(fleet::StartupConfig rule) { recovery_.emplace(rule); }
 
-    // The effects are to be carried out in their order.
+    // The effects must be carried out in their order.
     std::vector<Effect> reduce(TimePoint now, Event event);
 
     ServingState serving_state() const;
@@ -255,34 +260,35 @@
     {
         return serving_state() == ServingState::ready && (!recovery_ || list_told_ || recovery_->is_ready());
     }
-    // Draining or stopping for so long that each answer is the last on its connection and idle ones may go.
+    // Whether it has been draining or stopping long enough that each response is the last on its connection
+    // and idle connections may be closed.
     bool should_close_connections(TimePoint now) const;
-    // What comes after the signal to stop has its answer within this after it.
+    // Requests received after the stop signal are answered within this time after the signal.
     Duration shutdown_response_time() const;
     ServiceStatistics statistics();
-    size_t upstream_slot_count() const { return upstreams_.size(); }  // for upstreams
+    size_t upstream_slot_count() const { return upstreams_.size(); }
     size_t in_flight() const { return invocation_of_.size() + relays_.size(); }
 
   private:
-    // Lives from arrival until the module lets go of it.
+    // A request, from its arrival until the decision module releases it.
     struct Invocation {
         RequestId caller = 0;
         bool over = true;
         Request request;
         std::vector<AttemptId> attempts;
-        std::vector<UpstreamId> met;  // upstreams it was forwarded to
+        std::vector<UpstreamId> met;
         OutcomeCounts* outcomes = nullptr;
-        // Of a request that is passed on while it comes.
+        // For a request that is forwarded while it is being received.
         std::optional<AttemptId> goes_to;
         size_t on_way = 0;
-        bool spent = false;  // bytes have gone that are not held any more: it cannot be sent again
-        bool bound = false;  // to an attempt whose answer is being passed on
-        std::optional<TimePoint> half_closed;  // by its caller
-        Duration window;                       // in which a repeat is recognised; zero: no such limit
-        TimePoint first_sent;                  // the first of its forwards
+        bool spent = false;  // bytes were sent that are no longer held: it cannot be sent again
+        bool bound = false;  // the response of one of its attempts is being relayed
+        std::optional<TimePoint> half_closed;  // its caller sends nothing more
+        Duration window;                       // in which upstreams recognise a repeat; zero: no such limit
+        TimePoint first_sent;
     };
-    // Lives while an answer is passed on that is too large to be taken in whole. The module knows it as
-    // succeeded: nothing but this attempt can be the answer any more.
+    // A response that is too large to buffer, while it is relayed in chunks. The decision module knows its
+    // attempt as succeeded: no other attempt can provide the response any more.
     struct Relay {
         RequestId caller = 0;
         std::string id;
@@ -290,21 +296,22 @@
         size_t on_way = 0;
         bool held = false, all_came = false;
     };
-    // Lives as long as one forward or probe.
+    // A forward or probe in progress.
     struct Attempt {
         std::optional<InvocationId> inv;  // none: a probe
         uint32_t nth = 0;
         UpstreamId upstream_id = 0;
         std::string endpoint;
         TimePoint sent, until;
-        bool counted = false;                      // as written whole
-        uint64_t stamp = 0;                        // of a duty's probe
-        std::optional<TimePoint> written_by = {};  // its first byte; later it is no repeat any more
+        bool counted = false;
+        uint64_t stamp = 0;  // of a fleet duty's probe
+        // For its first byte; later, upstreams do not recognise it as a repeat.
+        std::optional<TimePoint> written_by = {};
     };
-    // Lives until its place is wanted for another, and nothing refers to it any more.
+    // Its slot is reused for another upstream once it has gone and nothing refers to it any more.
     struct Upstream {
         std::string uid, endpoint;
-        size_t referred = 0;  // by invocations and probes
+        size_t referred = 0;  // invocations and probes
         EndpointPhase phase = EndpointPhase::gone;
     };
 
@@ -377,15 +384,15 @@
 
     ServiceConfig& setup_;
     const size_t all_room_;
-    size_t room_, sending_ = 0;  // sending: requests that are passed on while they come
+    size_t room_, sending_ = 0;  // forwarded while being received
     TimePoint now_;
     std::vector<Effect> effects_;
-    std::deque<std::pair<AttemptId, AttemptResult>>
-        settled_;  // here; told to the module once it has returned
+    // Of attempts that ended here; the decision module is told once it has returned.
+    std::deque<std::pair<AttemptId, AttemptResult>> settled_;
     std::vector<Invocation> invocations_;
     std::vector<InvocationId> free_;
     std::unordered_map<RequestId, InvocationId> invocation_of_;
-    std::unordered_set<std::string> open_ids_;  // of what is not answered yet
+    std::unordered_set<std::string> open_ids_;  // of unanswered requests
     std::unordered_map<AttemptId, Attempt> attempts_;
     std::unordered_map<AttemptId, Relay> relays_;
     std::unordered_map<RequestId, AttemptId> relay_of_;
@@ -393,19 +400,19 @@
     std::vector<Upstream> upstreams_;
     std::unordered_map<std::string, UpstreamId> upstream_of_;
     bool listed_ = false;
-    std::optional<TimePoint> stopped_, drained_;  // since then
+    std::optional<TimePoint> stopped_, drained_;
     bool another_serves_ = false;
     std::map<std::string, OutcomeCounts> outcomes_;
     uint64_t backend_calls_ = 0, taken_ = 0, left_ = 0;
     std::string discovery_;
-    std::optional<fleet::EndpointView> view_;  // as a member of a fleet with choices that add up
-    std::vector<EndpointState> real_;          // by place, where there is one
+    std::optional<fleet::EndpointView> view_;  // only as a member of a fleet
+    std::vector<EndpointState> real_;          // by slot; only with view_
     double sharers_ = 0;
     std::optional<fleet::StartupSequencer> recovery_;
-    std::unordered_set<std::string> may_have_run_;  // before this start, by id
+    std::unordered_set<std::string> may_have_run_;  // before this start
     bool list_told_ = false;
     uint64_t went_well_ = 0;
-    double well_rate_ = 0;  // a second
+    double well_rate_ = 0;  // successful requests a second, smoothed
     TimePoint well_at_;
     Balancer balancer_;
 };
--- a/src/net/reducer_admin.cpp
+++ b/src/net/reducer_admin.cpp
@@ -1,4 +1,4 @@
-// The reducer's part for operators, new settings and the shutdown.
+// The reducer's handling of operators' commands, new settings and the shutdown.
 #include <algorithm>
 
 #include "reducer.h"
@@ -8,13 +8,13 @@
 namespace
 {
 
-// The front goes on sending to a balancer that drains until it has noticed.
+// The front keeps sending requests to a draining balancer until it has noticed.
 constexpr Duration front_notice_time = seconds(0.4);
-// The process may be killed so long after the signal to stop and the longest time that a client waits, of
-// which no more than max_client_wait counts.
+// The process may be killed this long after the stop signal plus the longest client timeout, of which no more
+// than max_client_wait counts.
 constexpr Duration kill_delay = seconds(0.7), max_client_wait = seconds(3);
-// Requests that come after the signal are answered so long before that, and idle connections are closed so
-// long before the last answer.
+// Requests received after the signal are answered kill_margin before that time, and idle connections are
+// closed close_margin before the last response.
 constexpr Duration kill_margin = seconds(0.3), close_margin = seconds(1.4);
 
 }  // namespace
@@ -25,7 +25,7 @@
     another_serves_ = stopping.other_process_listening;
 }
 
-// A second drain changes nothing, nor does a resume where nothing drains. What stops does so for good.
+// A second drain changes nothing, nor does a resume without a drain. A shutdown cannot be undone.
 void Reducer::on(AdminCommandReceived ordered)
 {
     AdminCommandResult obeyed{ordered.connection, true, {}, {}};
@@ -61,7 +61,7 @@
     return f;
 }
 
-// What is open finishes as the module says; its answers come from upstreams that stay the same.
+// Open requests finish as the decision module says; their responses come from upstreams that stay the same.
 void Reducer::settings_are(ServiceConfig setup)
 {
     const auto places = [](const std::vector<std::string>& now, const std::vector<std::string>& before) {
@@ -81,8 +81,8 @@
     balancer_.update_settings(now_, setup_.settings, operations, tenants);
 }
 
-// The list, and what is known of its upstreams, stays as it is until the new address has told its own. With
-// new settings the list is asked for anew as a whole: its zones may have other places.
+// The list and what is known of its upstreams stay as they are until the new address has sent its list. With
+// new settings, the full list is fetched again: its zones may have other indices.
 void Reducer::on(ConfigReloaded& read)
 {
     if (read.discovery_address == discovery_ && !read.service_config) return;
@@ -91,8 +91,8 @@
     effects_.push_back(MoveEndpointWatch{std::move(read.discovery_address)});
 }
 
-// After the signal to stop. Guards against answers that wait for upstreams until the process is killed, where
-// clients wait for a short time only.
+// Counted from the stop signal. Where clients wait for a short time only, requests must not wait for
+// upstreams until the process is killed.
 Duration Reducer::shutdown_response_time() const
 {
     Duration longest;
@@ -100,7 +100,7 @@
     return std::min(max_client_wait, longest) + kill_delay - kill_margin;
 }
 
-// The module may wait longer than it is told by the margin of clocks.
+// The decision module may wait longer than time_left, by time_left_margin.
 void Reducer::bound_by_stop(Request& request) const
 {
     if (!stopped_) return;
--- a/src/net/reducer_endpoints.cpp
+++ b/src/net/reducer_endpoints.cpp
@@ -1,4 +1,4 @@
-// The reducer's part that keeps the list of upstreams: their places, their states, and probes of them.
+// The reducer's list of upstreams: their slots, their phases, and probes of them.
 #include <algorithm>
 
 #include "reducer.h"
@@ -12,8 +12,8 @@
 
 }  // namespace
 
-// A new upstream takes the place of one that has gone. Guards against growing with all that ever were; what
-// was forwarded to the old one still counts against it until it is over.
+// A new upstream takes the slot of one that has gone, so that memory does not grow with every upstream that
+// ever existed. What was forwarded to the old one keeps its slot in use until it has ended.
 UpstreamId Reducer::place_of(const std::string& uid)
 {
     const auto [at, fresh] = upstream_of_.try_emplace(uid, static_cast<UpstreamId>(upstreams_.size()));
@@ -38,9 +38,9 @@
     std::vector<EndpointPhase> before;
     for (Upstream& u : upstreams_) {
         before.push_back(u.phase);
-        if (all) u.phase = EndpointPhase::gone;  // a whole list drops what it does not name
+        if (all) u.phase = EndpointPhase::gone;  // a full list drops what it does not name
     }
-    // Those that have a place come first. Guards against giving it to another one of the same list.
+    // Known upstreams come first, so that their slots are not given to others of the same list.
     for (const ListedEndpoint& e : entries)
         if (const auto at = upstream_of_.find(e.uid); at != upstream_of_.end())
             upstreams_[at->second].phase = e.phase;
@@ -59,7 +59,7 @@
     for (UpstreamId t = 0; t < upstreams_.size(); ++t)
         if (before[t] == EndpointPhase::ready && upstreams_[t].phase != EndpointPhase::ready)
             effects_.push_back(CloseIdle{t}), left = true;
-    // Guards against a request that passed the gate before this list and leaves after it.
+    // A request may have passed may_write() before this list and not have been sent yet.
     if (left)
         for (const auto& [id, a] : attempts_)
             if (upstreams_[a.upstream_id].phase != EndpointPhase::ready) effects_.push_back(CancelWrite{id});
@@ -69,7 +69,7 @@
 
 void Reducer::on(EndpointListUpdated& told)
 {
-    // Guards against a discovery that has lost its own past: no good list is thrown away for an empty one.
+    // A discovery service that has lost its state sends an empty list: it does not replace a good one.
     const bool empty =
         recovery_ && told.is_full && told.entries.empty() && listed_ && !recovery_->accepts_empty_list(now_);
     if (recovery_ && !told.entries.empty()) recovery_->on_nonempty_list();
@@ -78,7 +78,8 @@
     balancer_.on_endpoint_list_fetched(now_, true);
 }
 
-// Of a list from before the start, warmth is not believed: what came back with this one is cold.
+// The start times of a list from before this start are not trusted: upstreams that came back together with
+// this balancer are cold.
 void Reducer::on(EndpointListRestored& told)
 {
     if (recovery_)
@@ -100,7 +101,8 @@
 
 void Reducer::on(EndpointListFetchFailed) { balancer_.on_endpoint_list_fetched(now_, false); }
 
-// Each upstream has its part, and its slice of the period, by its id: the same at every balancer.
+// The hash of its uid assigns each upstream a shard and a time slice of the period, the same at every
+// balancer.
 void Reducer::on(ProbesDue due)
 {
     for (UpstreamId t = 0; t < upstreams_.size(); ++t) {
--- a/src/net/reducer_fleet.cpp
+++ b/src/net/reducer_fleet.cpp
@@ -1,4 +1,4 @@
-// The reducer's part as a member of a fleet: what the decision module is shown of the upstreams, quotas, and
+// The reducer as a member of a fleet: what the decision module is shown of the upstreams, quotas, and
 // admission after a start.
 #include <algorithm>
 
@@ -44,11 +44,11 @@
     if (view_) view_->set_quotas(now_, parts.leases);
 }
 
-// Against the fleet's own limits, before the module hears of it.
+// Checks the fleet's limits before the decision module sees the request. Returns whether it was rejected.
 bool Reducer::turned_away(RequestReceived& arrived)
 {
     OutcomeCounts& outcomes = outcomes_of(arrived.request.operation);
-    // What may have run before this start is never forwarded again.
+    // A non-idempotent request that may have run before this start is never forwarded again.
     if (!may_have_run_.empty() && may_have_run_.count(arrived.request.id) &&
         setup_.settings.operations[arrived.request.operation].idempotency == Idempotency::non_idempotent) {
         ++outcomes.failure;
@@ -57,7 +57,7 @@
         return true;
     }
     auto retry_after = over_rate(arrived.request);
-    // Spread by the caller's number, so that those turned away together don't come back together.
+    // Spread by request number, so that callers rejected together do not return together.
     if (!retry_after && recovery_ && !recovery_->try_admit(now_, rank_of(arrived.request.operation)))
         retry_after = seconds(1 + static_cast<double>(arrived.caller % 16) * 0.125);
     if (!retry_after) return false;
@@ -68,7 +68,7 @@
     return true;
 }
 
-// 0 for the operations that are worth most.
+// 0 for the most valuable operations, up to 1.
 double Reducer::rank_of(uint32_t operation) const
 {
     double most = 0;
@@ -81,7 +81,8 @@
     if (recovery_) recovery_->set_fleet_state(fleet.state);
 }
 
-// What listed upstreams can do by now, for their sizes.
+// Tells the startup sequence how much of their capacity the listed upstreams can serve by now, and updates
+// the rate of successful requests.
 void Reducer::look_at_return()
 {
     if (!recovery_) return;
@@ -104,7 +105,7 @@
     well_at_ = now_;
 }
 
-// What is told to the fleet for its snapshot.
+// Adds what the fleet is told for its snapshot.
 void Reducer::remember(LocalObservations& observed)
 {
     observed.startup_status = recovery_->status_lines(now_);
@@ -139,7 +140,7 @@
     effects_.push_back(std::move(*observed));
 }
 
-// The gate of the fleet's budgets: what it refuses has not been sent.
+// Takes a forward's tokens from the fleet's budgets; without them it counts as not sent.
 bool Reducer::within_budgets(uint32_t nth, UpstreamId upstream_id)
 {
     if (!view_) return true;
@@ -147,7 +148,7 @@
     return view_->take_from_slow_start_budget(now_, upstream_id);
 }
 
-// A tenant's rate over the whole fleet. When to come back, where this one is over its part.
+// Limits a tenant's rate over the whole fleet. Returns when to retry if this balancer's share is used up.
 std::optional<Duration> Reducer::over_rate(const Request& request)
 {
     if (!view_ || request.tenant >= setup_.tenant_names.size()) return {};
--- a/src/net/reducer_relay.cpp
+++ b/src/net/reducer_relay.cpp
@@ -1,5 +1,5 @@
-// The reducer's part for messages that are passed on in pieces: how much of each is on its way, and when its
-// reader is held.
+// The reducer's handling of messages that are relayed in chunks: how many bytes of each are in transit, and
+// when reading is paused.
 #include <algorithm>
 
 #include "reducer.h"
@@ -9,12 +9,13 @@
 namespace
 {
 
-// Bytes of one message on its way before its reader is held: less where there are many such messages.
+// Bytes of one message in transit before reading is paused; fewer when there are many such messages.
 constexpr size_t min_window_bytes = 16 * 1024, max_window_bytes = 64 * 1024;
 
 }  // namespace
 
-// More of a request that goes on while it comes. Until its last byte nothing has run; its time begins there.
+// More of a request that is forwarded while it is being received. Before its last byte nothing has run; its
+// time starts there.
 void Reducer::on(RequestChunkReceived& piece)
 {
     const auto at = invocation_of_.find(piece.caller);
@@ -38,13 +39,13 @@
     balancer_.on_request_complete(now_, at->second, i.request.time_left);
 }
 
-// Guards against memory that is used up by many large messages at once: their readers are held sooner.
+// With many large messages at once, reading is paused sooner, so that they do not use up the memory.
 size_t Reducer::most_on_way() const
 {
     return std::clamp(room_ / (relays_.size() + sending_ + 1), min_window_bytes, max_window_bytes);
 }
 
-// The caller is heard only while its bytes have somewhere to go.
+// Reads from the caller only while its bytes have somewhere to go.
 void Reducer::hear(const Invocation& i)
 {
     if (i.request.body_incomplete) effects_.push_back(SetRequestReading{i.caller, true});
@@ -61,7 +62,7 @@
     if (std::exchange(r.held, false)) effects_.push_back(SetResponseReading{id, true});
 }
 
-// From here on this attempt is the answer.
+// From here on, only this attempt can provide the response.
 void Reducer::bind(AttemptId id)
 {
     const auto at = attempts_.find(id);
@@ -86,7 +87,7 @@
     effects_.push_back(SetResponseReading{came.attempt, false});
 }
 
-// A relay is over, and counts as what it came to.
+// Ends a relay and counts its outcome; null: its caller has disconnected, which counts as none.
 void Reducer::relayed(AttemptId id, uint64_t OutcomeCounts::*as)
 {
     const Relay r = std::move(relays_[id]);
--- a/tests/message.cpp
+++ b/tests/message.cpp
@@ -1,5 +1,5 @@
-// HTTP messages, the configuration and lists of upstreams: what is accepted, what is refused, and how it is
-// passed on.
+// HTTP messages, the configuration and lists of upstreams: what is accepted, what is rejected, and how it is
+// forwarded.
 #include "src/http/message.h"
 
 #include <gtest/gtest.h>
@@ -31,8 +31,8 @@
 
 // ---- requests that are forwarded ----
 
-// How a request is refused, or by which tenant and with how much time it is accepted and what is sent to the
-// upstream.
+// How a request is rejected; or for which tenant and with how much time it is accepted, and what is sent to
+// the upstream.
 std::string forwarded(const std::string& target, Headers headers)
 {
     Request request{"POST", target, "", 0, 0, {}, {}, "body"};
@@ -96,7 +96,7 @@
     size_t used = 0;
 };
 
-// How a reader ends that gets the bytes in two pieces, and how many of them it used.
+// The final state of a reader that gets the bytes in two parts, and how many of them it consumed.
 template <class Reader>
 Taken take_in_two(Reader& reader, const std::string& bytes, size_t cut)
 {
@@ -128,7 +128,7 @@
     return text;
 }
 
-// The same bytes whole, and cut at every place up to the last one, must read the same.
+// The bytes in one part and in two parts, cut at every position below `last_cut`, must give the same result.
 void expect_response(const std::string& expected, const std::string& bytes, size_t last_cut = 400)
 {
     EXPECT_EQ(read_response(bytes, bytes.size()), expected);
@@ -155,7 +155,7 @@
     EXPECT_EQ(read_request(bytes, bytes.size()), expected);
     for (size_t cut = 0; cut < bytes.size(); ++cut) {
         const auto in_two = read_request(bytes, cut);
-        // What comes behind a request that is whole may not have come yet.
+        // The bytes after a complete request may not have arrived yet.
         if (in_two + ", more behind it" == expected) continue;
         ASSERT_EQ(in_two, expected) << "cut at " << cut;
     }
@@ -253,7 +253,8 @@
 
 // ---- large bodies ----
 
-// Too large to be taken in whole, and cut in pieces of a size: what is taken away is all there is, in order.
+// A body that is too large to buffer arrives in parts of `part_size`: take_body() returns all of it, in
+// order.
 void expect_in_pieces(const std::string& bytes, const std::string& body, size_t piece_size)
 {
     const auto config = service_config();
@@ -413,8 +414,8 @@
 
 TEST(EndpointList, HasAllFieldsOfItsEntries)
 {
-    const auto list =
-        decoded(R"({"rev":7,"all":true,"targets":[{"uid":"a","endpoint":"1.2.3.4:5","az":"y","pod_group":3,
+    const auto list = decoded(
+        R"({"rev":7,"all":true,"targets":[{"uid":"a","endpoint":"1.2.3.4:5","az":"y","pod_group":3,
         "state":"ready","boot_ms":2500},{"uid":"b","endpoint":"e","az":"?","state":"draining","boot_ms":0}]})");
     ASSERT_TRUE(list);
     EXPECT_EQ(list->version, 7u);
--- a/tests/reducer.cpp
+++ b/tests/reducer.cpp
@@ -1,5 +1,5 @@
-// What the reducer asks for, event by event: no sockets. Each case states all effects and the statistics at
-// its end.
+// The effects of the reducer, event by event, without sockets. Each case states all effects that EffectWriter
+// writes, and the statistics at its end.
 #include "src/net/reducer.h"
 
 #include <gtest/gtest.h>
@@ -101,7 +101,7 @@
     Lines& lines_;
 };
 
-// Plays a host of the reducer, with one upstream "a" at first.
+// Drives a reducer as its host does, with one upstream "a" at first.
 class Play
 {
   public:
@@ -149,7 +149,7 @@
     void half_closes(RequestId caller) { tell(DownstreamHalfClosed{caller}); }
     void command(AdminCommand command) { tell(AdminCommandReceived{++last_command_, command}); }
     void fire_timer() { tell(TimerFired{last_timer_}); }
-    // A request that is too large to come whole.
+    // A request that is too large to buffer.
     void begin(RequestId caller)
     {
         Request request{"POST",  "/op/x", "id" + std::to_string(caller), 0, 0, seconds(2), {},
@@ -162,7 +162,7 @@
     {
         tell(RequestChunkReceived{caller, std::string(bytes, 'x'), last_chunk});
     }
-    // An answer that is too large to come whole.
+    // A response that is too large to buffer.
     void begins_answer(int status = 200)
     {
         Response response{status, false, {}, {}, "begun"};
@@ -174,7 +174,7 @@
     {
         tell(ResponseChunkReceived{last, std::string(bytes, 'x'), last_chunk});
     }
-    // New settings with another margin of clocks.
+    // New settings with another time_left_margin.
     void set_margin(Duration margin)
     {
         config_.settings.time_left_margin = margin;
@@ -183,7 +183,7 @@
     }
     void note(std::string line) { lines.push_back(std::move(line)); }
 
-    // Whatever happened: what was taken is answered, in flight or left.
+    // In all cases, every received request is answered, in flight or abandoned.
     void write_statistics()
     {
         const auto figures = reducer->statistics();
@@ -659,7 +659,8 @@
     play.connected();
     play.tell(ShutdownStarted{});
     play.answered(200);
-    // Served on for a while, in time before the process may be killed; then each answer is the last.
+    // Requests are served for a while, ending before the process may be killed; then each response is the
+    // last on its connection.
     play.pass(1.9);
     play.arrive(2);
     play.pass(0.2);
@@ -681,7 +682,7 @@
          {AdminCommand::ready, AdminCommand::drain, AdminCommand::drain, AdminCommand::ready,
           AdminCommand::resume, AdminCommand::resume, AdminCommand::ready, AdminCommand::drain})
         play.command(command);
-    // Read again while drained: still drained.
+    // A reload does not end the drain.
     play.tell(ConfigReloaded{"there:1", {}});
     play.command(AdminCommand::ready);
     play.arrive(1);
@@ -705,7 +706,7 @@
                "op: 2 succeeded, 0 throttled, 0 errored; 2 written, 0 in flight, 1 listed, 0 avoided"}));
 }
 
-// ---- probes, settings and places ----
+// ---- probes, settings and upstream slots ----
 
 TEST(Probes, GoToWhatIsInUse)
 {
@@ -804,7 +805,7 @@
                "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 0 in flight, 2 listed, 0 avoided"}));
 }
 
-// ---- messages in pieces ----
+// ---- messages relayed in chunks ----
 
 TEST(LargeAnswer, HoldsItsUpstreamWhileTheClientTakesNothing)
 {
