--- a/src/http/message.h
+++ b/src/http/message.h
@@ -67,17 +67,17 @@
 };
 
 std::string origin_form(std::string_view target);  // without scheme and host, if the target has them
-std::optional<uint32_t> decode_operation(const ServiceConfig& setup, std::string_view target);
-std::optional<RequestError> decode_request(const ServiceConfig& setup, Headers headers, Request& into);
-std::string encode_request(const Request& request, std::string_view host, Duration wait);
+std::optional<uint32_t> decode_operation(const ServiceConfig& config, std::string_view target);
+std::optional<RequestError> decode_request(const ServiceConfig& config, Headers headers, Request& request);
+std::string encode_request(const Request& request, std::string_view host, Duration time_left);
 // HTTP/1.0 callers read a body without a length to the end of the connection.
-std::string encode_response(const Response& response, bool last_on_connection, bool old = false);
+std::string encode_response(const Response& response, bool close_connection, bool http_1_0 = false);
 // Encodes body bytes that follow the head and first bytes of a message.
-std::string encode_body_chunk(std::string bytes, bool chunked, bool last);
-LoadReport decode_load_report(const ServiceConfig& setup, std::string_view text);
+std::string encode_body_chunk(std::string bytes, bool chunked, bool is_last);
+LoadReport decode_load_report(const ServiceConfig& config, std::string_view text);
 std::string encode_probe(std::string_view host, bool with_report);
 
-std::string encode_seconds(Duration span);
+std::string encode_seconds(Duration duration);
 bool equals_ignore_case(std::string_view a, std::string_view b);  // ASCII letters only
 // False for hop-by-hop headers and for those that are rewritten or dropped here.
 bool is_forwarded_header(std::string_view header);
@@ -93,46 +93,56 @@
 
     // consumed_bytes() says how many of the bytes belong to this message.
     State parse(std::string_view bytes);
-    size_t consumed_bytes() const { return used_; }
-    bool has_started() const { return begun_; }
-    bool keep_alive() const { return keeps_; }
-    bool is_head_complete() const { return part_ != Part::first_line && part_ != Part::headers; }
+    size_t consumed_bytes() const { return consumed_bytes_; }
+    bool has_started() const { return has_started_; }
+    bool keep_alive() const { return keep_alive_; }
+    bool is_head_complete() const { return phase_ != Phase::start_line && phase_ != Phase::headers; }
     // The body is too large to buffer: take_body() may remove what has arrived so far.
     bool exceeds_buffer() const;
     std::string take_body() { return std::exchange(body(), {}); }
-    std::optional<size_t> content_length() const { return length_; }
-    size_t body_bytes_received() const { return come_; }
+    std::optional<size_t> content_length() const { return content_length_; }
+    size_t body_bytes_received() const { return body_bytes_received_; }
     size_t max_remaining_body_bytes() const
     {
-        return is_complete() ? 0 : length_.value_or(max_message_bytes) - come_;
+        return is_complete() ? 0 : content_length_.value_or(max_message_bytes) - body_bytes_received_;
     }
-    bool is_complete() const { return part_ == Part::done; }
+    bool is_complete() const { return phase_ == Phase::done; }
     // Whether a regular end of the connection completes the message.
-    bool ends_at_close() const { return part_ == Part::to_the_end; }
+    bool ends_at_close() const { return phase_ == Phase::body_until_close; }
 
   protected:
-    enum class Part { first_line, headers, body, chunk_size, chunk, chunk_end, trailers, to_the_end, done };
-
-    virtual bool first_line(std::string_view text) = 0;
-    virtual bool header(std::string_view name, std::string_view value) = 0;
-    virtual bool head_done() = 0;
+    enum class Phase {
+        start_line,
+        headers,
+        body,
+        chunk_size,
+        chunk_data,
+        chunk_end,
+        trailers,
+        body_until_close,
+        done
+    };
+
+    virtual bool on_start_line(std::string_view text) = 0;
+    virtual bool on_header(std::string_view name, std::string_view value) = 0;
+    virtual bool on_head_complete() = 0;
     virtual std::string& body() = 0;
 
     // Reads the headers that determine where the body ends. Returns false if they cannot be relied on.
-    bool framing(std::string_view name, std::string_view value);
-    void body_follows();
+    bool parse_framing_header(std::string_view name, std::string_view value);
+    void begin_body();
 
-    Part part_ = Part::first_line;
-    std::optional<size_t> length_;
-    bool chunked_ = false, keeps_ = true, begun_ = false;
-    size_t come_ = 0;
+    Phase phase_ = Phase::start_line;
+    std::optional<size_t> content_length_;
+    bool chunked_ = false, keep_alive_ = true, has_started_ = false;
+    size_t body_bytes_received_ = 0;
 
   private:
-    std::optional<std::string_view> line();
-    bool step(bool& ok);
+    std::optional<std::string_view> next_line();
+    bool parse_step(bool& ok);
 
-    std::string rest_;
-    size_t at_ = 0, wanted_ = 0, head_bytes_ = 0, used_ = 0;
+    std::string buffer_;
+    size_t buffer_offset_ = 0, section_bytes_left_ = 0, head_bytes_ = 0, consumed_bytes_ = 0;
 };
 
 // A response of an upstream. Truncated responses are not accepted: up to the buffered size only a complete
@@ -140,17 +150,17 @@
 class ResponseReader : public MessageReader
 {
   public:
-    explicit ResponseReader(const ServiceConfig& setup) : setup_(&setup) {}
+    explicit ResponseReader(const ServiceConfig& config) : config_(&config) {}
 
     Response& response() { return response_; }
 
   private:
-    bool first_line(std::string_view text) override;
-    bool header(std::string_view name, std::string_view value) override;
-    bool head_done() override;
+    bool on_start_line(std::string_view text) override;
+    bool on_header(std::string_view name, std::string_view value) override;
+    bool on_head_complete() override;
     std::string& body() override { return response_.body; }
 
-    const ServiceConfig* setup_;
+    const ServiceConfig* config_;
     Response response_;
 };
 
@@ -159,28 +169,28 @@
 class RequestReader : public MessageReader
 {
   public:
-    explicit RequestReader(const ServiceConfig& setup) : setup_(&setup) {}
+    explicit RequestReader(const ServiceConfig& config) : config_(&config) {}
 
     Request& request() { return request_; }
-    const RequestError& error() const { return why_; }
+    const RequestError& error() const { return error_; }
     bool is_readiness_check() const;
     size_t body_bytes_to_buffer() const;  // an upper bound, once the head is complete
-    bool expects_continue() const { return body_bytes_to_buffer() > 0 && expects_; }
-    bool is_http_1_0() const { return old_; }
-    void mark_continue_sent() { expects_ = false; }
+    bool expects_continue() const { return body_bytes_to_buffer() > 0 && expects_continue_; }
+    bool is_http_1_0() const { return is_http_1_0_; }
+    void mark_continue_sent() { expects_continue_ = false; }
 
   private:
-    bool first_line(std::string_view text) override;
-    bool header(std::string_view name, std::string_view value) override;
-    bool head_done() override;
+    bool on_start_line(std::string_view text) override;
+    bool on_header(std::string_view name, std::string_view value) override;
+    bool on_head_complete() override;
     std::string& body() override { return request_.body; }
-    bool refuse(int status, const char* why);
+    bool reject(int status, const char* reason);
 
-    const ServiceConfig* setup_;
+    const ServiceConfig* config_;
     Request request_;
     Headers headers_;
-    RequestError why_{400, "unreadable request"};
-    bool expects_ = false, old_ = false;
+    RequestError error_{400, "unreadable request"};
+    bool expects_continue_ = false, is_http_1_0_ = false;
 };
 
 }  // namespace firtide
