--- a/src/net/reducer.cpp
+++ b/src/net/reducer.cpp
@@ -21,316 +21,334 @@
     return hash;
 }
 
-Reducer::Reducer(ServiceConfig& setup, uint64_t seed, std::string discovery, size_t room)
-    : setup_(setup),
-      all_room_(room),
-      room_(room),
-      discovery_(std::move(discovery)),
-      balancer_(setup.settings, seed, *this)
+Reducer::Reducer(ServiceConfig& config, uint64_t seed, std::string discovery_address,
+                 size_t relay_memory_bytes)
+    : config_(config),
+      relay_memory_bytes_(relay_memory_bytes),
+      relay_memory_share_bytes_(relay_memory_bytes),
+      discovery_address_(std::move(discovery_address)),
+      balancer_(config.settings, seed, *this)
 {
-    for (const auto& name : setup.operation_names) outcomes_[name];
+    for (const auto& name : config.operation_names) outcomes_[name];
 }
 
 std::vector<Effect> Reducer::reduce(TimePoint now, Event event)
 {
     now_ = now;
-    if (view_ && view_->needs_update([this](UpstreamId t) { return reduction(t); })) show();
-    std::visit([this](auto& e) { on(e); }, event);
+    if (view_ && view_->needs_update([this](UpstreamId upstream_id) { return reduction(upstream_id); }))
+        update_view();
+    std::visit([this](auto& typed_event) { on(typed_event); }, event);
     // The decision module learns only now of a forward that was cancelled or could not be made: it must not
     // be called while it decides.
-    while (!settled_.empty()) {
-        const auto [id, result] = settled_.front();
-        settled_.pop_front();
+    while (!unreported_results_.empty()) {
+        const auto [id, result] = unreported_results_.front();
+        unreported_results_.pop_front();
         if (result == AttemptResult::cancelled) effects_.push_back(CloseUpstream{id});
-        ended(id, result, nullptr);
+        end_attempt(id, result, nullptr);
     }
     return std::move(effects_);
 }
 
 void Reducer::on(ServiceStarted)
 {
-    if (recovery_) recovery_->start(now_);
+    if (startup_) startup_->start(now_);
     balancer_.start(now_);
 }
 
-void Reducer::on(RequestReceived& arrived)
+void Reducer::on(RequestReceived& event)
 {
     // A request whose head was read under other settings must not be taken for another operation.
-    if (arrived.request.config_version != setup_.config_version) {
-        const auto operation = decode_operation(setup_, arrived.request.target);
+    if (event.request.config_version != config_.config_version) {
+        const auto operation = decode_operation(config_, event.request.target);
         if (!operation) {
-            effects_.push_back(
-                SendResponse{arrived.caller, plain_response(404, "no such operation\n"), true});
+            effects_.push_back(SendResponse{event.caller, plain_response(404, "no such operation\n"), true});
             return;
         }
-        arrived.request.operation = *operation;
-        arrived.request.tenant = static_cast<uint32_t>(setup_.tenant_names.size());  // no tenant
+        event.request.operation = *operation;
+        event.request.tenant = static_cast<uint32_t>(config_.tenant_names.size());  // no tenant
     }
-    ++taken_;
+    ++requests_received_;
     if (view_) view_->count_request();
-    OutcomeCounts& outcomes = outcomes_of(arrived.request.operation);
-    if (turned_away(arrived)) return;
+    OutcomeCounts& outcomes = outcomes_of(event.request.operation);
+    if (reject_at_admission(event)) return;
     // Of two forwards with one id, an upstream would take the second for a copy of the first.
-    if (!open_ids_.insert(arrived.request.id).second) {
+    if (!open_request_ids_.insert(event.request.id).second) {
         ++outcomes.failure;
-        effects_.push_back(SendResponse{arrived.caller, plain_response(409, "this id is open\n"), true});
+        effects_.push_back(SendResponse{event.caller, plain_response(409, "this id is open\n"), true});
         return;
     }
-    if (free_.empty()) {
-        free_.push_back(static_cast<InvocationId>(invocations_.size()));
+    if (free_invocations_.empty()) {
+        free_invocations_.push_back(static_cast<InvocationId>(invocations_.size()));
         invocations_.emplace_back();
     }
-    const InvocationId inv = free_.back();
-    free_.pop_back();
-    invocation_of_.emplace(arrived.caller, inv);
-    bound_by_stop(arrived.request);
-    const InvocationRequest ask{arrived.request.operation, arrived.request.tenant, arrived.request.time_left,
-                                arrived.request.body_incomplete};
-    Invocation& i = invocations_[inv] = {};
-    i.caller = arrived.caller;
-    i.over = false;
-    i.request = std::move(arrived.request);
-    if (arrived.half_closed) i.half_closed = now_ - half_closed_grace;
-    i.outcomes = &outcomes;
-    const Operation& op = setup_.settings.operations[ask.operation];
-    if (op.idempotency == Idempotency::deduplicated) i.window = op.deduplication_window;
-    sending_ += i.request.body_incomplete;
-    balancer_.accept(now_, inv, ask);
+    const InvocationId invocation_id = free_invocations_.back();
+    free_invocations_.pop_back();
+    invocation_of_.emplace(event.caller, invocation_id);
+    limit_time_left_at_shutdown(event.request);
+    const InvocationRequest invocation_request{event.request.operation, event.request.tenant,
+                                               event.request.time_left, event.request.body_incomplete};
+    Invocation& invocation = invocations_[invocation_id] = {};
+    invocation.caller = event.caller;
+    invocation.finished = false;
+    invocation.request = std::move(event.request);
+    if (event.half_closed) invocation.half_closed_at = now_ - half_closed_grace;
+    invocation.outcomes = &outcomes;
+    const Operation& operation_settings = config_.settings.operations[invocation_request.operation];
+    if (operation_settings.idempotency == Idempotency::deduplicated)
+        invocation.deduplication_window = operation_settings.deduplication_window;
+    streamed_requests_ += invocation.request.body_incomplete;
+    balancer_.accept(now_, invocation_id, invocation_request);
 }
 
-void Reducer::on(DownstreamDisconnected left)
+void Reducer::on(DownstreamDisconnected event)
 {
-    if (const auto relay = relay_of_.find(left.caller); relay != relay_of_.end()) {
+    if (const auto relay = relay_of_.find(event.caller); relay != relay_of_.end()) {
         const AttemptId id = relay->second;
-        ++left_;
+        ++requests_abandoned_;
         effects_.push_back(CloseUpstream{id});
-        return relayed(id, nullptr);
+        return end_relay(id, nullptr);
     }
-    const auto at = invocation_of_.find(left.caller);
-    if (at == invocation_of_.end() || invocations_[at->second].over) return;
-    over(invocations_[at->second]);
-    ++left_;
-    balancer_.on_client_disconnected(now_, at->second);
+    const auto found = invocation_of_.find(event.caller);
+    if (found == invocation_of_.end() || invocations_[found->second].finished) return;
+    finish(invocations_[found->second]);
+    ++requests_abandoned_;
+    balancer_.on_client_disconnected(now_, found->second);
 }
 
 // A caller that has disconnected and one that still reads look the same: running attempts continue, but no
 // new ones start.
-void Reducer::on(DownstreamHalfClosed closed)
+void Reducer::on(DownstreamHalfClosed event)
 {
-    if (const auto at = invocation_of_.find(closed.caller); at != invocation_of_.end())
-        invocations_[at->second].half_closed = now_;
+    if (const auto found = invocation_of_.find(event.caller); found != invocation_of_.end())
+        invocations_[found->second].half_closed_at = now_;
 }
 
 // The last check before bytes are sent: while the connection was being made, the upstream may have drained or
 // moved to another address, and the invocation may have ended or run out of time.
 bool Reducer::may_write(const Attempt& attempt) const
 {
-    const Upstream& u = upstreams_[attempt.upstream_id];
-    if (u.phase != EndpointPhase::ready || u.endpoint != attempt.endpoint || now_ >= attempt.until ||
-        (attempt.written_by && now_ >= *attempt.written_by))
+    const Upstream& upstream = upstreams_[attempt.upstream_id];
+    if (upstream.phase != EndpointPhase::ready || upstream.endpoint != attempt.endpoint ||
+        now_ >= attempt.deadline || (attempt.write_deadline && now_ >= *attempt.write_deadline))
         return false;
-    if (!attempt.inv) return true;
-    const Invocation& i = invocations_[*attempt.inv];
-    return !i.over && !i.spent && may_begin(i);
+    if (!attempt.invocation_id) return true;
+    const Invocation& invocation = invocations_[*attempt.invocation_id];
+    return !invocation.finished && !invocation.body_discarded && may_start_attempt(invocation);
 }
 
-bool Reducer::may_begin(const Invocation& i) const
+bool Reducer::may_start_attempt(const Invocation& invocation) const
 {
-    return !i.half_closed || now_ - *i.half_closed < half_closed_grace;
+    return !invocation.half_closed_at || now_ - *invocation.half_closed_at < half_closed_grace;
 }
 
-void Reducer::on(UpstreamConnected connected)
+void Reducer::on(UpstreamConnected event)
 {
-    const auto at = attempts_.find(connected.attempt);
-    if (at == attempts_.end()) return;
-    const Attempt& a = at->second;
-    if (!may_write(a)) {
-        effects_.push_back(CloseUpstream{connected.attempt});
-        return ended(connected.attempt, AttemptResult::unreachable, nullptr);
+    const auto found = attempts_.find(event.attempt);
+    if (found == attempts_.end()) return;
+    const Attempt& attempt = found->second;
+    if (!may_write(attempt)) {
+        effects_.push_back(CloseUpstream{event.attempt});
+        return end_attempt(event.attempt, AttemptResult::unreachable, nullptr);
     }
-    const auto& host = upstreams_[a.upstream_id].endpoint;
-    if (!a.inv) {
-        const auto probe = encode_probe(host, setup_.settings.load_reports_by_probe);
-        return effects_.push_back(WriteUpstream{connected.attempt, probe, false, a.stamp});
+    const auto& host = upstreams_[attempt.upstream_id].endpoint;
+    if (!attempt.invocation_id) {
+        const auto probe = encode_probe(host, config_.settings.load_reports_by_probe);
+        return effects_.push_back(WriteUpstream{event.attempt, probe, false, attempt.fencing_token});
     }
-    Invocation& i = invocations_[*a.inv];
-    const Duration wait = i.request.body_incomplete ? i.request.time_left : a.until - now_;
-    effects_.push_back(
-        WriteUpstream{connected.attempt, encode_request(i.request, host, wait), i.request.body_incomplete});
-    if (i.request.body_incomplete) i.goes_to = connected.attempt, i.on_way = i.request.body.size();
+    Invocation& invocation = invocations_[*attempt.invocation_id];
+    const Duration time_left =
+        invocation.request.body_incomplete ? invocation.request.time_left : attempt.deadline - now_;
+    effects_.push_back(WriteUpstream{event.attempt, encode_request(invocation.request, host, time_left),
+                                     invocation.request.body_incomplete});
+    if (invocation.request.body_incomplete)
+        invocation.streaming_attempt = event.attempt,
+        invocation.unwritten_bytes = invocation.request.body.size();
 }
 
-void Reducer::on(RequestWritten written)
+void Reducer::on(RequestWritten event)
 {
-    const auto at = attempts_.find(written.attempt);
-    if (at == attempts_.end() || !at->second.inv) return;
-    Invocation& i = invocations_[*at->second.inv];
-    if (i.request.body_incomplete && i.goes_to == written.attempt) {
-        i.on_way = 0;
-        return hear(i);
+    const auto found = attempts_.find(event.attempt);
+    if (found == attempts_.end() || !found->second.invocation_id) return;
+    Invocation& invocation = invocations_[*found->second.invocation_id];
+    if (invocation.request.body_incomplete && invocation.streaming_attempt == event.attempt) {
+        invocation.unwritten_bytes = 0;
+        return resume_request_reading(invocation);
     }
     // The time it took to receive a streamed request is its caller's, not the upstream's.
-    if (i.spent && !at->second.counted) at->second.sent = now_;
+    if (invocation.body_discarded && !found->second.counted_as_written) found->second.started_at = now_;
     // Counted once: the response may be reported before the last byte is known to have been sent.
-    backend_calls_ += !std::exchange(at->second.counted, true);
+    backend_calls_ += !std::exchange(found->second.counted_as_written, true);
 }
 
-void Reducer::on(RequestRejected turned)
+void Reducer::on(RequestRejected event)
 {
-    if (turned.config_version != setup_.config_version) return;
-    ++taken_;
-    ++outcomes_of(turned.operation).busy;
+    if (event.config_version != config_.config_version) return;
+    ++requests_received_;
+    ++outcomes_of(event.operation).busy;
 }
 
 OutcomeCounts& Reducer::outcomes_of(uint32_t operation)
 {
-    return outcomes_[setup_.operation_names[operation]];
+    return outcomes_[config_.operation_names[operation]];
 }
 
-void Reducer::on(ResponseReceived& answered)
+void Reducer::on(ResponseReceived& event)
 {
-    const auto result = result_of(answered.response);
-    if (const auto at = attempts_.find(answered.attempt); at != attempts_.end()) {
+    const auto result = result_of(event.response);
+    if (const auto found = attempts_.find(event.attempt); found != attempts_.end()) {
         // A response that comes before the request has been sent only shows how the attempt ended: the
         // request does not count as written, and a large response is not relayed.
-        const bool early = at->second.inv && invocations_[*at->second.inv].request.body_incomplete;
-        if (!early) on(RequestWritten{answered.attempt});
-        if (answered.response.body_incomplete && result == AttemptResult::succeeded && !early)
-            bind(answered.attempt);
+        const bool request_unfinished =
+            found->second.invocation_id && invocations_[*found->second.invocation_id].request.body_incomplete;
+        if (!request_unfinished) on(RequestWritten{event.attempt});
+        if (event.response.body_incomplete && result == AttemptResult::succeeded && !request_unfinished)
+            start_relay(event.attempt);
     }
-    if (answered.response.body_incomplete && !relays_.count(answered.attempt)) {
-        effects_.push_back(CloseUpstream{answered.attempt});
-        if (result == AttemptResult::succeeded) return ended(answered.attempt, AttemptResult::reset, nullptr);
+    if (event.response.body_incomplete && !relays_.count(event.attempt)) {
+        effects_.push_back(CloseUpstream{event.attempt});
+        if (result == AttemptResult::succeeded)
+            return end_attempt(event.attempt, AttemptResult::reset, nullptr);
     }
-    ended(answered.attempt, result, &answered.response);
+    end_attempt(event.attempt, result, &event.response);
 }
 
-void Reducer::on(AttemptFailed failed)
+void Reducer::on(AttemptFailed event)
 {
-    if (const auto at = relays_.find(failed.attempt); at != relays_.end()) {
-        effects_.push_back(AbortResponse{at->second.caller});
-        return relayed(failed.attempt, &OutcomeCounts::failure);
+    if (const auto found = relays_.find(event.attempt); found != relays_.end()) {
+        effects_.push_back(AbortResponse{found->second.caller});
+        return end_relay(event.attempt, &OutcomeCounts::failure);
     }
-    if (failed.error.progress >= AttemptProgress::written) on(RequestWritten{failed.attempt});
-    ended(failed.attempt, result_of(failed.error), nullptr);
+    if (event.error.progress >= AttemptProgress::written) on(RequestWritten{event.attempt});
+    end_attempt(event.attempt, result_of(event.error), nullptr);
 }
 
-void Reducer::ended(AttemptId id, AttemptResult result, Response* response)
+void Reducer::end_attempt(AttemptId id, AttemptResult result, Response* response)
 {
-    const auto at = attempts_.find(id);
-    if (at == attempts_.end()) return;  // cancelled before
-    const Attempt a = at->second;
-    attempts_.erase(at);
-    if (a.inv && invocations_[*a.inv].goes_to == id) {
-        Invocation& i = invocations_[*a.inv];
-        i.goes_to.reset();
-        if (i.request.body_incomplete && !i.over) effects_.push_back(SetRequestReading{i.caller, false});
+    const auto found = attempts_.find(id);
+    if (found == attempts_.end()) return;  // cancelled before
+    const Attempt attempt = found->second;
+    attempts_.erase(found);
+    if (attempt.invocation_id && invocations_[*attempt.invocation_id].streaming_attempt == id) {
+        Invocation& invocation = invocations_[*attempt.invocation_id];
+        invocation.streaming_attempt.reset();
+        if (invocation.request.body_incomplete && !invocation.finished)
+            effects_.push_back(SetRequestReading{invocation.caller, false});
     }
-    if (!a.inv) {
-        --upstreams_[a.upstream_id].referred;
-        const bool asked = response && setup_.settings.load_reports_by_probe;
-        if (a.stamp)
-            effects_.push_back(ProbeCompleted{a.stamp, upstreams_[a.upstream_id].uid,
+    if (!attempt.invocation_id) {
+        --upstreams_[attempt.upstream_id].reference_count;
+        const bool with_report = response && config_.settings.load_reports_by_probe;
+        if (attempt.fencing_token)
+            effects_.push_back(ProbeCompleted{attempt.fencing_token, upstreams_[attempt.upstream_id].uid,
                                               result == AttemptResult::succeeded,
-                                              asked ? response->body : std::string()});
+                                              with_report ? response->body : std::string()});
         return balancer_.on_probe_completed(
-            now_, a.upstream_id, result, asked ? decode_load_report(setup_, response->body) : LoadReport{});
+            now_, attempt.upstream_id, result,
+            with_report ? decode_load_report(config_, response->body) : LoadReport{});
     }
     const LoadReport report = response ? response->load_report : LoadReport{};
     // An attempt that was cancelled, never sent, or failed because of the request itself says nothing about
     // the upstream.
     if (view_ && result != AttemptResult::cancelled && result != AttemptResult::not_sent &&
         result != AttemptResult::invalid_request)
-        view_->record_response(now_, a.upstream_id, result == AttemptResult::succeeded);
+        view_->record_response(now_, attempt.upstream_id, result == AttemptResult::succeeded);
     // The first success is the response; the decision module does not have to ask for it.
-    if (result == AttemptResult::succeeded) answer(*a.inv, std::move(*response));
-    const bool over = invocations_[*a.inv].over;
-    balancer_.on_forward_ended(now_, *a.inv, a.nth, result, now_ - a.sent, over, report);
+    if (result == AttemptResult::succeeded) respond(*attempt.invocation_id, std::move(*response));
+    const bool finished = invocations_[*attempt.invocation_id].finished;
+    balancer_.on_forward_ended(now_, *attempt.invocation_id, attempt.forward_index, result,
+                               now_ - attempt.started_at, finished, report);
 }
 
-void Reducer::on(TimerFired woken) { balancer_.on_timer_fired(now_, woken.timer_id); }
+void Reducer::on(TimerFired event) { balancer_.on_timer_fired(now_, event.timer_id); }
 
-void Reducer::over(Invocation& i)
+void Reducer::finish(Invocation& invocation)
 {
-    i.over = true;
-    open_ids_.erase(i.request.id);
+    invocation.finished = true;
+    open_request_ids_.erase(invocation.request.id);
 }
 
 // The response to each invocation goes through here; a second one is never sent.
-void Reducer::answer(InvocationId inv, Response response)
+void Reducer::respond(InvocationId invocation_id, Response response)
 {
-    Invocation& i = invocations_[inv];
-    if (i.over) return;
-    went_well_ += response.status == 200;
-    if (i.bound) {
-        i.over = true;
+    Invocation& invocation = invocations_[invocation_id];
+    if (invocation.finished) return;
+    successes_since_update_ += response.status == 200;
+    if (invocation.has_relay) {
+        invocation.finished = true;
         return effects_.push_back(
-            SendResponse{i.caller, std::move(response), should_close_connections(now_)});
+            SendResponse{invocation.caller, std::move(response), should_close_connections(now_)});
     }
-    over(i);
-    ++(response.status == 200   ? i.outcomes->success
-       : response.status == 503 ? i.outcomes->busy
-                                : i.outcomes->failure);
-    effects_.push_back(SendResponse{i.caller, std::move(response), should_close_connections(now_)});
+    finish(invocation);
+    ++(response.status == 200   ? invocation.outcomes->success
+       : response.status == 503 ? invocation.outcomes->busy
+                                : invocation.outcomes->failure);
+    effects_.push_back(SendResponse{invocation.caller, std::move(response), should_close_connections(now_)});
 }
 
-void Reducer::dial(AttemptId id, Attempt attempt)
+void Reducer::start_attempt(AttemptId id, Attempt attempt)
 {
     effects_.push_back(
-        ConnectUpstream{id, attempt.upstream_id, attempt.endpoint, attempt.until - attempt.sent});
+        ConnectUpstream{id, attempt.upstream_id, attempt.endpoint, attempt.deadline - attempt.started_at});
     attempts_.emplace(id, std::move(attempt));
 }
 
-void Reducer::forward(InvocationId inv, UpstreamId upstream_id, Duration limit)
+void Reducer::forward(InvocationId invocation_id, UpstreamId upstream_id, Duration timeout)
 {
-    Invocation& i = invocations_[inv];
+    Invocation& invocation = invocations_[invocation_id];
     const auto id = next_attempt_++;
-    const auto nth = static_cast<uint32_t>(i.attempts.size());
-    i.attempts.push_back(id);
-    i.met.push_back(upstream_id);
-    ++upstreams_[upstream_id].referred;
-    Attempt attempt{inv, nth, upstream_id, upstreams_[upstream_id].endpoint, now_, now_ + limit};
-    if (nth == 0) i.first_sent = now_;
-    if (nth > 0 && i.window > Duration{}) attempt.written_by = i.first_sent + i.window;
-    if (!i.spent && may_begin(i) && within_budgets(nth, upstream_id)) return dial(id, std::move(attempt));
+    const auto forward_index = static_cast<uint32_t>(invocation.attempts.size());
+    invocation.attempts.push_back(id);
+    invocation.forwarded_to.push_back(upstream_id);
+    ++upstreams_[upstream_id].reference_count;
+    Attempt attempt{invocation_id, forward_index, upstream_id, upstreams_[upstream_id].endpoint,
+                    now_,          now_ + timeout};
+    if (forward_index == 0) invocation.first_forward_at = now_;
+    if (forward_index > 0 && invocation.deduplication_window > Duration{})
+        attempt.write_deadline = invocation.first_forward_at + invocation.deduplication_window;
+    if (!invocation.body_discarded && may_start_attempt(invocation) &&
+        take_forward_budgets(forward_index, upstream_id))
+        return start_attempt(id, std::move(attempt));
     // Not sent: the bytes of the request are no longer held, its caller may have disconnected, or this
     // balancer's share of a fleet budget is used up.
     attempts_.emplace(id, std::move(attempt));
-    settled_.emplace_back(id, AttemptResult::not_sent);
+    unreported_results_.emplace_back(id, AttemptResult::not_sent);
 }
 
-void Reducer::set_forward_timeout(InvocationId inv, uint32_t forward, Duration limit)
+void Reducer::set_forward_timeout(InvocationId invocation_id, uint32_t forward, Duration timeout)
 {
-    const auto at = attempts_.find(invocations_[inv].attempts[forward]);
-    if (at == attempts_.end()) return;
-    at->second.until = now_ + limit;
-    effects_.push_back(SetAttemptTimeout{at->first, limit});
+    const auto found = attempts_.find(invocations_[invocation_id].attempts[forward]);
+    if (found == attempts_.end()) return;
+    found->second.deadline = now_ + timeout;
+    effects_.push_back(SetAttemptTimeout{found->first, timeout});
 }
 
-void Reducer::throttle(InvocationId inv, Duration retry_after)
+void Reducer::throttle(InvocationId invocation_id, Duration retry_after)
 {
-    auto r = plain_response(503, "throttled\n");
+    auto response = plain_response(503, "throttled\n");
     if (retry_after > Duration{})
-        r.forwarded_headers.emplace_back("Retry-After", encode_seconds(retry_after));
-    answer(inv, std::move(r));
+        response.forwarded_headers.emplace_back("Retry-After", encode_seconds(retry_after));
+    respond(invocation_id, std::move(response));
 }
 
-void Reducer::fail(InvocationId inv) { answer(inv, plain_response(502, "errored\n")); }
+void Reducer::fail(InvocationId invocation_id) { respond(invocation_id, plain_response(502, "errored\n")); }
 
-void Reducer::cancel_forward(InvocationId inv, uint32_t forward)
+void Reducer::cancel_forward(InvocationId invocation_id, uint32_t forward)
 {
-    settled_.emplace_back(invocations_[inv].attempts[forward], AttemptResult::cancelled);
+    unreported_results_.emplace_back(invocations_[invocation_id].attempts[forward], AttemptResult::cancelled);
 }
 
-void Reducer::release_invocation(InvocationId inv)
+void Reducer::release_invocation(InvocationId invocation_id)
 {
-    invocation_of_.erase(invocations_[inv].caller);
-    for (const UpstreamId upstream_id : invocations_[inv].met) --upstreams_[upstream_id].referred;
-    sending_ -= invocations_[inv].request.body_incomplete;
-    invocations_[inv] = {};
-    free_.push_back(inv);
+    invocation_of_.erase(invocations_[invocation_id].caller);
+    for (const UpstreamId upstream_id : invocations_[invocation_id].forwarded_to)
+        --upstreams_[upstream_id].reference_count;
+    streamed_requests_ -= invocations_[invocation_id].request.body_incomplete;
+    invocations_[invocation_id] = {};
+    free_invocations_.push_back(invocation_id);
 }
 
-void Reducer::start_timer(TimePoint at, uint64_t name) { effects_.push_back(StartTimer{at, name}); }
+void Reducer::start_timer(TimePoint time, uint64_t timer_id)
+{
+    effects_.push_back(StartTimer{time, timer_id});
+}
 
 }  // namespace firtide::net
--- a/src/net/reducer.h
+++ b/src/net/reducer.h
@@ -244,13 +244,14 @@
   public:
     // `config` is shared with all components; new settings are written to it. `relay_memory_bytes`: for all
     // relayed messages together.
-    Reducer(ServiceConfig& setup, uint64_t seed, std::string discovery, size_t room = size_t{1} << 30);
+    Reducer(ServiceConfig& config, uint64_t seed, std::string discovery_address,
+            size_t relay_memory_bytes = size_t{1} << 30);
 
     // Makes this balancer a member of a fleet: what the decision module is shown of the upstreams then
     // follows the choices of all members. To be called before the first event.
-    void join_fleet(fleet::EndpointView::Config rules);
+    void join_fleet(fleet::EndpointView::Config config);
     // Makes the start of such a member staged, with what its snapshot holds.
-    void enable_staged_startup(fleet::StartupConfig rule) { recovery_.emplace(rule); }
+    void enable_staged_startup(fleet::StartupConfig config) { startup_.emplace(config); }
 
     // The effects must be carried out in their order.
     std::vector<Effect> reduce(TimePoint now, Event event);
@@ -258,7 +259,8 @@
     ServingState serving_state() const;
     bool ready() const
     {
-        return serving_state() == ServingState::ready && (!recovery_ || list_told_ || recovery_->is_ready());
+        return serving_state() == ServingState::ready &&
+               (!startup_ || list_received_ || startup_->is_ready());
     }
     // Whether it has been draining or stopping long enough that each response is the last on its connection
     // and idle connections may be closed.
@@ -273,147 +275,147 @@
     // A request, from its arrival until the decision module releases it.
     struct Invocation {
         RequestId caller = 0;
-        bool over = true;
+        bool finished = true;
         Request request;
         std::vector<AttemptId> attempts;
-        std::vector<UpstreamId> met;
+        std::vector<UpstreamId> forwarded_to;
         OutcomeCounts* outcomes = nullptr;
         // For a request that is forwarded while it is being received.
-        std::optional<AttemptId> goes_to;
-        size_t on_way = 0;
-        bool spent = false;  // bytes were sent that are no longer held: it cannot be sent again
-        bool bound = false;  // the response of one of its attempts is being relayed
-        std::optional<TimePoint> half_closed;  // its caller sends nothing more
-        Duration window;                       // in which upstreams recognise a repeat; zero: no such limit
-        TimePoint first_sent;
+        std::optional<AttemptId> streaming_attempt;
+        size_t unwritten_bytes = 0;
+        bool body_discarded = false;  // bytes were sent that are no longer held: it cannot be sent again
+        bool has_relay = false;       // the response of one of its attempts is being relayed
+        std::optional<TimePoint> half_closed_at;  // its caller sends nothing more
+        Duration deduplication_window;  // in which upstreams recognise a repeat; zero: no such limit
+        TimePoint first_forward_at;
     };
     // A response that is too large to buffer, while it is relayed in chunks. The decision module knows its
     // attempt as succeeded: no other attempt can provide the response any more.
     struct Relay {
         RequestId caller = 0;
-        std::string id;
+        std::string request_id;
         OutcomeCounts* outcomes = nullptr;
-        size_t on_way = 0;
-        bool held = false, all_came = false;
+        size_t unsent_bytes = 0;
+        bool reading_paused = false, fully_received = false;
     };
     // A forward or probe in progress.
     struct Attempt {
-        std::optional<InvocationId> inv;  // none: a probe
-        uint32_t nth = 0;
+        std::optional<InvocationId> invocation_id;  // none: a probe
+        uint32_t forward_index = 0;
         UpstreamId upstream_id = 0;
         std::string endpoint;
-        TimePoint sent, until;
-        bool counted = false;
-        uint64_t stamp = 0;  // of a fleet duty's probe
+        TimePoint started_at, deadline;
+        bool counted_as_written = false;
+        uint64_t fencing_token = 0;  // of a fleet duty's probe
         // For its first byte; later, upstreams do not recognise it as a repeat.
-        std::optional<TimePoint> written_by = {};
+        std::optional<TimePoint> write_deadline = {};
     };
     // Its slot is reused for another upstream once it has gone and nothing refers to it any more.
     struct Upstream {
         std::string uid, endpoint;
-        size_t referred = 0;  // invocations and probes
+        size_t reference_count = 0;  // invocations and probes
         EndpointPhase phase = EndpointPhase::gone;
     };
 
     void on(ServiceStarted);
-    void on(EndpointListUpdated& told);
-    void on(EndpointListRestored& told);
+    void on(EndpointListUpdated& event);
+    void on(EndpointListRestored& event);
     void on(EndpointListFetchFailed);
-    void on(RequestReceived& arrived);
-    void on(DownstreamDisconnected left);
-    void on(DownstreamHalfClosed closed);
-    void on(RequestChunkReceived& piece);
-    void on(ResponseDrained taken);
-    void on(UpstreamConnected connected);
-    void on(ResponseReceived& answered);
-    void on(ResponseChunkReceived& came);
-    void on(AttemptFailed failed);
-    void on(RequestWritten written);
-    void on(RequestRejected turned);
-    void on(AdminCommandReceived ordered);
-    void on(TimerFired woken);
-    void on(ProcessCountChanged shared);
-    void on(ShutdownStarted stopping);
-    void on(ConfigReloaded& read);
-    void on(ProbesDue due);
-    void on(const ProbeReportReceived& heard);
-    void on(SubsetPeersUpdated& fleet);
-    void on(const OutlierReportsUpdated& told);
-    void on(const QuotasUpdated& parts);
+    void on(RequestReceived& event);
+    void on(DownstreamDisconnected event);
+    void on(DownstreamHalfClosed event);
+    void on(RequestChunkReceived& event);
+    void on(ResponseDrained event);
+    void on(UpstreamConnected event);
+    void on(ResponseReceived& event);
+    void on(ResponseChunkReceived& event);
+    void on(AttemptFailed event);
+    void on(RequestWritten event);
+    void on(RequestRejected event);
+    void on(AdminCommandReceived event);
+    void on(TimerFired event);
+    void on(ProcessCountChanged event);
+    void on(ShutdownStarted event);
+    void on(ConfigReloaded& event);
+    void on(ProbesDue event);
+    void on(const ProbeReportReceived& event);
+    void on(SubsetPeersUpdated& event);
+    void on(const OutlierReportsUpdated& event);
+    void on(const QuotasUpdated& event);
     void on(Tick);
-    void on(const SnapshotRestored& remembered);
-    void on(const FleetStateUpdated& fleet);
+    void on(const SnapshotRestored& event);
+    void on(const FleetStateUpdated& event);
 
-    void listed(const std::vector<EndpointState>& listings, bool all);
-    void show();
+    void publish_endpoints(const std::vector<EndpointState>& endpoints, bool is_full);
+    void update_view();
     double reduction(UpstreamId upstream_id) { return balancer_.reduction(now_, upstream_id); }
-    bool within_budgets(uint32_t nth, UpstreamId upstream_id);
-    std::optional<Duration> over_rate(const Request& request);
-    bool turned_away(RequestReceived& arrived);
-    void look_at_return();
-    void remember(LocalObservations& observed);
-    double rank_of(uint32_t operation) const;
+    bool take_forward_budgets(uint32_t forward_index, UpstreamId upstream_id);
+    std::optional<Duration> tenant_rate_retry_after(const Request& request);
+    bool reject_at_admission(RequestReceived& event);
+    void update_startup();
+    void add_snapshot_data(LocalObservations& observations);
+    double value_rank_of(uint32_t operation) const;
 
-    void settings_are(ServiceConfig setup);
-    UpstreamId place_of(const std::string& uid);
-    std::vector<EndpointState> listings(const std::vector<ListedEndpoint>& entries, bool all);
-    void dial(AttemptId id, Attempt attempt);
+    void apply_config(ServiceConfig config);
+    UpstreamId find_or_add_upstream(const std::string& uid);
+    std::vector<EndpointState> update_upstreams(const std::vector<ListedEndpoint>& entries, bool is_full);
+    void start_attempt(AttemptId id, Attempt attempt);
     bool may_write(const Attempt& attempt) const;
-    bool may_begin(const Invocation& i) const;
-    void bound_by_stop(Request& request) const;
+    bool may_start_attempt(const Invocation& invocation) const;
+    void limit_time_left_at_shutdown(Request& request) const;
     OutcomeCounts& outcomes_of(uint32_t operation);
-    void ended(AttemptId id, AttemptResult result, Response* response);
-    void answer(InvocationId inv, Response response);
-    size_t most_on_way() const;
-    void hear(const Invocation& i);
-    void bind(AttemptId id);
-    void relayed(AttemptId id, uint64_t OutcomeCounts::*as);
-    void over(Invocation& i);
+    void end_attempt(AttemptId id, AttemptResult result, Response* response);
+    void respond(InvocationId invocation_id, Response response);
+    size_t relay_window_bytes() const;
+    void resume_request_reading(const Invocation& invocation);
+    void start_relay(AttemptId id);
+    void end_relay(AttemptId id, uint64_t OutcomeCounts::*outcome);
+    void finish(Invocation& invocation);
 
-    void forward(InvocationId inv, UpstreamId upstream_id, Duration limit) override;
-    void throttle(InvocationId inv, Duration retry_after) override;
-    void fail(InvocationId inv) override;
-    void cancel_forward(InvocationId inv, uint32_t forward) override;
-    void set_forward_timeout(InvocationId inv, uint32_t forward, Duration limit) override;
-    void release_invocation(InvocationId inv) override;
-    void start_timer(TimePoint at, uint64_t name) override;
+    void forward(InvocationId invocation_id, UpstreamId upstream_id, Duration timeout) override;
+    void throttle(InvocationId invocation_id, Duration retry_after) override;
+    void fail(InvocationId invocation_id) override;
+    void cancel_forward(InvocationId invocation_id, uint32_t forward) override;
+    void set_forward_timeout(InvocationId invocation_id, uint32_t forward, Duration timeout) override;
+    void release_invocation(InvocationId invocation_id) override;
+    void start_timer(TimePoint time, uint64_t timer_id) override;
     void probe(UpstreamId upstream_id) override;
     void close_idle_connections(UpstreamId upstream_id) override;
     void watch_endpoint_list() override;
     void broadcast(const std::string&) override {}  // no other instance is known here
 
-    ServiceConfig& setup_;
-    const size_t all_room_;
-    size_t room_, sending_ = 0;  // forwarded while being received
+    ServiceConfig& config_;
+    const size_t relay_memory_bytes_;
+    size_t relay_memory_share_bytes_, streamed_requests_ = 0;  // forwarded while being received
     TimePoint now_;
     std::vector<Effect> effects_;
     // Of attempts that ended here; the decision module is told once it has returned.
-    std::deque<std::pair<AttemptId, AttemptResult>> settled_;
+    std::deque<std::pair<AttemptId, AttemptResult>> unreported_results_;
     std::vector<Invocation> invocations_;
-    std::vector<InvocationId> free_;
+    std::vector<InvocationId> free_invocations_;
     std::unordered_map<RequestId, InvocationId> invocation_of_;
-    std::unordered_set<std::string> open_ids_;  // of unanswered requests
+    std::unordered_set<std::string> open_request_ids_;  // of unanswered requests
     std::unordered_map<AttemptId, Attempt> attempts_;
     std::unordered_map<AttemptId, Relay> relays_;
     std::unordered_map<RequestId, AttemptId> relay_of_;
     AttemptId next_attempt_ = 1;
     std::vector<Upstream> upstreams_;
     std::unordered_map<std::string, UpstreamId> upstream_of_;
-    bool listed_ = false;
-    std::optional<TimePoint> stopped_, drained_;
-    bool another_serves_ = false;
+    bool has_listed_upstreams_ = false;
+    std::optional<TimePoint> stopped_at_, drained_at_;
+    bool other_process_listening_ = false;
     std::map<std::string, OutcomeCounts> outcomes_;
-    uint64_t backend_calls_ = 0, taken_ = 0, left_ = 0;
-    std::string discovery_;
-    std::optional<fleet::EndpointView> view_;  // only as a member of a fleet
-    std::vector<EndpointState> real_;          // by slot; only with view_
-    double sharers_ = 0;
-    std::optional<fleet::StartupSequencer> recovery_;
-    std::unordered_set<std::string> may_have_run_;  // before this start
-    bool list_told_ = false;
-    uint64_t went_well_ = 0;
-    double well_rate_ = 0;  // successful requests a second, smoothed
-    TimePoint well_at_;
+    uint64_t backend_calls_ = 0, requests_received_ = 0, requests_abandoned_ = 0;
+    std::string discovery_address_;
+    std::optional<fleet::EndpointView> view_;      // only as a member of a fleet
+    std::vector<EndpointState> listed_endpoints_;  // by slot; only with view_
+    double subset_peer_count_ = 0;
+    std::optional<fleet::StartupSequencer> startup_;
+    std::unordered_set<std::string> possibly_executed_ids_;  // before this start
+    bool list_received_ = false;
+    uint64_t successes_since_update_ = 0;
+    double goodput_ = 0;  // successful requests a second, smoothed
+    TimePoint goodput_updated_at_;
     Balancer balancer_;
 };
 
--- a/src/net/reducer_admin.cpp
+++ b/src/net/reducer_admin.cpp
@@ -19,101 +19,106 @@
 
 }  // namespace
 
-void Reducer::on(ShutdownStarted stopping)
+void Reducer::on(ShutdownStarted event)
 {
-    stopped_ = now_;
-    another_serves_ = stopping.other_process_listening;
+    stopped_at_ = now_;
+    other_process_listening_ = event.other_process_listening;
 }
 
 // A second drain changes nothing, nor does a resume without a drain. A shutdown cannot be undone.
-void Reducer::on(AdminCommandReceived ordered)
+void Reducer::on(AdminCommandReceived event)
 {
-    AdminCommandResult obeyed{ordered.connection, true, {}, {}};
-    switch (ordered.command) {
-        case AdminCommand::ready: obeyed.success = ready(); break;
-        case AdminCommand::show_stat: obeyed.statistics = statistics(); break;
+    AdminCommandResult result{event.connection, true, {}, {}};
+    switch (event.command) {
+        case AdminCommand::ready: result.success = ready(); break;
+        case AdminCommand::show_stat: result.statistics = statistics(); break;
         case AdminCommand::drain:
-            if (!drained_) drained_ = now_;
+            if (!drained_at_) drained_at_ = now_;
             break;
         case AdminCommand::resume:
-            obeyed.success = !stopped_;
-            drained_.reset();
+            result.success = !stopped_at_;
+            drained_at_.reset();
             break;
     }
-    obeyed.serving_state = serving_state();
-    effects_.push_back(std::move(obeyed));
+    result.serving_state = serving_state();
+    effects_.push_back(std::move(result));
 }
 
 ServingState Reducer::serving_state() const
 {
-    if (stopped_) return ServingState::stopping;
-    if (drained_) return ServingState::draining;
-    return listed_ ? ServingState::ready : ServingState::starting;
+    if (stopped_at_) return ServingState::stopping;
+    if (drained_at_) return ServingState::draining;
+    return has_listed_upstreams_ ? ServingState::ready : ServingState::starting;
 }
 
 ServiceStatistics Reducer::statistics()
 {
-    ServiceStatistics f{outcomes_, backend_calls_, taken_, left_, open_ids_.size(), 0, 0};
-    for (const Upstream& u : upstreams_) f.hosts_listed += u.phase != EndpointPhase::gone;
-    for (UpstreamId t = 0; t < upstreams_.size(); ++t)
-        f.hosts_down += upstreams_[t].phase == EndpointPhase::draining ||
-                        (upstreams_[t].phase == EndpointPhase::ready && reduction(t) >= 0.5);
-    return f;
+    ServiceStatistics result{
+        outcomes_, backend_calls_, requests_received_, requests_abandoned_, open_request_ids_.size(), 0, 0};
+    for (const Upstream& upstream : upstreams_) result.hosts_listed += upstream.phase != EndpointPhase::gone;
+    for (UpstreamId upstream_id = 0; upstream_id < upstreams_.size(); ++upstream_id)
+        result.hosts_down +=
+            upstreams_[upstream_id].phase == EndpointPhase::draining ||
+            (upstreams_[upstream_id].phase == EndpointPhase::ready && reduction(upstream_id) >= 0.5);
+    return result;
 }
 
 // Open requests finish as the decision module says; their responses come from upstreams that stay the same.
-void Reducer::settings_are(ServiceConfig setup)
+void Reducer::apply_config(ServiceConfig config)
 {
-    const auto places = [](const std::vector<std::string>& now, const std::vector<std::string>& before) {
-        IndexMapping were;
-        for (const auto& name : now) {
-            const auto at = std::find(before.begin(), before.end(), name);
-            were.emplace_back();
-            if (at != before.end()) were.back() = static_cast<uint32_t>(at - before.begin());
+    const auto index_mapping = [](const std::vector<std::string>& names,
+                                  const std::vector<std::string>& previous_names) {
+        IndexMapping mapping;
+        for (const auto& name : names) {
+            const auto found = std::find(previous_names.begin(), previous_names.end(), name);
+            mapping.emplace_back();
+            if (found != previous_names.end())
+                mapping.back() = static_cast<uint32_t>(found - previous_names.begin());
         }
-        return were;
+        return mapping;
     };
-    const auto operations = places(setup.operation_names, setup_.operation_names);
-    const auto tenants = places(setup.tenant_names, setup_.tenant_names);
-    setup.config_version = setup_.config_version + 1;
-    setup_ = std::move(setup);
-    for (const auto& name : setup_.operation_names) outcomes_[name];
-    balancer_.update_settings(now_, setup_.settings, operations, tenants);
+    const auto operations = index_mapping(config.operation_names, config_.operation_names);
+    const auto tenants = index_mapping(config.tenant_names, config_.tenant_names);
+    config.config_version = config_.config_version + 1;
+    config_ = std::move(config);
+    for (const auto& name : config_.operation_names) outcomes_[name];
+    balancer_.update_settings(now_, config_.settings, operations, tenants);
 }
 
 // The list and what is known of its upstreams stay as they are until the new address has sent its list. With
 // new settings, the full list is fetched again: its zones may have other indices.
-void Reducer::on(ConfigReloaded& read)
+void Reducer::on(ConfigReloaded& event)
 {
-    if (read.discovery_address == discovery_ && !read.service_config) return;
-    if (read.service_config) settings_are(std::move(*read.service_config));
-    discovery_ = read.discovery_address;
-    effects_.push_back(MoveEndpointWatch{std::move(read.discovery_address)});
+    if (event.discovery_address == discovery_address_ && !event.service_config) return;
+    if (event.service_config) apply_config(std::move(*event.service_config));
+    discovery_address_ = event.discovery_address;
+    effects_.push_back(MoveEndpointWatch{std::move(event.discovery_address)});
 }
 
 // Counted from the stop signal. Where clients wait for a short time only, requests must not wait for
 // upstreams until the process is killed.
 Duration Reducer::shutdown_response_time() const
 {
-    Duration longest;
-    for (const Operation& op : setup_.settings.operations) longest = std::max(longest, op.client_timeout);
-    return std::min(max_client_wait, longest) + kill_delay - kill_margin;
+    Duration longest_timeout;
+    for (const Operation& operation : config_.settings.operations)
+        longest_timeout = std::max(longest_timeout, operation.client_timeout);
+    return std::min(max_client_wait, longest_timeout) + kill_delay - kill_margin;
 }
 
 // The decision module may wait longer than time_left, by time_left_margin.
-void Reducer::bound_by_stop(Request& request) const
+void Reducer::limit_time_left_at_shutdown(Request& request) const
 {
-    if (!stopped_) return;
-    const Duration bound = *stopped_ + shutdown_response_time() - setup_.settings.time_left_margin - now_;
-    request.time_left = std::min(request.time_left, bound);
+    if (!stopped_at_) return;
+    const Duration limit = *stopped_at_ + shutdown_response_time() - config_.settings.time_left_margin - now_;
+    request.time_left = std::min(request.time_left, limit);
 }
 
 bool Reducer::should_close_connections(TimePoint now) const
 {
-    if (stopped_)
-        return another_serves_ ||
-               now >= *stopped_ + std::max(front_notice_time, shutdown_response_time() - close_margin);
-    return drained_ && now >= *drained_ + front_notice_time;
+    if (stopped_at_)
+        return other_process_listening_ ||
+               now >= *stopped_at_ + std::max(front_notice_time, shutdown_response_time() - close_margin);
+    return drained_at_ && now >= *drained_at_ + front_notice_time;
 }
 
 }  // namespace firtide::net
--- a/src/net/reducer_endpoints.cpp
+++ b/src/net/reducer_endpoints.cpp
@@ -14,122 +14,134 @@
 
 // A new upstream takes the slot of one that has gone, so that memory does not grow with every upstream that
 // ever existed. What was forwarded to the old one keeps its slot in use until it has ended.
-UpstreamId Reducer::place_of(const std::string& uid)
+UpstreamId Reducer::find_or_add_upstream(const std::string& uid)
 {
-    const auto [at, fresh] = upstream_of_.try_emplace(uid, static_cast<UpstreamId>(upstreams_.size()));
-    if (!fresh) return at->second;
-    const auto free = std::find_if(upstreams_.begin(), upstreams_.end(), [](const Upstream& u) {
-        return u.phase == EndpointPhase::gone && u.referred == 0;
+    const auto [entry, inserted] = upstream_of_.try_emplace(uid, static_cast<UpstreamId>(upstreams_.size()));
+    if (!inserted) return entry->second;
+    const auto free_slot = std::find_if(upstreams_.begin(), upstreams_.end(), [](const Upstream& upstream) {
+        return upstream.phase == EndpointPhase::gone && upstream.reference_count == 0;
     });
-    if (free == upstreams_.end()) {
+    if (free_slot == upstreams_.end()) {
         upstreams_.emplace_back();
     } else {
-        at->second = static_cast<UpstreamId>(free - upstreams_.begin());
-        effects_.push_back(CloseIdle{at->second});
-        upstream_of_.erase(free->uid);
-        *free = {};
+        entry->second = static_cast<UpstreamId>(free_slot - upstreams_.begin());
+        effects_.push_back(CloseIdle{entry->second});
+        upstream_of_.erase(free_slot->uid);
+        *free_slot = {};
     }
-    upstreams_[at->second].uid = uid;
-    return at->second;
+    upstreams_[entry->second].uid = uid;
+    return entry->second;
 }
 
-std::vector<EndpointState> Reducer::listings(const std::vector<ListedEndpoint>& entries, bool all)
+std::vector<EndpointState> Reducer::update_upstreams(const std::vector<ListedEndpoint>& entries, bool is_full)
 {
-    std::vector<EndpointPhase> before;
-    for (Upstream& u : upstreams_) {
-        before.push_back(u.phase);
-        if (all) u.phase = EndpointPhase::gone;  // a full list drops what it does not name
+    std::vector<EndpointPhase> previous_phases;
+    for (Upstream& upstream : upstreams_) {
+        previous_phases.push_back(upstream.phase);
+        if (is_full) upstream.phase = EndpointPhase::gone;  // a full list drops what it does not name
     }
     // Known upstreams come first, so that their slots are not given to others of the same list.
-    for (const ListedEndpoint& e : entries)
-        if (const auto at = upstream_of_.find(e.uid); at != upstream_of_.end())
-            upstreams_[at->second].phase = e.phase;
-    std::vector<EndpointState> listed;
-    for (const ListedEndpoint& e : entries) {
-        const UpstreamId at = place_of(e.uid);
-        before.resize(upstreams_.size(), EndpointPhase::gone);
-        Upstream& u = upstreams_[at];
-        if (!u.endpoint.empty() && u.endpoint != e.endpoint) effects_.push_back(CloseIdle{at});
-        u.endpoint = e.endpoint;
-        u.phase = e.phase;
-        listed.push_back({at, hash_uid(e.uid), e.phase, e.zone, e.cell, 1, e.started_at});
-        if (setup_.capacities_listed && e.capacity > 0) listed.back().capacity = e.capacity;
+    for (const ListedEndpoint& entry : entries)
+        if (const auto found = upstream_of_.find(entry.uid); found != upstream_of_.end())
+            upstreams_[found->second].phase = entry.phase;
+    std::vector<EndpointState> endpoints;
+    for (const ListedEndpoint& entry : entries) {
+        const UpstreamId upstream_id = find_or_add_upstream(entry.uid);
+        previous_phases.resize(upstreams_.size(), EndpointPhase::gone);
+        Upstream& upstream = upstreams_[upstream_id];
+        if (!upstream.endpoint.empty() && upstream.endpoint != entry.endpoint)
+            effects_.push_back(CloseIdle{upstream_id});
+        upstream.endpoint = entry.endpoint;
+        upstream.phase = entry.phase;
+        endpoints.push_back(
+            {upstream_id, hash_uid(entry.uid), entry.phase, entry.zone, entry.cell, 1, entry.started_at});
+        if (config_.capacities_listed && entry.capacity > 0) endpoints.back().capacity = entry.capacity;
     }
-    bool left = false;
-    for (UpstreamId t = 0; t < upstreams_.size(); ++t)
-        if (before[t] == EndpointPhase::ready && upstreams_[t].phase != EndpointPhase::ready)
-            effects_.push_back(CloseIdle{t}), left = true;
+    bool any_left = false;
+    for (UpstreamId upstream_id = 0; upstream_id < upstreams_.size(); ++upstream_id)
+        if (previous_phases[upstream_id] == EndpointPhase::ready &&
+            upstreams_[upstream_id].phase != EndpointPhase::ready)
+            effects_.push_back(CloseIdle{upstream_id}), any_left = true;
     // A request may have passed may_write() before this list and not have been sent yet.
-    if (left)
-        for (const auto& [id, a] : attempts_)
-            if (upstreams_[a.upstream_id].phase != EndpointPhase::ready) effects_.push_back(CancelWrite{id});
-    listed_ = listed_ || !listed.empty();
-    return listed;
+    if (any_left)
+        for (const auto& [id, attempt] : attempts_)
+            if (upstreams_[attempt.upstream_id].phase != EndpointPhase::ready)
+                effects_.push_back(CancelWrite{id});
+    has_listed_upstreams_ = has_listed_upstreams_ || !endpoints.empty();
+    return endpoints;
 }
 
-void Reducer::on(EndpointListUpdated& told)
+void Reducer::on(EndpointListUpdated& event)
 {
     // A discovery service that has lost its state sends an empty list: it does not replace a good one.
-    const bool empty =
-        recovery_ && told.is_full && told.entries.empty() && listed_ && !recovery_->accepts_empty_list(now_);
-    if (recovery_ && !told.entries.empty()) recovery_->on_nonempty_list();
-    list_told_ = list_told_ || !empty;
-    if (!empty) listed(listings(told.entries, told.is_full), told.is_full);
+    const bool ignored_empty_list = startup_ && event.is_full && event.entries.empty() &&
+                                    has_listed_upstreams_ && !startup_->accepts_empty_list(now_);
+    if (startup_ && !event.entries.empty()) startup_->on_nonempty_list();
+    list_received_ = list_received_ || !ignored_empty_list;
+    if (!ignored_empty_list) publish_endpoints(update_upstreams(event.entries, event.is_full), event.is_full);
     balancer_.on_endpoint_list_fetched(now_, true);
 }
 
 // The start times of a list from before this start are not trusted: upstreams that came back together with
 // this balancer are cold.
-void Reducer::on(EndpointListRestored& told)
+void Reducer::on(EndpointListRestored& event)
 {
-    if (recovery_)
-        for (ListedEndpoint& e : told.entries) e.started_at = now_;
-    listed(listings(told.entries, true), true);
+    if (startup_)
+        for (ListedEndpoint& entry : event.entries) entry.started_at = now_;
+    publish_endpoints(update_upstreams(event.entries, true), true);
 }
 
-void Reducer::listed(const std::vector<EndpointState>& listings, bool all)
+void Reducer::publish_endpoints(const std::vector<EndpointState>& endpoints, bool is_full)
 {
     if (!view_)
-        return all ? balancer_.set_endpoints(now_, listings) : balancer_.update_endpoints(now_, listings);
-    if (all)
-        for (EndpointState& l : real_) l.phase = EndpointPhase::gone;
-    real_.resize(upstreams_.size());
-    for (const EndpointState& l : listings) real_[l.upstream_id] = l;
-    view_->set_endpoints(real_);
-    show();
+        return is_full ? balancer_.set_endpoints(now_, endpoints)
+                       : balancer_.update_endpoints(now_, endpoints);
+    if (is_full)
+        for (EndpointState& endpoint : listed_endpoints_) endpoint.phase = EndpointPhase::gone;
+    listed_endpoints_.resize(upstreams_.size());
+    for (const EndpointState& endpoint : endpoints) listed_endpoints_[endpoint.upstream_id] = endpoint;
+    view_->set_endpoints(listed_endpoints_);
+    update_view();
 }
 
 void Reducer::on(EndpointListFetchFailed) { balancer_.on_endpoint_list_fetched(now_, false); }
 
 // The hash of its uid assigns each upstream a shard and a time slice of the period, the same at every
 // balancer.
-void Reducer::on(ProbesDue due)
+void Reducer::on(ProbesDue event)
 {
-    for (UpstreamId t = 0; t < upstreams_.size(); ++t) {
-        const uint64_t id = hash_uid(upstreams_[t].uid);
-        if (upstreams_[t].phase != EndpointPhase::ready || id % due.shard_count != due.shard ||
-            id / due.shard_count % due.slice_count != due.slice)
+    for (UpstreamId upstream_id = 0; upstream_id < upstreams_.size(); ++upstream_id) {
+        const uint64_t id = hash_uid(upstreams_[upstream_id].uid);
+        if (upstreams_[upstream_id].phase != EndpointPhase::ready || id % event.shard_count != event.shard ||
+            id / event.shard_count % event.slice_count != event.slice)
             continue;
-        ++upstreams_[t].referred;
-        dial(next_attempt_++,
-             {{}, 0, t, upstreams_[t].endpoint, now_, now_ + probe_timeout, false, due.fencing_token});
+        ++upstreams_[upstream_id].reference_count;
+        start_attempt(next_attempt_++, {{},
+                                        0,
+                                        upstream_id,
+                                        upstreams_[upstream_id].endpoint,
+                                        now_,
+                                        now_ + probe_timeout,
+                                        false,
+                                        event.fencing_token});
     }
 }
 
-void Reducer::on(const ProbeReportReceived& heard)
+void Reducer::on(const ProbeReportReceived& event)
 {
-    const auto at = upstream_of_.find(heard.uid);
-    if (at == upstream_of_.end() || upstreams_[at->second].phase == EndpointPhase::gone) return;
+    const auto found = upstream_of_.find(event.uid);
+    if (found == upstream_of_.end() || upstreams_[found->second].phase == EndpointPhase::gone) return;
     balancer_.on_probe_completed(
-        now_, at->second, heard.success ? AttemptResult::succeeded : AttemptResult::unreachable,
-        heard.load_report.empty() ? LoadReport{} : decode_load_report(setup_, heard.load_report));
+        now_, found->second, event.success ? AttemptResult::succeeded : AttemptResult::unreachable,
+        event.load_report.empty() ? LoadReport{} : decode_load_report(config_, event.load_report));
 }
 
 void Reducer::probe(UpstreamId upstream_id)
 {
     if (view_ && !view_->take_from_budget(now_, {fleet::Budget::probes, 0})) return;
-    ++upstreams_[upstream_id].referred;
-    dial(next_attempt_++, {{}, 0, upstream_id, upstreams_[upstream_id].endpoint, now_, now_ + probe_timeout});
+    ++upstreams_[upstream_id].reference_count;
+    start_attempt(next_attempt_++,
+                  {{}, 0, upstream_id, upstreams_[upstream_id].endpoint, now_, now_ + probe_timeout});
 }
 
 void Reducer::close_idle_connections(UpstreamId upstream_id) { effects_.push_back(CloseIdle{upstream_id}); }
--- a/src/net/reducer_relay.cpp
+++ b/src/net/reducer_relay.cpp
@@ -16,90 +16,93 @@
 
 // More of a request that is forwarded while it is being received. Before its last byte nothing has run; its
 // time starts there.
-void Reducer::on(RequestChunkReceived& piece)
+void Reducer::on(RequestChunkReceived& event)
 {
-    const auto at = invocation_of_.find(piece.caller);
-    if (at == invocation_of_.end() || invocations_[at->second].over) return;
-    Invocation& i = invocations_[at->second];
-    if (!i.request.body_incomplete) return;
-    i.request.body = {}, i.spent = true;
-    if (!i.goes_to) return;
-    i.on_way += piece.bytes.size();
-    i.request.body_incomplete = !piece.is_last;
-    sending_ -= piece.is_last;
+    const auto found = invocation_of_.find(event.caller);
+    if (found == invocation_of_.end() || invocations_[found->second].finished) return;
+    Invocation& invocation = invocations_[found->second];
+    if (!invocation.request.body_incomplete) return;
+    invocation.request.body = {}, invocation.body_discarded = true;
+    if (!invocation.streaming_attempt) return;
+    invocation.unwritten_bytes += event.bytes.size();
+    invocation.request.body_incomplete = !event.is_last;
+    streamed_requests_ -= event.is_last;
     effects_.push_back(WriteUpstream{
-        *i.goes_to, encode_body_chunk(std::move(piece.bytes), !i.request.content_length, piece.is_last),
-        i.request.body_incomplete});
-    if (i.request.body_incomplete) {
-        if (i.on_way > most_on_way()) effects_.push_back(SetRequestReading{i.caller, false});
+        *invocation.streaming_attempt,
+        encode_body_chunk(std::move(event.bytes), !invocation.request.content_length, event.is_last),
+        invocation.request.body_incomplete});
+    if (invocation.request.body_incomplete) {
+        if (invocation.unwritten_bytes > relay_window_bytes())
+            effects_.push_back(SetRequestReading{invocation.caller, false});
         return;
     }
-    i.request.time_left = std::max(Duration{}, i.request.time_left - piece.read_delay);
-    bound_by_stop(i.request);
-    balancer_.on_request_complete(now_, at->second, i.request.time_left);
+    invocation.request.time_left = std::max(Duration{}, invocation.request.time_left - event.read_delay);
+    limit_time_left_at_shutdown(invocation.request);
+    balancer_.on_request_complete(now_, found->second, invocation.request.time_left);
 }
 
 // With many large messages at once, reading is paused sooner, so that they do not use up the memory.
-size_t Reducer::most_on_way() const
+size_t Reducer::relay_window_bytes() const
 {
-    return std::clamp(room_ / (relays_.size() + sending_ + 1), min_window_bytes, max_window_bytes);
+    return std::clamp(relay_memory_share_bytes_ / (relays_.size() + streamed_requests_ + 1), min_window_bytes,
+                      max_window_bytes);
 }
 
 // Reads from the caller only while its bytes have somewhere to go.
-void Reducer::hear(const Invocation& i)
+void Reducer::resume_request_reading(const Invocation& invocation)
 {
-    if (i.request.body_incomplete) effects_.push_back(SetRequestReading{i.caller, true});
+    if (invocation.request.body_incomplete) effects_.push_back(SetRequestReading{invocation.caller, true});
 }
 
-void Reducer::on(ResponseDrained taken)
+void Reducer::on(ResponseDrained event)
 {
-    const auto at = relay_of_.find(taken.caller);
-    if (at == relay_of_.end()) return;
-    const AttemptId id = at->second;
-    Relay& r = relays_[id];
-    r.on_way = 0;
-    if (r.all_came) return relayed(id, &OutcomeCounts::success);
-    if (std::exchange(r.held, false)) effects_.push_back(SetResponseReading{id, true});
+    const auto found = relay_of_.find(event.caller);
+    if (found == relay_of_.end()) return;
+    const AttemptId id = found->second;
+    Relay& relay = relays_[id];
+    relay.unsent_bytes = 0;
+    if (relay.fully_received) return end_relay(id, &OutcomeCounts::success);
+    if (std::exchange(relay.reading_paused, false)) effects_.push_back(SetResponseReading{id, true});
 }
 
 // From here on, only this attempt can provide the response.
-void Reducer::bind(AttemptId id)
+void Reducer::start_relay(AttemptId id)
 {
-    const auto at = attempts_.find(id);
-    if (at == attempts_.end() || !at->second.inv) return;
-    Invocation& i = invocations_[*at->second.inv];
-    if (i.over) return;
-    i.bound = true;
-    relay_of_[i.caller] = id;
-    relays_[id] = {i.caller, i.request.id, i.outcomes, 0, false, false};
+    const auto found = attempts_.find(id);
+    if (found == attempts_.end() || !found->second.invocation_id) return;
+    Invocation& invocation = invocations_[*found->second.invocation_id];
+    if (invocation.finished) return;
+    invocation.has_relay = true;
+    relay_of_[invocation.caller] = id;
+    relays_[id] = {invocation.caller, invocation.request.id, invocation.outcomes, 0, false, false};
 }
 
-void Reducer::on(ResponseChunkReceived& came)
+void Reducer::on(ResponseChunkReceived& event)
 {
-    const auto at = relays_.find(came.attempt);
-    if (at == relays_.end()) return;
-    Relay& r = at->second;
-    r.on_way += came.bytes.size();
-    r.all_came = came.is_last;
-    effects_.push_back(SendResponseChunk{r.caller, std::move(came.bytes), came.is_last});
-    if (came.is_last || r.held || r.on_way <= most_on_way()) return;
-    r.held = true;
-    effects_.push_back(SetResponseReading{came.attempt, false});
+    const auto found = relays_.find(event.attempt);
+    if (found == relays_.end()) return;
+    Relay& relay = found->second;
+    relay.unsent_bytes += event.bytes.size();
+    relay.fully_received = event.is_last;
+    effects_.push_back(SendResponseChunk{relay.caller, std::move(event.bytes), event.is_last});
+    if (event.is_last || relay.reading_paused || relay.unsent_bytes <= relay_window_bytes()) return;
+    relay.reading_paused = true;
+    effects_.push_back(SetResponseReading{event.attempt, false});
 }
 
 // Ends a relay and counts its outcome; null: its caller has disconnected, which counts as none.
-void Reducer::relayed(AttemptId id, uint64_t OutcomeCounts::*as)
+void Reducer::end_relay(AttemptId id, uint64_t OutcomeCounts::*outcome)
 {
-    const Relay r = std::move(relays_[id]);
-    if (as) ++(r.outcomes->*as);
-    open_ids_.erase(r.id);
-    relay_of_.erase(r.caller);
+    const Relay relay = std::move(relays_[id]);
+    if (outcome) ++(relay.outcomes->*outcome);
+    open_request_ids_.erase(relay.request_id);
+    relay_of_.erase(relay.caller);
     relays_.erase(id);
 }
 
-void Reducer::on(ProcessCountChanged shared)
+void Reducer::on(ProcessCountChanged event)
 {
-    room_ = all_room_ / std::max<size_t>(1, shared.process_count);
+    relay_memory_share_bytes_ = relay_memory_bytes_ / std::max<size_t>(1, event.process_count);
 }
 
 }  // namespace firtide::net
