--- a/tests/message.cpp
+++ b/tests/message.cpp
@@ -13,9 +13,9 @@
 namespace
 {
 
-const std::string ok = "HTTP/1.1 200 OK\r\n";
-const std::string four_bytes = "Content-Length: 4\r\n\r\nbody";
-const std::string post = "POST /op/a HTTP/1.1\r\nReq-Id: 7\r\n";
+const std::string ok_line = "HTTP/1.1 200 OK\r\n";
+const std::string four_byte_body = "Content-Length: 4\r\n\r\nbody";
+const std::string post_head = "POST /op/a HTTP/1.1\r\nReq-Id: 7\r\n";
 
 ServiceConfig service_config()
 {
@@ -33,72 +33,73 @@
 
 // How a request is rejected; or for which tenant and with how much time it is accepted, and what is sent to
 // the upstream.
-std::string forwarded(const std::string& target, Headers headers)
+std::string forward(const std::string& target, Headers headers)
 {
     Request request{"POST", target, "", 0, 0, {}, {}, "body"};
-    const auto refused = decode_request(service_config(), std::move(headers), request);
-    if (refused) return std::to_string(refused->status) + " " + refused->reason;
+    const auto error = decode_request(service_config(), std::move(headers), request);
+    if (error) return std::to_string(error->status) + " " + error->reason;
     return "tenant " + std::to_string(request.tenant) + ", " + std::to_string(request.time_left.us / 1000) +
            " ms\n" + encode_request(request, "host:1", seconds(0.4567));
 }
 
-std::string sent(const std::string& first_line, const std::string& headers)
+std::string expected_request(const std::string& first_line, const std::string& headers)
 {
     return first_line + " HTTP/1.1\r\nHost: host:1\r\nreq-id: 1\r\n" + headers +
            "Req-Deadline-Ms: 456\r\nContent-Length: 4\r\n\r\nbody";
 }
 
-const std::pair<std::string, std::string> id{"req-id", "1"};
+const std::pair<std::string, std::string> id_header{"req-id", "1"};
 
 TEST(ForwardedRequest, KeepsHeadersOfTheRequestAndDropsThoseOfTheConnection)
 {
-    const Headers headers{id, {"Req-Deadline-Ms", "480"}, {"X", "y"}, {"Connection", "close"}};
-    EXPECT_EQ(forwarded("/op/a?b=c", headers), "tenant 2, 480 ms\n" + sent("POST /op/a?b=c", "X: y\r\n"));
+    const Headers headers{id_header, {"Req-Deadline-Ms", "480"}, {"X", "y"}, {"Connection", "close"}};
+    EXPECT_EQ(forward("/op/a?b=c", headers),
+              "tenant 2, 480 ms\n" + expected_request("POST /op/a?b=c", "X: y\r\n"));
 }
 
 TEST(ForwardedRequest, HasTheTenantThatTheSettingsName)
 {
-    EXPECT_EQ(forwarded("/op", {id, {"Req-Owner", "two"}}),
-              "tenant 1, 2000 ms\n" + sent("POST /op", "Req-Owner: two\r\n"));
-    EXPECT_EQ(forwarded("/op", {id, {"Req-Owner", "three"}}),
-              "tenant 2, 2000 ms\n" + sent("POST /op", "Req-Owner: three\r\n"));
+    EXPECT_EQ(forward("/op", {id_header, {"Req-Owner", "two"}}),
+              "tenant 1, 2000 ms\n" + expected_request("POST /op", "Req-Owner: two\r\n"));
+    EXPECT_EQ(forward("/op", {id_header, {"Req-Owner", "three"}}),
+              "tenant 2, 2000 ms\n" + expected_request("POST /op", "Req-Owner: three\r\n"));
 }
 
 TEST(ForwardedRequest, HasNoMoreTimeThanItsOperation)
 {
-    EXPECT_EQ(forwarded("/op", {id, {"Req-Deadline-Ms", "99999"}}),
-              "tenant 2, 2000 ms\n" + sent("POST /op", ""));
+    EXPECT_EQ(forward("/op", {id_header, {"Req-Deadline-Ms", "99999"}}),
+              "tenant 2, 2000 ms\n" + expected_request("POST /op", ""));
 }
 
 TEST(ForwardedRequest, IsRefusedForAnUnknownOperation)
 {
-    EXPECT_EQ(forwarded("/other/op", {id}), "404 no such operation");
+    EXPECT_EQ(forward("/other/op", {id_header}), "404 no such operation");
 }
 
 TEST(ForwardedRequest, IsRefusedForATargetOrIdThatCannotBeRead)
 {
-    EXPECT_EQ(forwarded("/op", {}), "400 Req-Id is missing");
-    EXPECT_EQ(forwarded("op", {id}), "400 unreadable target");
-    EXPECT_EQ(forwarded("/op/a b", {id}), "400 unreadable target");
+    EXPECT_EQ(forward("/op", {}), "400 Req-Id is missing");
+    EXPECT_EQ(forward("op", {id_header}), "400 unreadable target");
+    EXPECT_EQ(forward("/op/a b", {id_header}), "400 unreadable target");
 }
 
 TEST(ForwardedRequest, IsRefusedForHeadersThatCannotBeRead)
 {
-    EXPECT_EQ(forwarded("/op", {id, {"Req-Deadline-Ms", "12x"}}), "400 unreadable Req-Deadline-Ms");
-    EXPECT_EQ(forwarded("/op", {id, {"Req-Deadline-Ms", "-1"}}), "400 unreadable Req-Deadline-Ms");
-    EXPECT_EQ(forwarded("/op", {id, {"X", "a\rReq-Id: 2"}}), "400 unreadable header");
+    EXPECT_EQ(forward("/op", {id_header, {"Req-Deadline-Ms", "12x"}}), "400 unreadable Req-Deadline-Ms");
+    EXPECT_EQ(forward("/op", {id_header, {"Req-Deadline-Ms", "-1"}}), "400 unreadable Req-Deadline-Ms");
+    EXPECT_EQ(forward("/op", {id_header, {"X", "a\rReq-Id: 2"}}), "400 unreadable header");
 }
 
 // ---- readers ----
 
-struct Taken {
+struct ParseResult {
     MessageReader::State state = MessageReader::State::incomplete;
-    size_t used = 0;
+    size_t consumed_bytes = 0;
 };
 
 // The final state of a reader that gets the bytes in two parts, and how many of them it consumed.
 template <class Reader>
-Taken take_in_two(Reader& reader, const std::string& bytes, size_t cut)
+ParseResult parse_in_two_parts(Reader& reader, const std::string& bytes, size_t cut)
 {
     auto state = reader.parse(bytes.substr(0, cut));
     size_t before = 0;
@@ -113,15 +114,15 @@
 {
     const auto config = service_config();
     ResponseReader reader(config);
-    const Taken taken = take_in_two(reader, bytes, cut);
-    if (taken.state == ResponseReader::State::malformed) return "malformed";
-    if (taken.state == ResponseReader::State::incomplete) return "not whole";
+    const ParseResult parsed = parse_in_two_parts(reader, bytes, cut);
+    if (parsed.state == ResponseReader::State::malformed) return "malformed";
+    if (parsed.state == ResponseReader::State::incomplete) return "incomplete";
     const Response& response = reader.response();
-    const bool is_long = response.body.size() > 40;
-    const std::string body = is_long ? std::to_string(response.body.size()) + " bytes" : response.body;
-    std::string text = "whole " + std::to_string(response.status) + (response.declined ? " declined" : "");
+    const bool is_large = response.body.size() > 40;
+    const std::string body = is_large ? std::to_string(response.body.size()) + " bytes" : response.body;
+    std::string text = "complete " + std::to_string(response.status) + (response.declined ? " declined" : "");
     text += " '" + body + "'";
-    if (!reader.keep_alive() || taken.used != bytes.size()) text += ", connection over";
+    if (!reader.keep_alive() || parsed.consumed_bytes != bytes.size()) text += ", connection ends";
     if (response.load_report.queue_length)
         text += ", queue " + std::to_string(*response.load_report.queue_length);
     for (const auto& [name, value] : response.forwarded_headers) text += ", " + name;
@@ -140,133 +141,138 @@
 {
     const auto config = service_config();
     RequestReader reader(config);
-    const Taken taken = take_in_two(reader, bytes, cut);
-    if (taken.state == RequestReader::State::malformed)
+    const ParseResult parsed = parse_in_two_parts(reader, bytes, cut);
+    if (parsed.state == RequestReader::State::malformed)
         return std::to_string(reader.error().status) + " " + reader.error().reason;
-    if (taken.state == RequestReader::State::incomplete) return "not whole";
+    if (parsed.state == RequestReader::State::incomplete) return "incomplete";
     const Request& request = reader.request();
     return request.method + " " + request.target + " id " + request.id + " '" + request.body + "'" +
-           (reader.is_http_1_0() ? ", old" : "") + (reader.keep_alive() ? "" : ", closes") +
-           (taken.used < bytes.size() ? ", more behind it" : "");
+           (reader.is_http_1_0() ? ", HTTP/1.0" : "") + (reader.keep_alive() ? "" : ", closes") +
+           (parsed.consumed_bytes < bytes.size() ? ", unread bytes follow" : "");
 }
 
 void expect_request(const std::string& expected, const std::string& bytes)
 {
     EXPECT_EQ(read_request(bytes, bytes.size()), expected);
     for (size_t cut = 0; cut < bytes.size(); ++cut) {
-        const auto in_two = read_request(bytes, cut);
+        const auto in_two_parts = read_request(bytes, cut);
         // The bytes after a complete request may not have arrived yet.
-        if (in_two + ", more behind it" == expected) continue;
-        ASSERT_EQ(in_two, expected) << "cut at " << cut;
+        if (in_two_parts + ", unread bytes follow" == expected) continue;
+        ASSERT_EQ(in_two_parts, expected) << "cut at " << cut;
     }
 }
 
-TEST(ResponseReader, TakesHeadersAndALoadReport)
+TEST(ResponseReader, ReadsHeadersAndALoadReport)
 {
-    expect_response("whole 200 'body', queue 2.000000, X-A",
-                    ok + "Srv-Load: queue=2,util=0.5,other=1\r\nX-A: b\r\n" + four_bytes);
-    expect_response("whole 200 'body'", ok + "Srv-Load: queue=nan,=,util\r\n" + four_bytes);
+    expect_response("complete 200 'body', queue 2.000000, X-A",
+                    ok_line + "Srv-Load: queue=2,util=0.5,other=1\r\nX-A: b\r\n" + four_byte_body);
+    expect_response("complete 200 'body'", ok_line + "Srv-Load: queue=nan,=,util\r\n" + four_byte_body);
 }
 
-TEST(ResponseReader, TakesADeclinedRequest)
+TEST(ResponseReader, ReadsADeclinedRequest)
 {
-    expect_response("whole 503 declined ''",
+    expect_response("complete 503 declined ''",
                     "HTTP/1.1 503 no\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n");
 }
 
 TEST(ResponseReader, TellsWhenTheConnectionIsOver)
 {
-    expect_response("whole 200 'body', connection over", ok + "Connection: close\r\n" + four_bytes);
-    expect_response("whole 200 'body', connection over", "HTTP/1.0 200 OK\r\n" + four_bytes);
-    expect_response("whole 200 'body', connection over", ok + four_bytes + "rest", 20);
+    expect_response("complete 200 'body', connection ends",
+                    ok_line + "Connection: close\r\n" + four_byte_body);
+    expect_response("complete 200 'body', connection ends", "HTTP/1.0 200 OK\r\n" + four_byte_body);
+    expect_response("complete 200 'body', connection ends", ok_line + four_byte_body + "rest", 20);
 }
 
-TEST(ResponseReader, TakesAllFormsOfTheProtocol)
+TEST(ResponseReader, AcceptsAllFormsOfTheProtocol)
 {
-    expect_response("whole 200 'x'", "HTTP/1.1 200 OK\nContent-Length: 1\n\nx");
-    expect_response("whole 200 'abcd'",
-                    ok + "Transfer-Encoding: chunked\r\n\r\n3;e=1\r\nabc\r\n1\r\nd\r\n0\r\nT: x\r\n\r\n");
-    expect_response("whole 200 'body'", "HTTP/1.1 100 Continue\r\n\r\n" + ok + four_bytes);
+    expect_response("complete 200 'x'", "HTTP/1.1 200 OK\nContent-Length: 1\n\nx");
+    expect_response(
+        "complete 200 'abcd'",
+        ok_line + "Transfer-Encoding: chunked\r\n\r\n3;e=1\r\nabc\r\n1\r\nd\r\n0\r\nT: x\r\n\r\n");
+    expect_response("complete 200 'body'", "HTTP/1.1 100 Continue\r\n\r\n" + ok_line + four_byte_body);
 }
 
-TEST(ResponseReader, WaitsForTheRestOfAMessageThatIsCutShort)
+TEST(ResponseReader, WaitsForTheRestOfATruncatedMessage)
 {
-    expect_response("not whole", ok + "Content-Length: 9\r\n\r\nbody");
-    expect_response("not whole", ok + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
-    expect_response("not whole", ok + "Connection: close\r\n\r\nbody");
+    expect_response("incomplete", ok_line + "Content-Length: 9\r\n\r\nbody");
+    expect_response("incomplete", ok_line + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
+    expect_response("incomplete", ok_line + "Connection: close\r\n\r\nbody");
 }
 
-TEST(ResponseReader, RefusesWhatCanBeReadInTwoWays)
+TEST(ResponseReader, RejectsAmbiguousFraming)
 {
-    expect_response("malformed", ok + "X: a\r\n b\r\n" + four_bytes);
-    expect_response("malformed", ok + "\r\nbody");
-    expect_response("malformed", ok + "Content-Length: 5\r\n" + four_bytes);
-    expect_response("malformed", ok + "Content-Length: -4\r\n\r\nbody");
+    expect_response("malformed", ok_line + "X: a\r\n b\r\n" + four_byte_body);
+    expect_response("malformed", ok_line + "\r\nbody");
+    expect_response("malformed", ok_line + "Content-Length: 5\r\n" + four_byte_body);
+    expect_response("malformed", ok_line + "Content-Length: -4\r\n\r\nbody");
 }
 
-TEST(ResponseReader, RefusesWhatIsNoResponse)
+TEST(ResponseReader, RejectsWhatIsNoResponse)
 {
-    expect_response("malformed", ok + std::string(20000, 'x'));
+    expect_response("malformed", ok_line + std::string(20000, 'x'));
     expect_response("malformed", "hello\r\n\r\n");
-    expect_response("malformed", ok + "hello\r\n\r\n");
+    expect_response("malformed", ok_line + "hello\r\n\r\n");
 }
 
-TEST(ResponseReader, TakesBodiesOf64KiBAndMore)
+TEST(ResponseReader, AcceptsBodiesOf64KiBAndMore)
 {
-    expect_response("whole 200 '65536 bytes'",
-                    ok + "Content-Length: 65536\r\n\r\n" + std::string(65536, 'x'));
-    expect_response("whole 200 '65537 bytes'",
-                    ok + "Content-Length: 65537\r\n\r\n" + std::string(65537, 'x'));
-    expect_response("whole 200 '65537 bytes'", ok + "Transfer-Encoding: chunked\r\n\r\nffff\r\n" +
-                                                   std::string(65535, 'x') + "\r\n2\r\nxx\r\n0\r\n\r\n");
+    expect_response("complete 200 '65536 bytes'",
+                    ok_line + "Content-Length: 65536\r\n\r\n" + std::string(65536, 'x'));
+    expect_response("complete 200 '65537 bytes'",
+                    ok_line + "Content-Length: 65537\r\n\r\n" + std::string(65537, 'x'));
+    expect_response("complete 200 '65537 bytes'", ok_line + "Transfer-Encoding: chunked\r\n\r\nffff\r\n" +
+                                                      std::string(65535, 'x') + "\r\n2\r\nxx\r\n0\r\n\r\n");
 }
 
-TEST(RequestReader, TakesAllFormsOfTheProtocol)
+TEST(RequestReader, AcceptsAllFormsOfTheProtocol)
 {
-    expect_request("POST /op/a id 7 'abcd'",
-                   post + "Transfer-Encoding: chunked\r\n\r\n3;e=1\r\nabc\r\n1\r\nd\r\n0\r\nT: x\r\n\r\n");
+    expect_request(
+        "POST /op/a id 7 'abcd'",
+        post_head + "Transfer-Encoding: chunked\r\n\r\n3;e=1\r\nabc\r\n1\r\nd\r\n0\r\nT: x\r\n\r\n");
     expect_request("GET /op/b?c id 7 ''", "\r\n\r\nGET http://a/op/b?c HTTP/1.1\r\nReq-Id: 7\r\n\r\n");
-    expect_request("POST /op id 7 'ab', old, closes",
+    expect_request("POST /op id 7 'ab', HTTP/1.0, closes",
                    "POST /op HTTP/1.0\r\nReq-Id: 7\r\nContent-Length: 2\r\n\r\nab");
-    expect_request("POST /op/a id 7 'a', closes", post + "Connection: close\r\nContent-Length: 1\r\n\r\na");
+    expect_request("POST /op/a id 7 'a', closes",
+                   post_head + "Connection: close\r\nContent-Length: 1\r\n\r\na");
 }
 
 TEST(RequestReader, LeavesASecondRequestUnread)
 {
-    const std::string second = post + "Content-Length: 1\r\n\r\nb";
-    expect_request("POST /op/a id 7 'a', more behind it", post + "Content-Length: 1\r\n\r\na" + second);
+    const std::string second = post_head + "Content-Length: 1\r\n\r\nb";
+    expect_request("POST /op/a id 7 'a', unread bytes follow",
+                   post_head + "Content-Length: 1\r\n\r\na" + second);
 }
 
-TEST(RequestReader, RefusesBadChunksAndTooMuch)
+TEST(RequestReader, RejectsBadChunksAndTooLargeBodies)
 {
-    const std::string chunked = post + "Transfer-Encoding: chunked\r\n\r\n";
+    const std::string chunked = post_head + "Transfer-Encoding: chunked\r\n\r\n";
     expect_request("400 unreadable request", chunked + "-1\r\nabc\r\n");
     expect_request("400 unreadable request", chunked + "ffffffffffffffffff\r\n");
-    const std::string too_much = post + "Content-Length: 50000000\r\n\r\n";
+    const std::string too_much = post_head + "Content-Length: 50000000\r\n\r\n";
     expect_request("413 too much", too_much);
 }
 
-TEST(RequestReader, WaitsForTheRestOfAMessageThatIsCutShort)
+TEST(RequestReader, WaitsForTheRestOfATruncatedMessage)
 {
-    expect_request("not whole", post + "Content-Length: 5\r\n\r\nabcd");
+    expect_request("incomplete", post_head + "Content-Length: 5\r\n\r\nabcd");
 }
 
 // ---- large bodies ----
 
 // A body that is too large to buffer arrives in parts of `part_size`: take_body() returns all of it, in
 // order.
-void expect_in_pieces(const std::string& bytes, const std::string& body, size_t piece_size)
+void expect_in_parts(const std::string& bytes, const std::string& body, size_t part_size)
 {
     const auto config = service_config();
     ResponseReader reader(config);
-    std::string taken;
+    std::string received;
     auto state = ResponseReader::State::incomplete;
-    for (size_t at = 0; at < bytes.size() && state == ResponseReader::State::incomplete; at += piece_size) {
-        state = reader.parse(bytes.substr(at, piece_size));
-        if (reader.exceeds_buffer()) taken += reader.take_body();
+    for (size_t at = 0; at < bytes.size() && state == ResponseReader::State::incomplete; at += part_size) {
+        state = reader.parse(bytes.substr(at, part_size));
+        if (reader.exceeds_buffer()) received += reader.take_body();
     }
     EXPECT_EQ(state, ResponseReader::State::complete);
-    EXPECT_TRUE(taken == body) << taken.size() << " of " << body.size() << " bytes";
+    EXPECT_TRUE(received == body) << received.size() << " of " << body.size() << " bytes";
 }
 
 struct LargeBody {
@@ -287,18 +293,18 @@
     return body;
 }
 
-TEST(LargeBody, OfAStatedLengthComesInPieces)
+TEST(LargeBody, OfAStatedLengthArrivesInParts)
 {
     const LargeBody body = large_body();
-    const auto head = ok + "Content-Length: " + std::to_string(body.plain.size()) + "\r\n\r\n";
-    for (const size_t size : {1u, 7u, 4096u, 50000u}) expect_in_pieces(head + body.plain, body.plain, size);
+    const auto head = ok_line + "Content-Length: " + std::to_string(body.plain.size()) + "\r\n\r\n";
+    for (const size_t size : {1u, 7u, 4096u, 50000u}) expect_in_parts(head + body.plain, body.plain, size);
 }
 
-TEST(LargeBody, InChunksComesInPieces)
+TEST(LargeBody, InChunksArrivesInParts)
 {
     const LargeBody body = large_body();
-    const auto head = ok + "Transfer-Encoding: chunked\r\n\r\n";
-    for (const size_t size : {1u, 7u, 4096u, 50000u}) expect_in_pieces(head + body.chunks, body.plain, size);
+    const auto head = ok_line + "Transfer-Encoding: chunked\r\n\r\n";
+    for (const size_t size : {1u, 7u, 4096u, 50000u}) expect_in_parts(head + body.chunks, body.plain, size);
 }
 
 TEST(LargeBody, IsFramedAsChunksWhereItsLengthIsNotStated)
@@ -323,7 +329,7 @@
     return "";
 }
 
-TEST(Configuration, IsTakenWhole)
+TEST(Configuration, IsDecoded)
 {
     const auto config =
         decode_config(config_head + R"(,"name":"n1","settings":{"operations":[)" + operation + "]}}");
@@ -368,7 +374,7 @@
               "limits.sockets: a number of 64 or more is expected");
 }
 
-TEST(Configuration, SaysTheSameFlatAndNested)
+TEST(Configuration, IsTheSameFlatAndNested)
 {
     const auto flat = decode_settings(parse_flat_settings(
         "operations.count=1\noperations.0.name=op\noperations.0.repeat=guarded\noperations.0.group=zone\n"
@@ -396,7 +402,7 @@
 
 // ---- lists of upstreams ----
 
-std::optional<EndpointList> decoded(const std::string& text)
+std::optional<EndpointList> decode_with_config(const std::string& text)
 {
     return decode_list(service_config(), text, TimePoint{-1'000'000});
 }
@@ -414,7 +420,7 @@
 
 TEST(EndpointList, HasAllFieldsOfItsEntries)
 {
-    const auto list = decoded(
+    const auto list = decode_with_config(
         R"({"rev":7,"all":true,"targets":[{"uid":"a","endpoint":"1.2.3.4:5","az":"y","pod_group":3,
         "state":"ready","boot_ms":2500},{"uid":"b","endpoint":"e","az":"?","state":"draining","boot_ms":0}]})");
     ASSERT_TRUE(list);
@@ -427,26 +433,26 @@
 
 TEST(EndpointList, HasChanges)
 {
-    const auto gone = decoded(R"({"rev":8,"all":false,"targets":[{"uid":"a","state":"gone"}]})");
+    const auto gone = decode_with_config(R"({"rev":8,"all":false,"targets":[{"uid":"a","state":"gone"}]})");
     ASSERT_TRUE(gone && gone->update.entries.size() == 1);
     EXPECT_EQ(gone->version, 8u);
     EXPECT_FALSE(gone->update.is_full);
     expect_entry(gone->update.entries[0], "a", "", EndpointPhase::gone, 2, 0, std::nullopt);
 }
 
-TEST(EndpointList, TakesAnUnknownStateForDraining)
+TEST(EndpointList, ReadsAnUnknownStateAsDraining)
 {
-    const auto odd = decoded(R"({"rev":8,"all":false,"targets":[{"uid":"a","state":"odd"}]})");
-    ASSERT_TRUE(odd && odd->update.entries.size() == 1);
-    EXPECT_EQ(odd->version, 8u);
-    EXPECT_FALSE(odd->update.is_full);
-    expect_entry(odd->update.entries[0], "a", "", EndpointPhase::draining, 2, 0, std::nullopt);
+    const auto unknown = decode_with_config(R"({"rev":8,"all":false,"targets":[{"uid":"a","state":"odd"}]})");
+    ASSERT_TRUE(unknown && unknown->update.entries.size() == 1);
+    EXPECT_EQ(unknown->version, 8u);
+    EXPECT_FALSE(unknown->update.is_full);
+    expect_entry(unknown->update.entries[0], "a", "", EndpointPhase::draining, 2, 0, std::nullopt);
 }
 
 TEST(EndpointList, IsNoneWithoutTargetsOrJson)
 {
-    EXPECT_FALSE(decoded(R"({"rev":8})"));
-    EXPECT_FALSE(decoded("rev 8"));
+    EXPECT_FALSE(decode_with_config(R"({"rev":8})"));
+    EXPECT_FALSE(decode_with_config("rev 8"));
 }
 
 }  // namespace
--- a/tests/reducer.cpp
+++ b/tests/reducer.cpp
@@ -33,7 +33,7 @@
     return {"b", "2.2.2.2:2", phase, 0, 0, 1, {}};
 }
 
-std::string two_decimals(Duration span)
+std::string format_seconds(Duration span)
 {
     char text[32];
     std::snprintf(text, sizeof text, "%.2f", span.seconds());
@@ -48,14 +48,15 @@
 
     void operator()(const SendResponse& effect)
     {
-        add("answer caller " + std::to_string(effect.caller) + ": " + std::to_string(effect.response.status) +
-            (effect.response.forwarded_headers.empty() ? "" : ", come back later") +
-            (effect.close_connection ? ", the last on its connection" : ""));
+        add("respond to caller " + std::to_string(effect.caller) + ": " +
+            std::to_string(effect.response.status) +
+            (effect.response.forwarded_headers.empty() ? "" : ", Retry-After") +
+            (effect.close_connection ? ", close the connection" : ""));
     }
     void operator()(const ConnectUpstream& effect)
     {
-        add("dial " + effect.endpoint + " for attempt " + std::to_string(effect.attempt) + " within " +
-            two_decimals(effect.timeout) + " s");
+        add("connect to " + effect.endpoint + " for attempt " + std::to_string(effect.attempt) + " within " +
+            format_seconds(effect.timeout) + " s");
     }
     void operator()(const WriteUpstream& effect)
     {
@@ -66,26 +67,35 @@
     }
     void operator()(const SetResponseReading& effect)
     {
-        add(effect.enabled ? "read on from the upstream" : "hold the upstream");
+        add(effect.enabled ? "resume reading the response" : "pause reading the response");
     }
     void operator()(const SetRequestReading& effect)
     {
-        add(effect.enabled ? "read on from the caller" : "hold the caller");
+        add(effect.enabled ? "resume reading the request" : "pause reading the request");
     }
     void operator()(const SendResponseChunk& effect)
     {
-        add("pass " + std::to_string(effect.bytes.size()) + " bytes" + (effect.is_last ? ", the last" : ""));
+        add("relay " + std::to_string(effect.bytes.size()) + " bytes" + (effect.is_last ? ", the last" : ""));
+    }
+    void operator()(const AbortResponse&) { add("abort the response"); }
+    void operator()(const SetAttemptTimeout& effect)
+    {
+        add("timeout " + format_seconds(effect.timeout) + " s");
     }
-    void operator()(const AbortResponse&) { add("cut the answer"); }
-    void operator()(const SetAttemptTimeout& effect) { add("within " + two_decimals(effect.timeout) + " s"); }
     void operator()(const AdminCommandResult& effect)
     {
-        add((effect.success ? "obeyed, " : "not obeyed, ") +
+        add((effect.success ? "command succeeded, " : "command failed, ") +
             std::to_string(static_cast<int>(effect.serving_state)));
     }
-    void operator()(const MoveEndpointWatch& effect) { add("move the watch to " + effect.discovery_address); }
-    void operator()(const CloseUpstream&) { add("hang up"); }
-    void operator()(const CancelWrite& effect) { add("withdraw attempt " + std::to_string(effect.attempt)); }
+    void operator()(const MoveEndpointWatch& effect)
+    {
+        add("watch endpoints at " + effect.discovery_address);
+    }
+    void operator()(const CloseUpstream&) { add("close the attempt's connection"); }
+    void operator()(const CancelWrite& effect)
+    {
+        add("cancel the write of attempt " + std::to_string(effect.attempt));
+    }
     void operator()(const CloseIdle& effect)
     {
         add("close idle connections of u" + std::to_string(effect.upstream_id));
@@ -102,103 +112,105 @@
 };
 
 // Drives a reducer as its host does, with one upstream "a" at first.
-class Play
+class ReducerDriver
 {
   public:
-    explicit Play(Idempotency repeat, bool probes = false, Duration client_timeout = seconds(2))
+    explicit ReducerDriver(Idempotency repeat, bool probes = false, Duration client_timeout = seconds(2))
         : config_(service_config(repeat))
     {
         config_.settings.operations[0].client_timeout = client_timeout;
         config_.settings.may_probe = config_.settings.load_reports_by_probe = probes;
         reducer = std::make_unique<Reducer>(config_, 1, "here:1");
-        tell(ServiceStarted{});
-        list(true, {endpoint_a(EndpointPhase::ready)});
+        send(ServiceStarted{});
+        update_list(true, {endpoint_a(EndpointPhase::ready)});
     }
 
-    void tell(Event event)
+    void send(Event event)
     {
         now = now + seconds(0.01);
         for (const Effect& effect : reducer->reduce(now, std::move(event))) {
-            if (const auto* connect = std::get_if<ConnectUpstream>(&effect)) last = connect->attempt;
+            if (const auto* connect = std::get_if<ConnectUpstream>(&effect)) last_attempt = connect->attempt;
             if (const auto* timer = std::get_if<StartTimer>(&effect)) last_timer_ = timer->timer_id;
-            if (!quiet) std::visit(EffectWriter(lines), effect);
+            if (!muted) std::visit(EffectWriter(lines), effect);
         }
     }
-    void pass(double time) { now = now + seconds(time); }
-    void list(bool all, std::vector<ListedEndpoint> entries)
+    void advance(double duration) { now = now + seconds(duration); }
+    void update_list(bool is_full, std::vector<ListedEndpoint> entries)
     {
-        tell(EndpointListUpdated{all, std::move(entries)});
+        send(EndpointListUpdated{is_full, std::move(entries)});
     }
-    void arrive(RequestId caller = 1, const char* id = nullptr, Duration left = seconds(2))
+    void receive_request(RequestId caller = 1, const char* id = nullptr, Duration time_left = seconds(2))
     {
         const std::string name = id ? id : "id" + std::to_string(caller);
-        tell(RequestReceived{caller,
-                             {"POST", "/op/x?y", name, 0, 0, left, {{"Req-Id", name}}, "body", edition}});
+        send(RequestReceived{
+            caller, {"POST", "/op/x?y", name, 0, 0, time_left, {{"Req-Id", name}}, "body", config_version}});
     }
-    void connected() { tell(UpstreamConnected{last}); }
-    void written() { tell(RequestWritten{last}); }
-    void answered(int status, bool declined = false)
+    void connect() { send(UpstreamConnected{last_attempt}); }
+    void finish_write() { send(RequestWritten{last_attempt}); }
+    void respond(int status, bool declined = false)
     {
-        tell(ResponseReceived{last, {status, declined, {}, {}, "an answer"}});
+        send(ResponseReceived{last_attempt, {status, declined, {}, {}, "a response"}});
     }
-    void failed(AttemptProgress progress, FailureCause cause)
+    void fail(AttemptProgress progress, FailureCause cause)
     {
-        tell(AttemptFailed{last, {progress, cause}});
+        send(AttemptFailed{last_attempt, {progress, cause}});
     }
-    void leaves(RequestId caller) { tell(DownstreamDisconnected{caller}); }
-    void half_closes(RequestId caller) { tell(DownstreamHalfClosed{caller}); }
-    void command(AdminCommand command) { tell(AdminCommandReceived{++last_command_, command}); }
-    void fire_timer() { tell(TimerFired{last_timer_}); }
+    void disconnect(RequestId caller) { send(DownstreamDisconnected{caller}); }
+    void half_close(RequestId caller) { send(DownstreamHalfClosed{caller}); }
+    void command(AdminCommand command) { send(AdminCommandReceived{++last_command_, command}); }
+    void fire_timer() { send(TimerFired{last_timer_}); }
     // A request that is too large to buffer.
-    void begin(RequestId caller)
+    void begin_large_request(RequestId caller)
     {
-        Request request{"POST",  "/op/x", "id" + std::to_string(caller), 0, 0, seconds(2), {},
-                        "begun", edition};
+        Request request{"POST",  "/op/x",       "id" + std::to_string(caller), 0, 0, seconds(2), {},
+                        "begun", config_version};
         request.body_incomplete = true;
         request.content_length = 300000;
-        tell(RequestReceived{caller, std::move(request)});
+        send(RequestReceived{caller, std::move(request)});
     }
-    void bring(RequestId caller, size_t bytes, bool last_chunk)
+    void receive_chunk(RequestId caller, size_t bytes, bool last_chunk)
     {
-        tell(RequestChunkReceived{caller, std::string(bytes, 'x'), last_chunk});
+        send(RequestChunkReceived{caller, std::string(bytes, 'x'), last_chunk});
     }
     // A response that is too large to buffer.
-    void begins_answer(int status = 200)
+    void begin_large_response(int status = 200)
     {
         Response response{status, false, {}, {}, "begun"};
         response.body_incomplete = true;
         response.content_length = 300000;
-        tell(ResponseReceived{last, std::move(response)});
+        send(ResponseReceived{last_attempt, std::move(response)});
     }
-    void comes(size_t bytes, bool last_chunk)
+    void receive_response_chunk(size_t bytes, bool last_chunk)
     {
-        tell(ResponseChunkReceived{last, std::string(bytes, 'x'), last_chunk});
+        send(ResponseChunkReceived{last_attempt, std::string(bytes, 'x'), last_chunk});
     }
     // New settings with another time_left_margin.
-    void set_margin(Duration margin)
+    void set_time_left_margin(Duration margin)
     {
         config_.settings.time_left_margin = margin;
-        tell(ConfigReloaded{"here:1", config_});
-        ++edition;
+        send(ConfigReloaded{"here:1", config_});
+        ++config_version;
     }
     void note(std::string line) { lines.push_back(std::move(line)); }
 
     // In all cases, every received request is answered, in flight or abandoned.
     void write_statistics()
     {
-        const auto figures = reducer->statistics();
-        uint64_t answered = 0;
+        const auto statistics = reducer->statistics();
+        uint64_t responses = 0;
         std::string line;
-        for (const auto& [name, count] : figures.outcomes_by_operation) {
-            answered += count.success + count.busy + count.failure;
+        for (const auto& [name, count] : statistics.outcomes_by_operation) {
+            responses += count.success + count.busy + count.failure;
             line += name + ": " + std::to_string(count.success) + " succeeded, " +
                     std::to_string(count.busy) + " throttled, " + std::to_string(count.failure) +
                     " errored; ";
         }
-        line += std::to_string(figures.backend_calls) + " written, " + std::to_string(figures.inflight) +
-                " in flight, " + std::to_string(figures.hosts_listed) + " listed, " +
-                std::to_string(figures.hosts_down) + " avoided";
-        EXPECT_EQ(figures.requests_received, answered + figures.inflight + figures.requests_abandoned);
+        line += std::to_string(statistics.backend_calls) + " written, " +
+                std::to_string(statistics.inflight) + " in flight, " +
+                std::to_string(statistics.hosts_listed) + " listed, " +
+                std::to_string(statistics.hosts_down) + " down";
+        EXPECT_EQ(statistics.requests_received,
+                  responses + statistics.inflight + statistics.requests_abandoned);
         note(line);
     }
     Lines finish()
@@ -209,9 +221,9 @@
 
     std::unique_ptr<Reducer> reducer;
     TimePoint now{1'000'000'000};
-    AttemptId last = 0;
-    bool quiet = false;
-    uint32_t edition = 0;  // of the settings that requests are decoded with
+    AttemptId last_attempt = 0;
+    bool muted = false;
+    uint32_t config_version = 0;  // of the settings that requests are decoded with
     Lines lines;
 
   private:
@@ -223,751 +235,737 @@
 // ---- what the end of an attempt proves ----
 
 template <class End>
-void expect_end(Idempotency repeat, End end, const Lines& expected)
+void expect_after_end(Idempotency repeat, End end, const Lines& expected)
 {
-    Play play(repeat);
-    play.arrive();
-    play.connected();
-    end(play);
-    EXPECT_EQ(play.finish(), expected);
+    ReducerDriver driver(repeat);
+    driver.receive_request();
+    driver.connect();
+    end(driver);
+    EXPECT_EQ(driver.finish(), expected);
 }
 
 TEST(AttemptEnd, ABare503ProvesNothing)
 {
-    const auto end = [](Play& play) { play.answered(503); };
-    expect_end(Idempotency::idempotent, end,
-               {"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
-                "dial 1.1.1.1:1 for attempt 2 within 0.98 s",
-                "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 avoided"});
-    expect_end(
-        Idempotency::non_idempotent, end,
-        {"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1", "answer caller 1: 502",
-         "op: 0 succeeded, 0 throttled, 1 errored; 1 written, 0 in flight, 1 listed, 0 avoided"});
+    const auto end = [](ReducerDriver& driver) { driver.respond(503); };
+    expect_after_end(Idempotency::idempotent, end,
+                     {"connect to 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+                      "connect to 1.1.1.1:1 for attempt 2 within 0.98 s",
+                      "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 down"});
+    expect_after_end(Idempotency::non_idempotent, end,
+                     {"connect to 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1",
+                      "respond to caller 1: 502",
+                      "op: 0 succeeded, 0 throttled, 1 errored; 1 written, 0 in flight, 1 listed, 0 down"});
 }
 
 TEST(AttemptEnd, ADeclinedRequestNeverRan)
 {
-    const auto end = [](Play& play) { play.answered(503, true); };
-    expect_end(Idempotency::idempotent, end,
-               {"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
-                "dial 1.1.1.1:1 for attempt 2 within 0.98 s",
-                "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 avoided"});
-    expect_end(Idempotency::non_idempotent, end,
-               {"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1",
-                "dial 1.1.1.1:1 for attempt 2 within 1.98 s",
-                "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 avoided"});
+    const auto end = [](ReducerDriver& driver) { driver.respond(503, true); };
+    expect_after_end(Idempotency::idempotent, end,
+                     {"connect to 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+                      "connect to 1.1.1.1:1 for attempt 2 within 0.98 s",
+                      "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 down"});
+    expect_after_end(Idempotency::non_idempotent, end,
+                     {"connect to 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1",
+                      "connect to 1.1.1.1:1 for attempt 2 within 1.98 s",
+                      "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 down"});
 }
 
-TEST(AttemptEnd, A400FindsFaultWithTheRequest)
+TEST(AttemptEnd, A400RejectsTheRequestItself)
 {
-    const auto end = [](Play& play) { play.answered(400); };
-    expect_end(
-        Idempotency::idempotent, end,
-        {"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1", "answer caller 1: 502",
-         "op: 0 succeeded, 0 throttled, 1 errored; 1 written, 0 in flight, 1 listed, 0 avoided"});
-    expect_end(
-        Idempotency::non_idempotent, end,
-        {"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1", "answer caller 1: 502",
-         "op: 0 succeeded, 0 throttled, 1 errored; 1 written, 0 in flight, 1 listed, 0 avoided"});
+    const auto end = [](ReducerDriver& driver) { driver.respond(400); };
+    expect_after_end(Idempotency::idempotent, end,
+                     {"connect to 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+                      "respond to caller 1: 502",
+                      "op: 0 succeeded, 0 throttled, 1 errored; 1 written, 0 in flight, 1 listed, 0 down"});
+    expect_after_end(Idempotency::non_idempotent, end,
+                     {"connect to 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1",
+                      "respond to caller 1: 502",
+                      "op: 0 succeeded, 0 throttled, 1 errored; 1 written, 0 in flight, 1 listed, 0 down"});
 }
 
 TEST(AttemptEnd, A500MayHaveRun)
 {
-    const auto end = [](Play& play) { play.answered(500); };
-    expect_end(Idempotency::idempotent, end,
-               {"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
-                "dial 1.1.1.1:1 for attempt 2 within 0.98 s",
-                "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 avoided"});
-    expect_end(
-        Idempotency::non_idempotent, end,
-        {"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1", "answer caller 1: 502",
-         "op: 0 succeeded, 0 throttled, 1 errored; 1 written, 0 in flight, 1 listed, 0 avoided"});
+    const auto end = [](ReducerDriver& driver) { driver.respond(500); };
+    expect_after_end(Idempotency::idempotent, end,
+                     {"connect to 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+                      "connect to 1.1.1.1:1 for attempt 2 within 0.98 s",
+                      "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 down"});
+    expect_after_end(Idempotency::non_idempotent, end,
+                     {"connect to 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1",
+                      "respond to caller 1: 502",
+                      "op: 0 succeeded, 0 throttled, 1 errored; 1 written, 0 in flight, 1 listed, 0 down"});
 }
 
 TEST(AttemptEnd, BrokenAfterTheLastByteMayHaveRun)
 {
-    const auto end = [](Play& play) { play.failed(AttemptProgress::written, FailureCause::connection_lost); };
-    expect_end(Idempotency::idempotent, end,
-               {"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
-                "dial 1.1.1.1:1 for attempt 2 within 0.98 s",
-                "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 avoided"});
-    expect_end(
-        Idempotency::non_idempotent, end,
-        {"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1", "answer caller 1: 502",
-         "op: 0 succeeded, 0 throttled, 1 errored; 1 written, 0 in flight, 1 listed, 0 avoided"});
+    const auto end = [](ReducerDriver& driver) {
+        driver.fail(AttemptProgress::written, FailureCause::connection_lost);
+    };
+    expect_after_end(Idempotency::idempotent, end,
+                     {"connect to 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+                      "connect to 1.1.1.1:1 for attempt 2 within 0.98 s",
+                      "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 down"});
+    expect_after_end(Idempotency::non_idempotent, end,
+                     {"connect to 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1",
+                      "respond to caller 1: 502",
+                      "op: 0 succeeded, 0 throttled, 1 errored; 1 written, 0 in flight, 1 listed, 0 down"});
 }
 
-TEST(AttemptEnd, BrokenWithinTheAnswerMayHaveRun)
+TEST(AttemptEnd, BrokenWithinTheResponseMayHaveRun)
 {
-    const auto end = [](Play& play) {
-        play.failed(AttemptProgress::receiving_response, FailureCause::connection_lost);
+    const auto end = [](ReducerDriver& driver) {
+        driver.fail(AttemptProgress::receiving_response, FailureCause::connection_lost);
     };
-    expect_end(Idempotency::idempotent, end,
-               {"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
-                "dial 1.1.1.1:1 for attempt 2 within 0.98 s",
-                "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 avoided"});
-    expect_end(
-        Idempotency::non_idempotent, end,
-        {"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1", "answer caller 1: 502",
-         "op: 0 succeeded, 0 throttled, 1 errored; 1 written, 0 in flight, 1 listed, 0 avoided"});
+    expect_after_end(Idempotency::idempotent, end,
+                     {"connect to 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+                      "connect to 1.1.1.1:1 for attempt 2 within 0.98 s",
+                      "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 down"});
+    expect_after_end(Idempotency::non_idempotent, end,
+                     {"connect to 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1",
+                      "respond to caller 1: 502",
+                      "op: 0 succeeded, 0 throttled, 1 errored; 1 written, 0 in flight, 1 listed, 0 down"});
 }
 
-TEST(AttemptEnd, AnUnreadableAnswerMayHaveRun)
+TEST(AttemptEnd, AnInvalidResponseMayHaveRun)
 {
-    const auto end = [](Play& play) {
-        play.failed(AttemptProgress::receiving_response, FailureCause::invalid_response);
+    const auto end = [](ReducerDriver& driver) {
+        driver.fail(AttemptProgress::receiving_response, FailureCause::invalid_response);
     };
-    expect_end(Idempotency::idempotent, end,
-               {"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
-                "dial 1.1.1.1:1 for attempt 2 within 0.98 s",
-                "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 avoided"});
-    expect_end(
-        Idempotency::non_idempotent, end,
-        {"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1", "answer caller 1: 502",
-         "op: 0 succeeded, 0 throttled, 1 errored; 1 written, 0 in flight, 1 listed, 0 avoided"});
+    expect_after_end(Idempotency::idempotent, end,
+                     {"connect to 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+                      "connect to 1.1.1.1:1 for attempt 2 within 0.98 s",
+                      "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 down"});
+    expect_after_end(Idempotency::non_idempotent, end,
+                     {"connect to 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1",
+                      "respond to caller 1: 502",
+                      "op: 0 succeeded, 0 throttled, 1 errored; 1 written, 0 in flight, 1 listed, 0 down"});
 }
 
 TEST(AttemptEnd, BrokenBeforeTheLastByteNeverRan)
 {
-    const auto end = [](Play& play) {
-        play.failed(AttemptProgress::partly_written, FailureCause::connection_lost);
+    const auto end = [](ReducerDriver& driver) {
+        driver.fail(AttemptProgress::partly_written, FailureCause::connection_lost);
     };
-    expect_end(Idempotency::idempotent, end,
-               {"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
-                "dial 1.1.1.1:1 for attempt 2 within 0.98 s",
-                "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 1 in flight, 1 listed, 1 avoided"});
-    expect_end(Idempotency::non_idempotent, end,
-               {"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1",
-                "dial 1.1.1.1:1 for attempt 2 within 1.98 s",
-                "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 1 in flight, 1 listed, 1 avoided"});
+    expect_after_end(Idempotency::idempotent, end,
+                     {"connect to 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+                      "connect to 1.1.1.1:1 for attempt 2 within 0.98 s",
+                      "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 1 in flight, 1 listed, 1 down"});
+    expect_after_end(Idempotency::non_idempotent, end,
+                     {"connect to 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1",
+                      "connect to 1.1.1.1:1 for attempt 2 within 1.98 s",
+                      "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 1 in flight, 1 listed, 1 down"});
 }
 
 TEST(AttemptEnd, TimeUpBeforeTheLastByteNeverRan)
 {
-    const auto end = [](Play& play) {
-        play.failed(AttemptProgress::partly_written, FailureCause::timed_out);
+    const auto end = [](ReducerDriver& driver) {
+        driver.fail(AttemptProgress::partly_written, FailureCause::timed_out);
     };
-    expect_end(Idempotency::idempotent, end,
-               {"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
-                "dial 1.1.1.1:1 for attempt 2 within 0.98 s",
-                "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 1 in flight, 1 listed, 1 avoided"});
-    expect_end(Idempotency::non_idempotent, end,
-               {"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1",
-                "dial 1.1.1.1:1 for attempt 2 within 1.98 s",
-                "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 1 in flight, 1 listed, 1 avoided"});
+    expect_after_end(Idempotency::idempotent, end,
+                     {"connect to 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+                      "connect to 1.1.1.1:1 for attempt 2 within 0.98 s",
+                      "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 1 in flight, 1 listed, 1 down"});
+    expect_after_end(Idempotency::non_idempotent, end,
+                     {"connect to 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1",
+                      "connect to 1.1.1.1:1 for attempt 2 within 1.98 s",
+                      "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 1 in flight, 1 listed, 1 down"});
 }
 
 TEST(AttemptEnd, TimeUpAfterTheLastByteMayHaveRun)
 {
-    const auto end = [](Play& play) { play.failed(AttemptProgress::written, FailureCause::timed_out); };
-    expect_end(Idempotency::idempotent, end,
-               {"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
-                "dial 1.1.1.1:1 for attempt 2 within 0.98 s",
-                "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 avoided"});
-    expect_end(
-        Idempotency::non_idempotent, end,
-        {"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1", "answer caller 1: 502",
-         "op: 0 succeeded, 0 throttled, 1 errored; 1 written, 0 in flight, 1 listed, 0 avoided"});
+    const auto end = [](ReducerDriver& driver) {
+        driver.fail(AttemptProgress::written, FailureCause::timed_out);
+    };
+    expect_after_end(Idempotency::idempotent, end,
+                     {"connect to 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+                      "connect to 1.1.1.1:1 for attempt 2 within 0.98 s",
+                      "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 down"});
+    expect_after_end(Idempotency::non_idempotent, end,
+                     {"connect to 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1",
+                      "respond to caller 1: 502",
+                      "op: 0 succeeded, 0 throttled, 1 errored; 1 written, 0 in flight, 1 listed, 0 down"});
 }
 
 TEST(AttemptEnd, WithoutADescriptorNothingWasSent)
 {
-    const auto end = [](Play& play) {
-        play.failed(AttemptProgress::not_connected, FailureCause::no_descriptor);
+    const auto end = [](ReducerDriver& driver) {
+        driver.fail(AttemptProgress::not_connected, FailureCause::no_descriptor);
     };
-    expect_end(Idempotency::idempotent, end,
-               {"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
-                "answer caller 1: 503, come back later",
-                "op: 0 succeeded, 1 throttled, 0 errored; 0 written, 0 in flight, 1 listed, 0 avoided"});
-    expect_end(Idempotency::non_idempotent, end,
-               {"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1",
-                "answer caller 1: 503, come back later",
-                "op: 0 succeeded, 1 throttled, 0 errored; 0 written, 0 in flight, 1 listed, 0 avoided"});
-}
-
-TEST(Request, IsAnsweredOnce)
-{
-    Play play(Idempotency::idempotent);
-    play.arrive();
-    play.connected();
-    play.answered(200);
-    play.answered(200);
-    play.failed(AttemptProgress::written, FailureCause::connection_lost);
-    EXPECT_EQ(
-        play.finish(),
-        (Lines{"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
-               "answer caller 1: 200",
-               "op: 1 succeeded, 0 throttled, 0 errored; 1 written, 0 in flight, 1 listed, 0 avoided"}));
+    expect_after_end(Idempotency::idempotent, end,
+                     {"connect to 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+                      "respond to caller 1: 503, Retry-After",
+                      "op: 0 succeeded, 1 throttled, 0 errored; 0 written, 0 in flight, 1 listed, 0 down"});
+    expect_after_end(Idempotency::non_idempotent, end,
+                     {"connect to 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1",
+                      "respond to caller 1: 503, Retry-After",
+                      "op: 0 succeeded, 1 throttled, 0 errored; 0 written, 0 in flight, 1 listed, 0 down"});
+}
+
+TEST(Request, GetsOneResponse)
+{
+    ReducerDriver driver(Idempotency::idempotent);
+    driver.receive_request();
+    driver.connect();
+    driver.respond(200);
+    driver.respond(200);
+    driver.fail(AttemptProgress::written, FailureCause::connection_lost);
+    EXPECT_EQ(driver.finish(),
+              (Lines{"connect to 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+                     "respond to caller 1: 200",
+                     "op: 1 succeeded, 0 throttled, 0 errored; 1 written, 0 in flight, 1 listed, 0 down"}));
 }
 
 // ---- what changes while a connection is being made ----
 
 TEST(Connecting, ToADrainedUpstreamWritesNothing)
 {
-    Play play(Idempotency::non_idempotent);
-    play.arrive();
-    play.list(false, {endpoint_a(EndpointPhase::draining), endpoint_b()});
-    play.connected();
-    play.connected();
-    EXPECT_EQ(
-        play.finish(),
-        (Lines{"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "close idle connections of u0",
-               "withdraw attempt 1", "hang up", "dial 2.2.2.2:2 for attempt 2 within 1.98 s",
-               "write POST /op/x?y HTTP/1.1",
-               "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 1 in flight, 2 listed, 1 avoided"}));
+    ReducerDriver driver(Idempotency::non_idempotent);
+    driver.receive_request();
+    driver.update_list(false, {endpoint_a(EndpointPhase::draining), endpoint_b()});
+    driver.connect();
+    driver.connect();
+    EXPECT_EQ(driver.finish(),
+              (Lines{"connect to 1.1.1.1:1 for attempt 1 within 2.00 s", "close idle connections of u0",
+                     "cancel the write of attempt 1", "close the attempt's connection",
+                     "connect to 2.2.2.2:2 for attempt 2 within 1.98 s", "write POST /op/x?y HTTP/1.1",
+                     "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 1 in flight, 2 listed, 1 down"}));
 }
 
-TEST(Connecting, ToAnUpstreamThatAWholeListOmitsWritesNothing)
+TEST(Connecting, ToAnUpstreamThatAFullListOmitsWritesNothing)
 {
-    Play play(Idempotency::non_idempotent);
-    play.arrive();
-    play.list(true, {endpoint_b()});
-    play.connected();
-    EXPECT_EQ(
-        play.finish(),
-        (Lines{"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "close idle connections of u0",
-               "withdraw attempt 1", "hang up", "dial 2.2.2.2:2 for attempt 2 within 1.98 s",
-               "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 1 in flight, 1 listed, 0 avoided"}));
+    ReducerDriver driver(Idempotency::non_idempotent);
+    driver.receive_request();
+    driver.update_list(true, {endpoint_b()});
+    driver.connect();
+    EXPECT_EQ(driver.finish(),
+              (Lines{"connect to 1.1.1.1:1 for attempt 1 within 2.00 s", "close idle connections of u0",
+                     "cancel the write of attempt 1", "close the attempt's connection",
+                     "connect to 2.2.2.2:2 for attempt 2 within 1.98 s",
+                     "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 1 in flight, 1 listed, 0 down"}));
 }
 
 TEST(Connecting, ToAnUpstreamThatHasMovedWritesNothing)
 {
-    Play play(Idempotency::non_idempotent);
-    play.arrive();
-    play.list(false, {endpoint_a(EndpointPhase::ready, "3.3.3.3:3")});
-    play.connected();
-    play.connected();
-    EXPECT_EQ(
-        play.finish(),
-        (Lines{"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "close idle connections of u0", "hang up",
-               "dial 3.3.3.3:3 for attempt 2 within 1.98 s", "write POST /op/x?y HTTP/1.1",
-               "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 1 in flight, 1 listed, 1 avoided"}));
+    ReducerDriver driver(Idempotency::non_idempotent);
+    driver.receive_request();
+    driver.update_list(false, {endpoint_a(EndpointPhase::ready, "3.3.3.3:3")});
+    driver.connect();
+    driver.connect();
+    EXPECT_EQ(driver.finish(),
+              (Lines{"connect to 1.1.1.1:1 for attempt 1 within 2.00 s", "close idle connections of u0",
+                     "close the attempt's connection", "connect to 3.3.3.3:3 for attempt 2 within 1.98 s",
+                     "write POST /op/x?y HTTP/1.1",
+                     "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 1 in flight, 1 listed, 1 down"}));
 }
 
-TEST(Connecting, ForAClientThatHasLeftWritesNothing)
+TEST(Connecting, ForADisconnectedClientWritesNothing)
 {
-    Play play(Idempotency::idempotent);
-    play.arrive();
-    play.leaves(1);
-    play.connected();
-    play.leaves(1);
-    play.note(std::to_string(play.reducer->in_flight()) + " in flight");
-    EXPECT_EQ(
-        play.finish(),
-        (Lines{"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "hang up", "0 in flight",
-               "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 0 in flight, 1 listed, 0 avoided"}));
+    ReducerDriver driver(Idempotency::idempotent);
+    driver.receive_request();
+    driver.disconnect(1);
+    driver.connect();
+    driver.disconnect(1);
+    driver.note(std::to_string(driver.reducer->in_flight()) + " in flight");
+    EXPECT_EQ(driver.finish(),
+              (Lines{"connect to 1.1.1.1:1 for attempt 1 within 1.00 s", "close the attempt's connection",
+                     "0 in flight",
+                     "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 0 in flight, 1 listed, 0 down"}));
 }
 
-TEST(Connecting, TakesLongerThanThereIsTime)
+TEST(Connecting, TakesLongerThanTheTimeLeft)
 {
-    Play play(Idempotency::non_idempotent);
-    play.arrive();
-    play.pass(3);
-    play.connected();
-    EXPECT_EQ(
-        play.finish(),
-        (Lines{"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "hang up",
-               "answer caller 1: 503, come back later",
-               "op: 0 succeeded, 1 throttled, 0 errored; 0 written, 0 in flight, 1 listed, 1 avoided"}));
+    ReducerDriver driver(Idempotency::non_idempotent);
+    driver.receive_request();
+    driver.advance(3);
+    driver.connect();
+    EXPECT_EQ(driver.finish(),
+              (Lines{"connect to 1.1.1.1:1 for attempt 1 within 2.00 s", "close the attempt's connection",
+                     "respond to caller 1: 503, Retry-After",
+                     "op: 0 succeeded, 1 throttled, 0 errored; 0 written, 0 in flight, 1 listed, 1 down"}));
 }
 
 TEST(Connecting, EndsForAHalfClosedClient)
 {
-    Play play(Idempotency::idempotent);
-    play.arrive();
-    play.half_closes(1);
-    play.pass(0.1);
-    play.connected();
-    EXPECT_EQ(
-        play.finish(),
-        (Lines{"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "hang up",
-               "answer caller 1: 503, come back later",
-               "op: 0 succeeded, 1 throttled, 0 errored; 0 written, 0 in flight, 1 listed, 1 avoided"}));
+    ReducerDriver driver(Idempotency::idempotent);
+    driver.receive_request();
+    driver.half_close(1);
+    driver.advance(0.1);
+    driver.connect();
+    EXPECT_EQ(driver.finish(),
+              (Lines{"connect to 1.1.1.1:1 for attempt 1 within 1.00 s", "close the attempt's connection",
+                     "respond to caller 1: 503, Retry-After",
+                     "op: 0 succeeded, 1 throttled, 0 errored; 0 written, 0 in flight, 1 listed, 1 down"}));
 }
 
-TEST(Request, OfAClientThatHasLeftTakesNoAnswer)
+TEST(Request, OfADisconnectedClientGetsNoResponse)
 {
-    Play play(Idempotency::non_idempotent);
-    play.arrive();
-    play.connected();
-    play.leaves(1);
-    play.answered(200);
-    play.note(std::to_string(play.reducer->in_flight()) + " in flight");
-    EXPECT_EQ(
-        play.finish(),
-        (Lines{"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1", "hang up",
-               "0 in flight",
-               "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 0 in flight, 1 listed, 0 avoided"}));
+    ReducerDriver driver(Idempotency::non_idempotent);
+    driver.receive_request();
+    driver.connect();
+    driver.disconnect(1);
+    driver.respond(200);
+    driver.note(std::to_string(driver.reducer->in_flight()) + " in flight");
+    EXPECT_EQ(driver.finish(),
+              (Lines{"connect to 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1",
+                     "close the attempt's connection", "0 in flight",
+                     "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 0 in flight, 1 listed, 0 down"}));
 }
 
 TEST(Request, OfAHalfClosedClientIsNotForwardedAgain)
 {
-    Play play(Idempotency::idempotent);
-    play.list(false, {endpoint_b()});
-    play.arrive();
-    play.connected();
-    play.half_closes(1);
-    play.pass(0.1);
-    play.answered(503, true);
-    EXPECT_EQ(
-        play.finish(),
-        (Lines{"dial 2.2.2.2:2 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
-               "answer caller 1: 503, come back later",
-               "op: 0 succeeded, 1 throttled, 0 errored; 1 written, 0 in flight, 2 listed, 0 avoided"}));
-}
-
-TEST(Request, IsWithdrawnFromAnUpstreamThatDrains)
-{
-    Play play(Idempotency::non_idempotent);
-    play.list(false, {endpoint_b()});
-    play.arrive();
-    play.connected();
-    play.list(false, {endpoint_a(EndpointPhase::draining), endpoint_b(EndpointPhase::draining)});
-    play.failed(AttemptProgress::partly_written, FailureCause::write_cancelled);
-    EXPECT_EQ(
-        play.finish(),
-        (Lines{"dial 2.2.2.2:2 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1",
-               "close idle connections of u0", "close idle connections of u1", "withdraw attempt 1",
-               "answer caller 1: 503, come back later",
-               "op: 0 succeeded, 1 throttled, 0 errored; 0 written, 0 in flight, 2 listed, 2 avoided"}));
+    ReducerDriver driver(Idempotency::idempotent);
+    driver.update_list(false, {endpoint_b()});
+    driver.receive_request();
+    driver.connect();
+    driver.half_close(1);
+    driver.advance(0.1);
+    driver.respond(503, true);
+    EXPECT_EQ(driver.finish(),
+              (Lines{"connect to 2.2.2.2:2 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+                     "respond to caller 1: 503, Retry-After",
+                     "op: 0 succeeded, 1 throttled, 0 errored; 1 written, 0 in flight, 2 listed, 0 down"}));
+}
+
+TEST(Request, IsCancelledAtAnUpstreamThatDrains)
+{
+    ReducerDriver driver(Idempotency::non_idempotent);
+    driver.update_list(false, {endpoint_b()});
+    driver.receive_request();
+    driver.connect();
+    driver.update_list(false, {endpoint_a(EndpointPhase::draining), endpoint_b(EndpointPhase::draining)});
+    driver.fail(AttemptProgress::partly_written, FailureCause::write_cancelled);
+    EXPECT_EQ(driver.finish(),
+              (Lines{"connect to 2.2.2.2:2 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1",
+                     "close idle connections of u0", "close idle connections of u1",
+                     "cancel the write of attempt 1", "respond to caller 1: 503, Retry-After",
+                     "op: 0 succeeded, 1 throttled, 0 errored; 0 written, 0 in flight, 2 listed, 2 down"}));
 }
 
 TEST(Request, IsRepeatedWithinTheWindow)
 {
-    Play play(Idempotency::deduplicated);
-    play.list(false, {endpoint_b()});
-    play.arrive(1, nullptr, seconds(6));
-    play.connected();
-    play.failed(AttemptProgress::written, FailureCause::connection_lost);
-    play.pass(0.1);
-    play.connected();
-    EXPECT_EQ(
-        play.finish(),
-        (Lines{"dial 2.2.2.2:2 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
-               "dial 1.1.1.1:1 for attempt 2 within 0.98 s", "write POST /op/x?y HTTP/1.1",
-               "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 2 listed, 0 avoided"}));
+    ReducerDriver driver(Idempotency::deduplicated);
+    driver.update_list(false, {endpoint_b()});
+    driver.receive_request(1, nullptr, seconds(6));
+    driver.connect();
+    driver.fail(AttemptProgress::written, FailureCause::connection_lost);
+    driver.advance(0.1);
+    driver.connect();
+    EXPECT_EQ(driver.finish(),
+              (Lines{"connect to 2.2.2.2:2 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+                     "connect to 1.1.1.1:1 for attempt 2 within 0.98 s", "write POST /op/x?y HTTP/1.1",
+                     "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 2 listed, 0 down"}));
 }
 
 TEST(Request, IsNotRepeatedOnceTheWindowIsOver)
 {
-    Play play(Idempotency::deduplicated);
-    play.list(false, {endpoint_b()});
-    play.arrive(1, nullptr, seconds(6));
-    play.connected();
-    play.failed(AttemptProgress::written, FailureCause::connection_lost);
-    play.pass(2.5);
-    play.connected();
-    EXPECT_EQ(
-        play.finish(),
-        (Lines{"dial 2.2.2.2:2 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
-               "dial 1.1.1.1:1 for attempt 2 within 0.98 s", "hang up",
-               "answer caller 1: 503, come back later",
-               "op: 0 succeeded, 1 throttled, 0 errored; 1 written, 0 in flight, 2 listed, 1 avoided"}));
+    ReducerDriver driver(Idempotency::deduplicated);
+    driver.update_list(false, {endpoint_b()});
+    driver.receive_request(1, nullptr, seconds(6));
+    driver.connect();
+    driver.fail(AttemptProgress::written, FailureCause::connection_lost);
+    driver.advance(2.5);
+    driver.connect();
+    EXPECT_EQ(driver.finish(),
+              (Lines{"connect to 2.2.2.2:2 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+                     "connect to 1.1.1.1:1 for attempt 2 within 0.98 s", "close the attempt's connection",
+                     "respond to caller 1: 503, Retry-After",
+                     "op: 0 succeeded, 1 throttled, 0 errored; 1 written, 0 in flight, 2 listed, 1 down"}));
 }
 
 TEST(Request, WithAnOpenIdIsRefused)
 {
-    Play play(Idempotency::non_idempotent);
-    play.arrive(1, "x");
-    play.connected();
-    play.arrive(2, "x");
-    play.answered(200);
-    play.arrive(3, "x");
-    play.connected();
-    play.leaves(3);
-    play.arrive(4, "x");
-    EXPECT_EQ(
-        play.finish(),
-        (Lines{"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1",
-               "answer caller 2: 409, the last on its connection", "answer caller 1: 200",
-               "dial 1.1.1.1:1 for attempt 2 within 2.00 s", "write POST /op/x?y HTTP/1.1", "hang up",
-               "dial 1.1.1.1:1 for attempt 3 within 2.00 s",
-               "op: 1 succeeded, 0 throttled, 1 errored; 1 written, 1 in flight, 1 listed, 0 avoided"}));
+    ReducerDriver driver(Idempotency::non_idempotent);
+    driver.receive_request(1, "x");
+    driver.connect();
+    driver.receive_request(2, "x");
+    driver.respond(200);
+    driver.receive_request(3, "x");
+    driver.connect();
+    driver.disconnect(3);
+    driver.receive_request(4, "x");
+    EXPECT_EQ(driver.finish(),
+              (Lines{"connect to 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1",
+                     "respond to caller 2: 409, close the connection", "respond to caller 1: 200",
+                     "connect to 1.1.1.1:1 for attempt 2 within 2.00 s", "write POST /op/x?y HTTP/1.1",
+                     "close the attempt's connection", "connect to 1.1.1.1:1 for attempt 3 within 2.00 s",
+                     "op: 1 succeeded, 0 throttled, 1 errored; 1 written, 1 in flight, 1 listed, 0 down"}));
 }
 
 TEST(Request, WithoutAnUpstreamIsThrottled)
 {
-    Play play(Idempotency::idempotent);
-    play.list(true, {});
-    play.arrive();
-    EXPECT_EQ(
-        play.finish(),
-        (Lines{"close idle connections of u0", "answer caller 1: 503, come back later",
-               "op: 0 succeeded, 1 throttled, 0 errored; 0 written, 0 in flight, 0 listed, 0 avoided"}));
+    ReducerDriver driver(Idempotency::idempotent);
+    driver.update_list(true, {});
+    driver.receive_request();
+    EXPECT_EQ(driver.finish(),
+              (Lines{"close idle connections of u0", "respond to caller 1: 503, Retry-After",
+                     "op: 0 succeeded, 1 throttled, 0 errored; 0 written, 0 in flight, 0 listed, 0 down"}));
 }
 
 // ---- the shutdown ----
 
-void shut_down(Play& play, Duration client_timeout)
+void start_shutdown(ReducerDriver& driver, Duration client_timeout)
 {
-    play.set_margin(seconds(0.2));
+    driver.set_time_left_margin(seconds(0.2));
     char line[64];
-    std::snprintf(line, sizeof line, "%.1f s: answers for %.1f s", client_timeout.seconds(),
-                  play.reducer->shutdown_response_time().seconds());
-    play.note(line);
-    play.tell(ShutdownStarted{});
+    std::snprintf(line, sizeof line, "client timeout %.1f s: shutdown response time %.1f s",
+                  client_timeout.seconds(), driver.reducer->shutdown_response_time().seconds());
+    driver.note(line);
+    driver.send(ShutdownStarted{});
     for (const double after : {0.3, 0.7, 1.9}) {
-        const bool turned_out = play.reducer->should_close_connections(play.now + seconds(after));
-        std::snprintf(line, sizeof line, "%.1f s after: callers are %s", after,
-                      turned_out ? "turned out" : "served");
-        play.note(line);
+        const bool closes = driver.reducer->should_close_connections(driver.now + seconds(after));
+        std::snprintf(line, sizeof line, "%.1f s after: connections are %s", after,
+                      closes ? "closed" : "kept");
+        driver.note(line);
     }
-    play.pass(0.5);
-    play.arrive(1, nullptr, seconds(8));
+    driver.advance(0.5);
+    driver.receive_request(1, nullptr, seconds(8));
 }
 
 TEST(Shutdown, WhereClientsWaitForHalfASecond)
 {
-    Play play(Idempotency::idempotent, false, seconds(0.5));
-    shut_down(play, seconds(0.5));
+    ReducerDriver driver(Idempotency::idempotent, false, seconds(0.5));
+    start_shutdown(driver, seconds(0.5));
     EXPECT_EQ(
-        play.finish(),
-        (Lines{"move the watch to here:1", "0.5 s: answers for 0.9 s", "0.3 s after: callers are served",
-               "0.7 s after: callers are turned out", "1.9 s after: callers are turned out",
-               "dial 1.1.1.1:1 for attempt 1 within 0.39 s",
-               "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 1 in flight, 1 listed, 0 avoided"}));
+        driver.finish(),
+        (Lines{"watch endpoints at here:1", "client timeout 0.5 s: shutdown response time 0.9 s",
+               "0.3 s after: connections are kept", "0.7 s after: connections are closed",
+               "1.9 s after: connections are closed", "connect to 1.1.1.1:1 for attempt 1 within 0.39 s",
+               "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 1 in flight, 1 listed, 0 down"}));
 }
 
 TEST(Shutdown, WhereClientsWaitForTwoSeconds)
 {
-    Play play(Idempotency::idempotent, false, seconds(2));
-    shut_down(play, seconds(2));
+    ReducerDriver driver(Idempotency::idempotent, false, seconds(2));
+    start_shutdown(driver, seconds(2));
     EXPECT_EQ(
-        play.finish(),
-        (Lines{"move the watch to here:1", "2.0 s: answers for 2.4 s", "0.3 s after: callers are served",
-               "0.7 s after: callers are served", "1.9 s after: callers are turned out",
-               "dial 1.1.1.1:1 for attempt 1 within 1.00 s",
-               "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 1 in flight, 1 listed, 0 avoided"}));
+        driver.finish(),
+        (Lines{"watch endpoints at here:1", "client timeout 2.0 s: shutdown response time 2.4 s",
+               "0.3 s after: connections are kept", "0.7 s after: connections are kept",
+               "1.9 s after: connections are closed", "connect to 1.1.1.1:1 for attempt 1 within 1.00 s",
+               "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 1 in flight, 1 listed, 0 down"}));
 }
 
 TEST(Shutdown, WhereClientsWaitForEightSeconds)
 {
-    Play play(Idempotency::idempotent, false, seconds(8));
-    shut_down(play, seconds(8));
-    EXPECT_EQ(
-        play.finish(),
-        (Lines{"move the watch to here:1", "8.0 s: answers for 3.4 s", "0.3 s after: callers are served",
-               "0.7 s after: callers are served", "1.9 s after: callers are served",
-               "dial 1.1.1.1:1 for attempt 1 within 1.00 s",
-               "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 1 in flight, 1 listed, 0 avoided"}));
+    ReducerDriver driver(Idempotency::idempotent, false, seconds(8));
+    start_shutdown(driver, seconds(8));
+    EXPECT_EQ(driver.finish(),
+              (Lines{"watch endpoints at here:1", "client timeout 8.0 s: shutdown response time 3.4 s",
+                     "0.3 s after: connections are kept", "0.7 s after: connections are kept",
+                     "1.9 s after: connections are kept", "connect to 1.1.1.1:1 for attempt 1 within 1.00 s",
+                     "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 1 in flight, 1 listed, 0 down"}));
 }
 
-TEST(Shutdown, AnswersWhatComesForAWhile)
+TEST(Shutdown, AnswersNewRequestsForAWhile)
 {
-    Play play(Idempotency::idempotent);
-    play.arrive();
-    play.connected();
-    play.tell(ShutdownStarted{});
-    play.answered(200);
+    ReducerDriver driver(Idempotency::idempotent);
+    driver.receive_request();
+    driver.connect();
+    driver.send(ShutdownStarted{});
+    driver.respond(200);
     // Requests are served for a while, ending before the process may be killed; then each response is the
     // last on its connection.
-    play.pass(1.9);
-    play.arrive(2);
-    play.pass(0.2);
-    play.connected();
-    play.answered(200);
-    play.note(play.reducer->ready() ? "ready" : "not ready");
+    driver.advance(1.9);
+    driver.receive_request(2);
+    driver.advance(0.2);
+    driver.connect();
+    driver.respond(200);
+    driver.note(driver.reducer->ready() ? "ready" : "not ready");
     EXPECT_EQ(
-        play.finish(),
-        (Lines{"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
-               "answer caller 1: 200", "dial 1.1.1.1:1 for attempt 2 within 0.48 s",
-               "write POST /op/x?y HTTP/1.1", "answer caller 2: 200, the last on its connection", "not ready",
-               "op: 2 succeeded, 0 throttled, 0 errored; 2 written, 0 in flight, 1 listed, 0 avoided"}));
+        driver.finish(),
+        (Lines{"connect to 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+               "respond to caller 1: 200", "connect to 1.1.1.1:1 for attempt 2 within 0.48 s",
+               "write POST /op/x?y HTTP/1.1", "respond to caller 2: 200, close the connection", "not ready",
+               "op: 2 succeeded, 0 throttled, 0 errored; 2 written, 0 in flight, 1 listed, 0 down"}));
 }
 
 TEST(Lifecycle, DrainsTwiceResumesTwiceAndStops)
 {
-    Play play(Idempotency::idempotent);
+    ReducerDriver driver(Idempotency::idempotent);
     for (const auto command :
          {AdminCommand::ready, AdminCommand::drain, AdminCommand::drain, AdminCommand::ready,
           AdminCommand::resume, AdminCommand::resume, AdminCommand::ready, AdminCommand::drain})
-        play.command(command);
+        driver.command(command);
     // A reload does not end the drain.
-    play.tell(ConfigReloaded{"there:1", {}});
-    play.command(AdminCommand::ready);
-    play.arrive(1);
-    play.connected();
-    play.answered(200);
-    play.pass(0.5);
-    play.arrive(2);
-    play.connected();
-    play.answered(200);
-    play.tell(ShutdownStarted{});
-    play.command(AdminCommand::resume);
-    play.command(AdminCommand::ready);
-    EXPECT_EQ(
-        play.finish(),
-        (Lines{"obeyed, 1", "obeyed, 2", "obeyed, 2", "not obeyed, 2", "obeyed, 1", "obeyed, 1", "obeyed, 1",
-               "obeyed, 2", "move the watch to there:1", "not obeyed, 2",
-               "dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
-               "answer caller 1: 200", "dial 1.1.1.1:1 for attempt 2 within 1.00 s",
-               "write POST /op/x?y HTTP/1.1", "answer caller 2: 200, the last on its connection",
-               "not obeyed, 3", "not obeyed, 3",
-               "op: 2 succeeded, 0 throttled, 0 errored; 2 written, 0 in flight, 1 listed, 0 avoided"}));
+    driver.send(ConfigReloaded{"there:1", {}});
+    driver.command(AdminCommand::ready);
+    driver.receive_request(1);
+    driver.connect();
+    driver.respond(200);
+    driver.advance(0.5);
+    driver.receive_request(2);
+    driver.connect();
+    driver.respond(200);
+    driver.send(ShutdownStarted{});
+    driver.command(AdminCommand::resume);
+    driver.command(AdminCommand::ready);
+    EXPECT_EQ(
+        driver.finish(),
+        (Lines{"command succeeded, 1", "command succeeded, 2", "command succeeded, 2", "command failed, 2",
+               "command succeeded, 1", "command succeeded, 1", "command succeeded, 1", "command succeeded, 2",
+               "watch endpoints at there:1", "command failed, 2",
+               "connect to 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+               "respond to caller 1: 200", "connect to 1.1.1.1:1 for attempt 2 within 1.00 s",
+               "write POST /op/x?y HTTP/1.1", "respond to caller 2: 200, close the connection",
+               "command failed, 3", "command failed, 3",
+               "op: 2 succeeded, 0 throttled, 0 errored; 2 written, 0 in flight, 1 listed, 0 down"}));
 }
 
 // ---- probes, settings and upstream slots ----
 
-TEST(Probes, GoToWhatIsInUse)
+TEST(Probes, GoToUpstreamsInUse)
 {
-    Play play(Idempotency::idempotent, true);
-    play.arrive();
-    play.connected();
-    play.answered(200);
-    play.fire_timer();
-    play.connected();
-    play.answered(200);
-    EXPECT_EQ(
-        play.finish(),
-        (Lines{"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
-               "answer caller 1: 200", "dial 1.1.1.1:1 for attempt 2 within 0.25 s",
-               "write GET /-/load HTTP/1.1",
-               "op: 1 succeeded, 0 throttled, 0 errored; 1 written, 0 in flight, 1 listed, 0 avoided"}));
+    ReducerDriver driver(Idempotency::idempotent, true);
+    driver.receive_request();
+    driver.connect();
+    driver.respond(200);
+    driver.fire_timer();
+    driver.connect();
+    driver.respond(200);
+    EXPECT_EQ(driver.finish(),
+              (Lines{"connect to 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+                     "respond to caller 1: 200", "connect to 1.1.1.1:1 for attempt 2 within 0.25 s",
+                     "write GET /-/load HTTP/1.1",
+                     "op: 1 succeeded, 0 throttled, 0 errored; 1 written, 0 in flight, 1 listed, 0 down"}));
 }
 
-TEST(Configuration, ThatIsReadAgainMovesTheWatchOnlyToAnotherAddress)
+TEST(Configuration, ReloadMovesTheWatchOnlyToAnotherAddress)
 {
-    Play play(Idempotency::idempotent);
-    play.tell(ConfigReloaded{"here:1", {}});
-    play.tell(ConfigReloaded{"there:1", {}});
-    play.arrive();
-    play.connected();
-    play.answered(200);
-    EXPECT_EQ(
-        play.finish(),
-        (Lines{"move the watch to there:1", "dial 1.1.1.1:1 for attempt 1 within 1.00 s",
-               "write POST /op/x?y HTTP/1.1", "answer caller 1: 200",
-               "op: 1 succeeded, 0 throttled, 0 errored; 1 written, 0 in flight, 1 listed, 0 avoided"}));
+    ReducerDriver driver(Idempotency::idempotent);
+    driver.send(ConfigReloaded{"here:1", {}});
+    driver.send(ConfigReloaded{"there:1", {}});
+    driver.receive_request();
+    driver.connect();
+    driver.respond(200);
+    EXPECT_EQ(driver.finish(),
+              (Lines{"watch endpoints at there:1", "connect to 1.1.1.1:1 for attempt 1 within 1.00 s",
+                     "write POST /op/x?y HTTP/1.1", "respond to caller 1: 200",
+                     "op: 1 succeeded, 0 throttled, 0 errored; 1 written, 0 in flight, 1 listed, 0 down"}));
 }
 
 TEST(Configuration, KeepsARequestWithItsOperation)
 {
-    Play play(Idempotency::non_idempotent);
+    ReducerDriver driver(Idempotency::non_idempotent);
     ServiceConfig next = service_config(Idempotency::non_idempotent);
     next.operation_names = {"other", "op"};
     next.settings.operations.insert(next.settings.operations.begin(),
                                     BalancerHost::make_operation(Idempotency::idempotent));
-    play.arrive(1);
-    play.connected();
-    play.tell(ConfigReloaded{"here:1", next});
-    play.arrive(2);
-    play.connected();
-    play.failed(AttemptProgress::written, FailureCause::connection_lost);
+    driver.receive_request(1);
+    driver.connect();
+    driver.send(ConfigReloaded{"here:1", next});
+    driver.receive_request(2);
+    driver.connect();
+    driver.fail(AttemptProgress::written, FailureCause::connection_lost);
     next.operation_names = {"other", "third"};
-    play.tell(ConfigReloaded{"here:1", next});
-    play.arrive(3);
-    EXPECT_EQ(
-        play.finish(),
-        (Lines{"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1",
-               "move the watch to here:1", "dial 1.1.1.1:1 for attempt 2 within 2.00 s",
-               "write POST /op/x?y HTTP/1.1", "answer caller 2: 502", "move the watch to here:1",
-               "answer caller 3: 404, the last on its connection",
+    driver.send(ConfigReloaded{"here:1", next});
+    driver.receive_request(3);
+    EXPECT_EQ(
+        driver.finish(),
+        (Lines{"connect to 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1",
+               "watch endpoints at here:1", "connect to 1.1.1.1:1 for attempt 2 within 2.00 s",
+               "write POST /op/x?y HTTP/1.1", "respond to caller 2: 502", "watch endpoints at here:1",
+               "respond to caller 3: 404, close the connection",
                "op: 0 succeeded, 0 throttled, 1 errored; other: 0 succeeded, 0 throttled, 0 errored; third: "
-               "0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 avoided"}));
+               "0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 down"}));
 }
 
-TEST(Places, AreUsedAgainButNotUnderAnOpenInvocation)
+TEST(UpstreamSlots, AreReusedButNotUnderAnOpenInvocation)
 {
-    Play play(Idempotency::non_idempotent);
-    play.arrive(1);
-    play.connected();
-    play.quiet = true;
+    ReducerDriver driver(Idempotency::non_idempotent);
+    driver.receive_request(1);
+    driver.connect();
+    driver.muted = true;
     for (int i = 0; i < 1000; ++i) {
         const auto name = [](int n) { return n < 0 ? "a" : "u" + std::to_string(n); };
-        play.list(false, {{name(i - 1), "x", EndpointPhase::gone, 0, 0, 1, {}},
-                          {name(i), "1.1.1.1:" + std::to_string(i), EndpointPhase::ready, 0, 0, 1, {}}});
-        play.arrive(2);
-        play.connected();
-        play.answered(200);
+        driver.update_list(false,
+                           {{name(i - 1), "x", EndpointPhase::gone, 0, 0, 1, {}},
+                            {name(i), "1.1.1.1:" + std::to_string(i), EndpointPhase::ready, 0, 0, 1, {}}});
+        driver.receive_request(2);
+        driver.connect();
+        driver.respond(200);
     }
-    play.quiet = false;
-    play.note(std::to_string(play.reducer->upstream_slot_count()) + " places");
-    play.arrive(3);
-    play.connected();
-    play.answered(200);
+    driver.muted = false;
+    driver.note(std::to_string(driver.reducer->upstream_slot_count()) + " slots");
+    driver.receive_request(3);
+    driver.connect();
+    driver.respond(200);
     EXPECT_EQ(
-        play.finish(),
-        (Lines{
-            "dial 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1", "2 places",
-            "dial 1.1.1.1:999 for attempt 1002 within 2.00 s", "write POST /op/x?y HTTP/1.1",
-            "answer caller 3: 200",
-            "op: 1001 succeeded, 0 throttled, 0 errored; 1001 written, 1 in flight, 1 listed, 0 avoided"}));
+        driver.finish(),
+        (Lines{"connect to 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1", "2 slots",
+               "connect to 1.1.1.1:999 for attempt 1002 within 2.00 s", "write POST /op/x?y HTTP/1.1",
+               "respond to caller 3: 200",
+               "op: 1001 succeeded, 0 throttled, 0 errored; 1001 written, 1 in flight, 1 listed, 0 down"}));
 }
 
-TEST(Places, OfKnownUpstreamsStayInAWholeList)
+TEST(UpstreamSlots, OfKnownUpstreamsStayInAFullList)
 {
-    Play play(Idempotency::idempotent);
-    play.list(true, {endpoint_b(), endpoint_a(EndpointPhase::ready)});
-    play.note(std::to_string(play.reducer->upstream_slot_count()) + " places");
-    EXPECT_EQ(
-        play.finish(),
-        (Lines{"2 places",
-               "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 0 in flight, 2 listed, 0 avoided"}));
+    ReducerDriver driver(Idempotency::idempotent);
+    driver.update_list(true, {endpoint_b(), endpoint_a(EndpointPhase::ready)});
+    driver.note(std::to_string(driver.reducer->upstream_slot_count()) + " slots");
+    EXPECT_EQ(driver.finish(),
+              (Lines{"2 slots",
+                     "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 0 in flight, 2 listed, 0 down"}));
 }
 
 // ---- messages relayed in chunks ----
 
-TEST(LargeAnswer, HoldsItsUpstreamWhileTheClientTakesNothing)
-{
-    Play play(Idempotency::non_idempotent);
-    play.arrive();
-    play.connected();
-    play.begins_answer();
-    play.write_statistics();
-    for (int i = 0; i < 5; ++i) play.comes(20000, false);
-    play.tell(ResponseDrained{1});
-    play.comes(20000, true);
-    play.write_statistics();
-    play.tell(ResponseDrained{1});
-    EXPECT_EQ(
-        play.finish(),
-        (Lines{"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1",
-               "answer caller 1: 200",
-               "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 avoided",
-               "pass 20000 bytes", "pass 20000 bytes", "pass 20000 bytes", "pass 20000 bytes",
-               "hold the upstream", "pass 20000 bytes", "read on from the upstream",
-               "pass 20000 bytes, the last",
-               "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 avoided",
-               "op: 1 succeeded, 0 throttled, 0 errored; 1 written, 0 in flight, 1 listed, 0 avoided"}));
-}
-
-TEST(LargeAnswer, ThatBreaksIsCut)
-{
-    Play play(Idempotency::idempotent);
-    play.arrive();
-    play.connected();
-    play.begins_answer();
-    play.failed(AttemptProgress::receiving_response, FailureCause::connection_lost);
-    play.answered(200);
-    EXPECT_EQ(
-        play.finish(),
-        (Lines{"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
-               "answer caller 1: 200", "cut the answer",
-               "op: 0 succeeded, 0 throttled, 1 errored; 1 written, 0 in flight, 1 listed, 0 avoided"}));
-}
-
-TEST(LargeAnswer, EndsWithItsClient)
-{
-    Play play(Idempotency::idempotent);
-    play.arrive();
-    play.connected();
-    play.begins_answer();
-    play.leaves(1);
-    play.comes(10, true);
-    EXPECT_EQ(
-        play.finish(),
-        (Lines{"dial 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
-               "answer caller 1: 200", "hang up",
-               "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 0 in flight, 1 listed, 0 avoided"}));
-}
-
-TEST(LargeAnswer, ThatIsAnErrorOrForNobodyIsNotPassedOn)
-{
-    Play play(Idempotency::non_idempotent);
-    play.arrive();
-    play.connected();
-    play.begins_answer(500);
-    play.arrive(2);
-    play.connected();
-    play.leaves(2);
-    play.begins_answer();
-    EXPECT_EQ(
-        play.finish(),
-        (Lines{"dial 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1", "hang up",
-               "answer caller 1: 502", "dial 1.1.1.1:1 for attempt 2 within 2.00 s",
-               "write POST /op/x?y HTTP/1.1", "hang up", "hang up",
-               "op: 0 succeeded, 0 throttled, 1 errored; 1 written, 0 in flight, 1 listed, 0 avoided"}));
-}
-
-TEST(LargeRequest, HasItsTimeFromItsLastByte)
-{
-    Play play(Idempotency::non_idempotent);
-    play.begin(1);
-    play.connected();
-    play.written();
-    play.pass(30);
-    play.bring(1, 40000, false);
-    play.bring(1, 40000, false);
-    play.written();
-    play.bring(1, 10, true);
-    play.written();
-    play.write_statistics();
-    play.answered(200);
-    EXPECT_EQ(
-        play.finish(),
-        (Lines{"dial 1.1.1.1:1 for attempt 1 within 3600.00 s", "write POST /op/x HTTP/1.1, more follows",
-               "read on from the caller", "write 40000 bytes, more follows",
-               "write 40000 bytes, more follows", "hold the caller", "read on from the caller",
-               "write 10 bytes", "within 2.00 s",
-               "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 avoided",
-               "answer caller 1: 200",
-               "op: 1 succeeded, 0 throttled, 0 errored; 1 written, 0 in flight, 1 listed, 0 avoided"}));
-}
-
-TEST(LargeRequest, IsForwardedAgainWhileAllOfItIsHeld)
-{
-    Play play(Idempotency::non_idempotent);
-    play.begin(1);
-    play.connected();
-    play.failed(AttemptProgress::partly_written, FailureCause::connection_lost);
-    play.connected();
-    play.written();
-    play.bring(1, 10, true);
-    play.answered(200);
-    EXPECT_EQ(
-        play.finish(),
-        (Lines{"dial 1.1.1.1:1 for attempt 1 within 3600.00 s", "write POST /op/x HTTP/1.1, more follows",
-               "hold the caller", "dial 1.1.1.1:1 for attempt 2 within 3599.98 s",
-               "write POST /op/x HTTP/1.1, more follows", "read on from the caller", "write 10 bytes",
-               "within 2.00 s", "answer caller 1: 200",
-               "op: 1 succeeded, 0 throttled, 0 errored; 1 written, 0 in flight, 1 listed, 1 avoided"}));
+TEST(LargeResponse, PausesItsUpstreamWhileTheClientReadsNothing)
+{
+    ReducerDriver driver(Idempotency::non_idempotent);
+    driver.receive_request();
+    driver.connect();
+    driver.begin_large_response();
+    driver.write_statistics();
+    for (int i = 0; i < 5; ++i) driver.receive_response_chunk(20000, false);
+    driver.send(ResponseDrained{1});
+    driver.receive_response_chunk(20000, true);
+    driver.write_statistics();
+    driver.send(ResponseDrained{1});
+    EXPECT_EQ(driver.finish(),
+              (Lines{"connect to 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1",
+                     "respond to caller 1: 200",
+                     "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 down",
+                     "relay 20000 bytes", "relay 20000 bytes", "relay 20000 bytes", "relay 20000 bytes",
+                     "pause reading the response", "relay 20000 bytes", "resume reading the response",
+                     "relay 20000 bytes, the last",
+                     "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 down",
+                     "op: 1 succeeded, 0 throttled, 0 errored; 1 written, 0 in flight, 1 listed, 0 down"}));
+}
+
+TEST(LargeResponse, ThatBreaksIsAborted)
+{
+    ReducerDriver driver(Idempotency::idempotent);
+    driver.receive_request();
+    driver.connect();
+    driver.begin_large_response();
+    driver.fail(AttemptProgress::receiving_response, FailureCause::connection_lost);
+    driver.respond(200);
+    EXPECT_EQ(driver.finish(),
+              (Lines{"connect to 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+                     "respond to caller 1: 200", "abort the response",
+                     "op: 0 succeeded, 0 throttled, 1 errored; 1 written, 0 in flight, 1 listed, 0 down"}));
+}
+
+TEST(LargeResponse, EndsWithItsClient)
+{
+    ReducerDriver driver(Idempotency::idempotent);
+    driver.receive_request();
+    driver.connect();
+    driver.begin_large_response();
+    driver.disconnect(1);
+    driver.receive_response_chunk(10, true);
+    EXPECT_EQ(driver.finish(),
+              (Lines{"connect to 1.1.1.1:1 for attempt 1 within 1.00 s", "write POST /op/x?y HTTP/1.1",
+                     "respond to caller 1: 200", "close the attempt's connection",
+                     "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 0 in flight, 1 listed, 0 down"}));
+}
+
+TEST(LargeResponse, ThatIsAnErrorOrWithoutAClientIsNotRelayed)
+{
+    ReducerDriver driver(Idempotency::non_idempotent);
+    driver.receive_request();
+    driver.connect();
+    driver.begin_large_response(500);
+    driver.receive_request(2);
+    driver.connect();
+    driver.disconnect(2);
+    driver.begin_large_response();
+    EXPECT_EQ(driver.finish(),
+              (Lines{"connect to 1.1.1.1:1 for attempt 1 within 2.00 s", "write POST /op/x?y HTTP/1.1",
+                     "close the attempt's connection", "respond to caller 1: 502",
+                     "connect to 1.1.1.1:1 for attempt 2 within 2.00 s", "write POST /op/x?y HTTP/1.1",
+                     "close the attempt's connection", "close the attempt's connection",
+                     "op: 0 succeeded, 0 throttled, 1 errored; 1 written, 0 in flight, 1 listed, 0 down"}));
+}
+
+TEST(LargeRequest, HasItsTimeoutFromItsLastByte)
+{
+    ReducerDriver driver(Idempotency::non_idempotent);
+    driver.begin_large_request(1);
+    driver.connect();
+    driver.finish_write();
+    driver.advance(30);
+    driver.receive_chunk(1, 40000, false);
+    driver.receive_chunk(1, 40000, false);
+    driver.finish_write();
+    driver.receive_chunk(1, 10, true);
+    driver.finish_write();
+    driver.write_statistics();
+    driver.respond(200);
+    EXPECT_EQ(
+        driver.finish(),
+        (Lines{"connect to 1.1.1.1:1 for attempt 1 within 3600.00 s",
+               "write POST /op/x HTTP/1.1, more follows", "resume reading the request",
+               "write 40000 bytes, more follows", "write 40000 bytes, more follows",
+               "pause reading the request", "resume reading the request", "write 10 bytes", "timeout 2.00 s",
+               "op: 0 succeeded, 0 throttled, 0 errored; 1 written, 1 in flight, 1 listed, 0 down",
+               "respond to caller 1: 200",
+               "op: 1 succeeded, 0 throttled, 0 errored; 1 written, 0 in flight, 1 listed, 0 down"}));
+}
+
+TEST(LargeRequest, IsForwardedAgainWhileAllOfItIsBuffered)
+{
+    ReducerDriver driver(Idempotency::non_idempotent);
+    driver.begin_large_request(1);
+    driver.connect();
+    driver.fail(AttemptProgress::partly_written, FailureCause::connection_lost);
+    driver.connect();
+    driver.finish_write();
+    driver.receive_chunk(1, 10, true);
+    driver.respond(200);
+    EXPECT_EQ(driver.finish(),
+              (Lines{"connect to 1.1.1.1:1 for attempt 1 within 3600.00 s",
+                     "write POST /op/x HTTP/1.1, more follows", "pause reading the request",
+                     "connect to 1.1.1.1:1 for attempt 2 within 3599.98 s",
+                     "write POST /op/x HTTP/1.1, more follows", "resume reading the request",
+                     "write 10 bytes", "timeout 2.00 s", "respond to caller 1: 200",
+                     "op: 1 succeeded, 0 throttled, 0 errored; 1 written, 0 in flight, 1 listed, 1 down"}));
 }
 
 TEST(LargeRequest, ThatBreaksLaterIsThrottled)
 {
-    Play play(Idempotency::non_idempotent);
-    play.begin(1);
-    play.connected();
-    play.written();
-    play.bring(1, 10, false);
-    play.failed(AttemptProgress::partly_written, FailureCause::connection_lost);
-    EXPECT_EQ(
-        play.finish(),
-        (Lines{"dial 1.1.1.1:1 for attempt 1 within 3600.00 s", "write POST /op/x HTTP/1.1, more follows",
-               "read on from the caller", "write 10 bytes, more follows", "hold the caller",
-               "answer caller 1: 503, come back later",
-               "op: 0 succeeded, 1 throttled, 0 errored; 0 written, 0 in flight, 1 listed, 1 avoided"}));
-}
-
-TEST(LargeRequest, ThatWasSentWholeCannotBeSentAgain)
-{
-    Play play(Idempotency::idempotent);
-    play.begin(1);
-    play.connected();
-    play.written();
-    play.bring(1, 10, true);
-    play.failed(AttemptProgress::written, FailureCause::connection_lost);
-    EXPECT_EQ(
-        play.finish(),
-        (Lines{"dial 1.1.1.1:1 for attempt 1 within 3600.00 s", "write POST /op/x HTTP/1.1, more follows",
-               "read on from the caller", "write 10 bytes", "within 1.00 s",
-               "answer caller 1: 503, come back later",
-               "op: 0 succeeded, 1 throttled, 0 errored; 1 written, 0 in flight, 1 listed, 0 avoided"}));
+    ReducerDriver driver(Idempotency::non_idempotent);
+    driver.begin_large_request(1);
+    driver.connect();
+    driver.finish_write();
+    driver.receive_chunk(1, 10, false);
+    driver.fail(AttemptProgress::partly_written, FailureCause::connection_lost);
+    EXPECT_EQ(driver.finish(),
+              (Lines{"connect to 1.1.1.1:1 for attempt 1 within 3600.00 s",
+                     "write POST /op/x HTTP/1.1, more follows", "resume reading the request",
+                     "write 10 bytes, more follows", "pause reading the request",
+                     "respond to caller 1: 503, Retry-After",
+                     "op: 0 succeeded, 1 throttled, 0 errored; 0 written, 0 in flight, 1 listed, 1 down"}));
+}
+
+TEST(LargeRequest, ThatWasSentCompletelyCannotBeSentAgain)
+{
+    ReducerDriver driver(Idempotency::idempotent);
+    driver.begin_large_request(1);
+    driver.connect();
+    driver.finish_write();
+    driver.receive_chunk(1, 10, true);
+    driver.fail(AttemptProgress::written, FailureCause::connection_lost);
+    EXPECT_EQ(driver.finish(),
+              (Lines{"connect to 1.1.1.1:1 for attempt 1 within 3600.00 s",
+                     "write POST /op/x HTTP/1.1, more follows", "resume reading the request",
+                     "write 10 bytes", "timeout 1.00 s", "respond to caller 1: 503, Retry-After",
+                     "op: 0 succeeded, 1 throttled, 0 errored; 1 written, 0 in flight, 1 listed, 0 down"}));
 }
 
 TEST(LargeRequest, EndsWithItsClient)
 {
-    Play play(Idempotency::non_idempotent);
-    play.begin(1);
-    play.connected();
-    play.written();
-    play.bring(1, 10, false);
-    play.leaves(1);
-    EXPECT_EQ(
-        play.finish(),
-        (Lines{"dial 1.1.1.1:1 for attempt 1 within 3600.00 s", "write POST /op/x HTTP/1.1, more follows",
-               "read on from the caller", "write 10 bytes, more follows", "hang up",
-               "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 0 in flight, 1 listed, 0 avoided"}));
+    ReducerDriver driver(Idempotency::non_idempotent);
+    driver.begin_large_request(1);
+    driver.connect();
+    driver.finish_write();
+    driver.receive_chunk(1, 10, false);
+    driver.disconnect(1);
+    EXPECT_EQ(driver.finish(),
+              (Lines{"connect to 1.1.1.1:1 for attempt 1 within 3600.00 s",
+                     "write POST /op/x HTTP/1.1, more follows", "resume reading the request",
+                     "write 10 bytes, more follows", "close the attempt's connection",
+                     "op: 0 succeeded, 0 throttled, 0 errored; 0 written, 0 in flight, 1 listed, 0 down"}));
 }
 
 }  // namespace
