--- a/src/fleet/consensus/raft_codec.cpp
+++ b/src/fleet/consensus/raft_codec.cpp
@@ -91,7 +91,7 @@
     into.install_snapshot.term = wire.term;
     into.install_snapshot.last_index = wire.last_index;
     into.install_snapshot.last_term = wire.last_term;
-    raft_library::fill(into.install_snapshot.conf, wire.servers);
+    raft_library::fill_configuration(into.install_snapshot.conf, wire.servers);
     into.install_snapshot.conf_index = wire.servers_index;
     into.install_snapshot.data = raft_library::copy_buffer(wire.data);
     return true;
@@ -142,7 +142,7 @@
     }
 }
 
-bool brings_log(std::string_view bytes)
+bool is_replication_message(std::string_view bytes)
 {
     const auto envelope = unpack<Envelope>(bytes);
     return envelope &&
--- a/src/fleet/consensus/raft_codec.h
+++ b/src/fleet/consensus/raft_codec.h
@@ -18,6 +18,6 @@
 [[nodiscard]] bool decode_raft_message(std::string_view bytes, raft_message& into);
 
 // Whether the bytes are a message of a leader that brings its log.
-[[nodiscard]] bool brings_log(std::string_view bytes);
+[[nodiscard]] bool is_replication_message(std::string_view bytes);
 
 }  // namespace firtide::fleet
--- a/src/fleet/consensus/raft_environment.cpp
+++ b/src/fleet/consensus/raft_environment.cpp
@@ -64,16 +64,16 @@
 
 void RaftEnvironment::close(raft_io* io, raft_io_close_cb done)
 {
-    of(io).completions_.emplace_back([io, done] { done(io); });
+    environment_of(io).completions_.emplace_back([io, done] { done(io); });
 }
 
 int RaftEnvironment::load(raft_io* io, raft_term* term, raft_id* vote, raft_snapshot** snapshot,
                           raft_index* first, raft_entry** entries, size_t* count)
 {
-    const PersistentState& state = of(io).store_.state();
+    const PersistentState& state = environment_of(io).store_.state();
     *term = state.term;
     *vote = state.vote;
-    *snapshot = state.snapshot.index ? of(io).stored_snapshot() : nullptr;
+    *snapshot = state.snapshot.index ? environment_of(io).stored_snapshot() : nullptr;
     *first = state.first_index;
     *count = state.entries.size();
     *entries = raft_library::copy_entries({state.entries.begin(), state.entries.end()});
@@ -83,8 +83,8 @@
 int RaftEnvironment::start(raft_io* io, unsigned /*milliseconds*/, raft_io_tick_cb on_tick,
                            raft_io_recv_cb on_receive)
 {
-    of(io).on_tick_ = on_tick;
-    of(io).on_receive_ = on_receive;
+    environment_of(io).on_tick_ = on_tick;
+    environment_of(io).on_receive_ = on_receive;
     return 0;
 }
 
@@ -92,11 +92,11 @@
 {
     raft_buffer encoded{};
     if (const int error = raft_configuration_encode(configuration, &encoded)) return error;
-    Store& store = of(io).store_;
+    Store& store = environment_of(io).store_;
     store.set_term(bootstrap_term, 0);
     store.append({{bootstrap_term, RAFT_CHANGE, raft_library::to_string(encoded)}});
     raft_free(encoded.base);
-    return status_of(store.sync());
+    return to_status(store.sync());
 }
 
 int RaftEnvironment::recover(raft_io* /*io*/, const raft_configuration* /*configuration*/)
@@ -106,24 +106,24 @@
 
 int RaftEnvironment::set_term(raft_io* io, raft_term term)
 {
-    Store& store = of(io).store_;
+    Store& store = environment_of(io).store_;
     store.set_term(term, 0);
-    return status_of(store.sync());
+    return to_status(store.sync());
 }
 
 int RaftEnvironment::set_vote(raft_io* io, raft_id vote)
 {
-    Store& store = of(io).store_;
+    Store& store = environment_of(io).store_;
     store.set_term(store.state().term, vote);
-    return status_of(store.sync());
+    return to_status(store.sync());
 }
 
 int RaftEnvironment::send(raft_io* io, raft_io_send* request, const raft_message* message,
                           raft_io_send_cb done)
 {
     if (auto bytes = encode_raft_message(*message))
-        of(io).effects_.emplace_back(SendRaftMessage{message->server_id, std::move(*bytes), 0});
-    of(io).completions_.emplace_back([request, done] {
+        environment_of(io).effects_.emplace_back(SendRaftMessage{message->server_id, std::move(*bytes), 0});
+    environment_of(io).completions_.emplace_back([request, done] {
         if (done) done(request, 0);
     });
     return 0;
@@ -135,16 +135,17 @@
     std::vector<LogEntry> added;
     for (unsigned i = 0; i < count; ++i)
         added.push_back({entries[i].term, entries[i].type, raft_library::to_string(entries[i].buf)});
-    Store& store = of(io).store_;
+    Store& store = environment_of(io).store_;
     store.append(added);
-    of(io).completions_.emplace_back([&store, request, done] { done(request, status_of(store.sync())); });
+    environment_of(io).completions_.emplace_back(
+        [&store, request, done] { done(request, to_status(store.sync())); });
     return 0;
 }
 
 int RaftEnvironment::truncate(raft_io* io, raft_index from)
 {
-    of(io).store_.truncate(from);
-    return status_of(!of(io).store_.failed());
+    environment_of(io).store_.truncate(from);
+    return to_status(!environment_of(io).store_.failed());
 }
 
 int RaftEnvironment::put_snapshot(raft_io* io, unsigned trailing, raft_io_snapshot_put* request,
@@ -156,26 +157,27 @@
     stored.configuration = pack(raft_library::servers_of(snapshot->configuration));
     stored.configuration_index = snapshot->configuration_index;
     for (unsigned i = 0; i < snapshot->n_bufs; ++i) stored.data += raft_library::to_string(snapshot->bufs[i]);
-    const bool installed = of(io).store_.install_snapshot(std::move(stored), trailing);
-    of(io).completions_.emplace_back([request, done, installed] { done(request, status_of(installed)); });
+    const bool installed = environment_of(io).store_.install_snapshot(std::move(stored), trailing);
+    environment_of(io).completions_.emplace_back(
+        [request, done, installed] { done(request, to_status(installed)); });
     return 0;
 }
 
 int RaftEnvironment::get_snapshot(raft_io* io, raft_io_snapshot_get* request, raft_io_snapshot_get_cb done)
 {
-    RaftEnvironment& self = of(io);
+    RaftEnvironment& self = environment_of(io);
     self.completions_.emplace_back([&self, request, done] { done(request, self.stored_snapshot(), 0); });
     return 0;
 }
 
 raft_time RaftEnvironment::time(raft_io* io)
 {
-    return static_cast<raft_time>(of(io).now_.us / microseconds_per_millisecond);
+    return static_cast<raft_time>(environment_of(io).now_.us / microseconds_per_millisecond);
 }
 
 int RaftEnvironment::random(raft_io* io, int least, int most)
 {
-    return std::uniform_int_distribution<int>(least, most)(of(io).random_);
+    return std::uniform_int_distribution<int>(least, most)(environment_of(io).random_);
 }
 
 // In memory that the library releases.
@@ -185,7 +187,7 @@
     auto* snapshot = static_cast<raft_snapshot*>(raft_calloc(1, sizeof(raft_snapshot)));
     snapshot->index = stored.index;
     snapshot->term = stored.term;
-    raft_library::fill(
+    raft_library::fill_configuration(
         snapshot->configuration,
         unpack<std::vector<RaftServer>>(stored.configuration).value_or(std::vector<RaftServer>{}));
     snapshot->configuration_index = stored.configuration_index;
--- a/src/fleet/consensus/raft_environment.h
+++ b/src/fleet/consensus/raft_environment.h
@@ -35,8 +35,11 @@
     [[nodiscard]] bool has_completions() const { return !completions_.empty(); }
 
   private:
-    static RaftEnvironment& of(const raft_io* io) { return *static_cast<RaftEnvironment*>(io->impl); }
-    static int status_of(bool success) { return success ? 0 : RAFT_IOERR; }
+    static RaftEnvironment& environment_of(const raft_io* io)
+    {
+        return *static_cast<RaftEnvironment*>(io->impl);
+    }
+    static int to_status(bool success) { return success ? 0 : RAFT_IOERR; }
 
     // The library's callbacks.
     static int init(raft_io* io, raft_id id, const char* address);
--- a/src/fleet/consensus/raft_library.cpp
+++ b/src/fleet/consensus/raft_library.cpp
@@ -48,7 +48,7 @@
     return servers;
 }
 
-void fill(raft_configuration& into, const std::vector<RaftServer>& servers)
+void fill_configuration(raft_configuration& into, const std::vector<RaftServer>& servers)
 {
     raft_configuration_init(&into);
     for (const RaftServer& server : servers)
--- a/src/fleet/consensus/raft_library.h
+++ b/src/fleet/consensus/raft_library.h
@@ -25,6 +25,6 @@
 // Voters and other servers, out of and into the library's form. `into` is initialised; the library releases
 // it.
 std::vector<RaftServer> servers_of(const raft_configuration& configuration);
-void fill(raft_configuration& into, const std::vector<RaftServer>& servers);
+void fill_configuration(raft_configuration& into, const std::vector<RaftServer>& servers);
 
 }  // namespace firtide::fleet::raft_library
--- a/src/fleet/consensus/store.cpp
+++ b/src/fleet/consensus/store.cpp
@@ -14,7 +14,7 @@
 const char* to_string(OpenResult result)
 {
     switch (result) {
-        case OpenResult::fresh: return "fresh";
+        case OpenResult::created: return "fresh";
         case OpenResult::intact: return "whole";
         case OpenResult::truncated: return "half a record at its end, taken off";
         case OpenResult::other_owner: return "another member's or another fleet's";
@@ -25,7 +25,7 @@
     return "";
 }
 
-bool Store::fail(const std::error_code& cause)
+bool Store::record_error(const std::error_code& cause)
 {
     if (!error_) error_ = StoreError{cause};
     return false;
@@ -35,12 +35,13 @@
 {
     std::optional<std::string> text;
     if (const auto error = files_.read(file_name, text)) {
-        fail(error);
+        record_error(error);
         return OpenResult::failed;
     }
     owner_ = {fleet, member, disk};
     state_ = {};
-    if (!text || text->empty()) return rewrite(Counting::counts) ? OpenResult::fresh : OpenResult::failed;
+    if (!text || text->empty())
+        return rewrite(WriteCount::increment) ? OpenResult::created : OpenResult::failed;
     const auto first = store_format::payload_at(*text);
     const auto stored = store_format::decode_owner(first);
     if (!stored) return OpenResult::damaged;
@@ -56,7 +57,7 @@
     // A complete record behind the bad place shows that this was no end in the middle of a write.
     if (store_format::contains_record(rest->substr(1))) return OpenResult::damaged;
     // It must not count up to what other voters have seen, in case what was cut off had been told after all.
-    return rewrite(Counting::does_not_count) ? OpenResult::truncated : OpenResult::failed;
+    return rewrite(WriteCount::keep) ? OpenResult::truncated : OpenResult::failed;
 }
 
 std::optional<std::string_view> Store::replay(std::string_view records)
@@ -76,10 +77,10 @@
     owner_.disk = disk;
     state_ = {};
     unsynced_.clear();
-    return rewrite(Counting::counts);
+    return rewrite(WriteCount::increment);
 }
 
-void Store::put(const std::string& record)
+void Store::add_record(const std::string& record)
 {
     unsynced_ += record;
     ++state_.writes;
@@ -89,13 +90,13 @@
 {
     state_.term = term;
     state_.vote = vote;
-    put(store_format::term_record(term, vote));
+    add_record(store_format::term_record(term, vote));
 }
 
 void Store::append(const std::vector<LogEntry>& entries)
 {
     for (const LogEntry& entry : entries) {
-        put(store_format::entry_record(state_.last_index() + 1, entry));
+        add_record(store_format::entry_record(state_.last_index() + 1, entry));
         state_.entries.push_back(entry);
     }
 }
@@ -103,7 +104,7 @@
 void Store::truncate(LogIndex from)
 {
     while (state_.last_index() >= from && !state_.entries.empty()) state_.entries.pop_back();
-    put(store_format::truncate_record(from));
+    add_record(store_format::truncate_record(from));
 }
 
 bool Store::install_snapshot(LogSnapshot snapshot, LogIndex trailing)
@@ -122,17 +123,17 @@
     }
     state_.snapshot = std::move(snapshot);
     unsynced_.clear();
-    return rewrite(Counting::counts);
+    return rewrite(WriteCount::increment);
 }
 
-uint64_t Store::compacted_records() const
+uint64_t Store::compacted_record_count() const
 {
     const uint64_t snapshots = state_.snapshot.index || state_.first_index != 1;
     const uint64_t terms = state_.term != 0;
     return snapshots + terms + state_.entries.size();
 }
 
-std::string Store::compacted(uint64_t records) const
+std::string Store::encode_compacted(uint64_t records) const
 {
     std::string bytes = store_format::owner_record(owner_, state_.writes - records);
     if (state_.snapshot.index || state_.first_index != 1)
@@ -143,15 +144,15 @@
     return bytes;
 }
 
-bool Store::rewrite(Counting counting)
+bool Store::rewrite(WriteCount write_count)
 {
     if (failed()) return false;
     // The count of writes goes on from where it was, though the file has fewer records now.
-    const uint64_t records = compacted_records();
-    const uint64_t counted = counting == Counting::counts ? 1 : 0;
-    state_.writes = std::max(state_.writes + counted, records);
-    const std::string bytes = compacted(records);
-    if (const auto error = files_.replace(file_name, bytes)) return fail(error);
+    const uint64_t records = compacted_record_count();
+    const uint64_t added = write_count == WriteCount::increment ? 1 : 0;
+    state_.writes = std::max(state_.writes + added, records);
+    const std::string bytes = encode_compacted(records);
+    if (const auto error = files_.replace(file_name, bytes)) return record_error(error);
     file_bytes_ = bytes.size();
     synced_writes_ = state_.writes;
     return true;
@@ -161,8 +162,8 @@
 {
     if (failed()) return false;
     if (unsynced_.empty()) return true;
-    if (const auto error = files_.append(file_name, unsynced_)) return fail(error);
-    if (const auto error = files_.sync(file_name)) return fail(error);
+    if (const auto error = files_.append(file_name, unsynced_)) return record_error(error);
+    if (const auto error = files_.sync(file_name)) return record_error(error);
     file_bytes_ += unsynced_.size();
     synced_writes_ = state_.writes;
     unsynced_.clear();
--- a/src/fleet/consensus/store.h
+++ b/src/fleet/consensus/store.h
@@ -16,7 +16,7 @@
 {
 
 enum class OpenResult {
-    fresh,          // there was no file; one with a new identity has been written
+    created,        // there was no file; one with a new identity has been written
     intact,         // everything that was stored is there
     truncated,      // an incomplete record at the end, which nobody was told of, has been cut off
     other_owner,    // the file is another member's, or another fleet's
@@ -67,17 +67,17 @@
     [[nodiscard]] uint64_t synced_writes() const { return synced_writes_; }
 
   private:
-    enum class Counting : uint8_t { counts, does_not_count };  // a rewrite, as one more write
+    enum class WriteCount : uint8_t { increment, keep };  // a rewrite, as one more write
 
-    void put(const std::string& record);
+    void add_record(const std::string& record);
     // Reads records up to the first that is incomplete. Returns what is left of the bytes; nothing where a
     // record does not follow from those before it.
     std::optional<std::string_view> replay(std::string_view records);
     // Writes the whole file anew, as short as possible.
-    bool rewrite(Counting counting);
-    std::string compacted(uint64_t records) const;
-    uint64_t compacted_records() const;
-    bool fail(const std::error_code& cause);
+    bool rewrite(WriteCount write_count);
+    std::string encode_compacted(uint64_t records) const;
+    uint64_t compacted_record_count() const;
+    bool record_error(const std::error_code& cause);
 
     FileSystem& files_;
     StoreOwner owner_;
--- a/src/fleet/consensus/store_format.cpp
+++ b/src/fleet/consensus/store_format.cpp
@@ -14,10 +14,10 @@
 constexpr size_t header_bytes = sizeof(uint32_t) + sizeof(uint64_t);  // length and checksum
 constexpr size_t max_record_bytes = 64 << 20;
 
-enum class Kind : uint8_t { owner = 1, term, entry, truncate, snapshot };
+enum class RecordKind : uint8_t { owner = 1, term, entry, truncate, snapshot };
 
 struct StoredOwner {
-    uint8_t kind = static_cast<uint8_t>(Kind::owner);
+    uint8_t kind = static_cast<uint8_t>(RecordKind::owner);
     uint32_t version = store_format::version;
     std::string fleet, member;
     DiskId disk = 0;
@@ -25,13 +25,13 @@
     MSGPACK_DEFINE(kind, version, fleet, member, disk, writes)
 };
 struct StoredTerm {
-    uint8_t kind = static_cast<uint8_t>(Kind::term);
+    uint8_t kind = static_cast<uint8_t>(RecordKind::term);
     Term term = 0;
     DiskId vote = 0;
     MSGPACK_DEFINE(kind, term, vote)
 };
 struct StoredEntry {
-    uint8_t kind = static_cast<uint8_t>(Kind::entry);
+    uint8_t kind = static_cast<uint8_t>(RecordKind::entry);
     LogIndex index = 0;
     Term term = 0;
     uint16_t entry_kind = 0;
@@ -39,12 +39,12 @@
     MSGPACK_DEFINE(kind, index, term, entry_kind, bytes)
 };
 struct StoredTruncation {
-    uint8_t kind = static_cast<uint8_t>(Kind::truncate);
+    uint8_t kind = static_cast<uint8_t>(RecordKind::truncate);
     LogIndex from = 0;
     MSGPACK_DEFINE(kind, from)
 };
 struct StoredSnapshot {
-    uint8_t kind = static_cast<uint8_t>(Kind::snapshot);
+    uint8_t kind = static_cast<uint8_t>(RecordKind::snapshot);
     LogIndex index = 0;
     Term term = 0;
     std::string configuration;
@@ -59,7 +59,7 @@
     return XXH3_64bits_withSeed(payload.data(), payload.size(), payload.size());
 }
 
-std::string record_of(const std::string& payload)
+std::string make_record(const std::string& payload)
 {
     const auto length = static_cast<uint32_t>(payload.size());
     const uint64_t checksum = checksum_of(payload);
@@ -100,16 +100,16 @@
     return true;
 }
 
-bool apply_unchecked(std::string_view payload, PersistentState& state)
+bool apply_or_throw(std::string_view payload, PersistentState& state)
 {
     const auto handle = msgpack::unpack(payload.data(), payload.size());
     const auto& object = handle.get();
     if (object.type != msgpack::type::ARRAY || object.via.array.size == 0) return false;
-    switch (static_cast<Kind>(object.via.array.ptr[0].as<uint8_t>())) {
-        case Kind::term: return apply_record(object.as<StoredTerm>(), state);
-        case Kind::entry: return apply_record(object.as<StoredEntry>(), state);
-        case Kind::truncate: return apply_record(object.as<StoredTruncation>(), state);
-        case Kind::snapshot: return apply_record(object.as<StoredSnapshot>(), state);
+    switch (static_cast<RecordKind>(object.via.array.ptr[0].as<uint8_t>())) {
+        case RecordKind::term: return apply_record(object.as<StoredTerm>(), state);
+        case RecordKind::entry: return apply_record(object.as<StoredEntry>(), state);
+        case RecordKind::truncate: return apply_record(object.as<StoredTruncation>(), state);
+        case RecordKind::snapshot: return apply_record(object.as<StoredSnapshot>(), state);
         default: return false;
     }
 }
@@ -118,37 +118,37 @@
 
 std::string owner_record(const StoreOwner& owner, uint64_t writes)
 {
-    return record_of(pack(
+    return make_record(pack(
         StoredOwner{.fleet = owner.fleet, .member = owner.member, .disk = owner.disk, .writes = writes}));
 }
 
 std::string term_record(Term term, DiskId vote)
 {
-    return record_of(pack(StoredTerm{.term = term, .vote = vote}));
+    return make_record(pack(StoredTerm{.term = term, .vote = vote}));
 }
 
 std::string entry_record(LogIndex index, const LogEntry& entry)
 {
-    return record_of(pack(
+    return make_record(pack(
         StoredEntry{.index = index, .term = entry.term, .entry_kind = entry.kind, .bytes = entry.bytes}));
 }
 
-std::string truncate_record(LogIndex from) { return record_of(pack(StoredTruncation{.from = from})); }
+std::string truncate_record(LogIndex from) { return make_record(pack(StoredTruncation{.from = from})); }
 
 std::string snapshot_record(const LogSnapshot& snapshot, LogIndex first_index)
 {
-    return record_of(pack(StoredSnapshot{.index = snapshot.index,
-                                         .term = snapshot.term,
-                                         .configuration = snapshot.configuration,
-                                         .configuration_index = snapshot.configuration_index,
-                                         .data = snapshot.data,
-                                         .first_index = first_index}));
+    return make_record(pack(StoredSnapshot{.index = snapshot.index,
+                                           .term = snapshot.term,
+                                           .configuration = snapshot.configuration,
+                                           .configuration_index = snapshot.configuration_index,
+                                           .data = snapshot.data,
+                                           .first_index = first_index}));
 }
 
 std::optional<OwnerRecord> decode_owner(std::string_view payload)
 {
     auto stored = unpack<StoredOwner>(payload);
-    if (!stored || stored->kind != static_cast<uint8_t>(Kind::owner)) return {};
+    if (!stored || stored->kind != static_cast<uint8_t>(RecordKind::owner)) return {};
     return OwnerRecord{
         stored->version, {std::move(stored->fleet), std::move(stored->member), stored->disk}, stored->writes};
 }
@@ -177,7 +177,7 @@
 bool apply(std::string_view payload, PersistentState& state)
 {
     try {
-        return apply_unchecked(payload, state);
+        return apply_or_throw(payload, state);
     } catch (const std::exception&) {  // bytes that are no such record
         return false;
     }
--- a/src/fleet/consensus/voter_agent.cpp
+++ b/src/fleet/consensus/voter_agent.cpp
@@ -45,26 +45,26 @@
 std::vector<VoterAgentEffect> VoterAgent::start(TimePoint now)
 {
     open_store(now);
-    return finish(now);
+    return finish_call(now);
 }
 
 std::vector<VoterAgentEffect> VoterAgent::tick(TimePoint now)
 {
-    if (voter_ && !store_->failed()) take(voter_->tick(now));
+    if (voter_ && !store_->failed()) process_effects(voter_->tick(now));
     if (now - last_report_ >= report_interval) send_reports(now);
-    return finish(now);
+    return finish_call(now);
 }
 
 std::vector<VoterAgentEffect> VoterAgent::handle(TimePoint now, const VoterAgentCall& call)
 {
     const bool accepted = std::visit([&](const auto& each) { return on(now, each); }, call);
     if (!accepted) return {};
-    return finish(now);
+    return finish_call(now);
 }
 
 // ---- stages ----
 
-DiskId VoterAgent::draw_disk_id()
+DiskId VoterAgent::generate_disk_id()
 {
     DiskId disk = 0;
     while (!disk) {
@@ -81,12 +81,12 @@
     leases_ = std::make_unique<LeaseStateMachine>();
     store_ = std::make_unique<Store>(files_);
     raft_state_ = {};
-    reported_table_.reset();
+    reported_table_version_.reset();
     fault_.reset();
     promotions_.clear();
     opened_at_ = now;
-    switch (const auto result = store_->open(config_.name, config_.id, draw_disk_id())) {
-        case OpenResult::fresh:
+    switch (const auto result = store_->open(config_.name, config_.id, generate_disk_id())) {
+        case OpenResult::created:
         case OpenResult::intact:
         case OpenResult::truncated:
             stage_ = store_->state().last_index() == 0 ? VoterStage::empty : VoterStage::checking;
@@ -109,11 +109,11 @@
     voter_ = std::make_unique<Voter>(*store_, times_, random_(), *leases_);
     if (!bootstrap.empty() && !voter_->bootstrap(bootstrap))
         fault_ = VoterFault{"the log could not be founded"};
-    take(voter_->start(now));
+    process_effects(voter_->start(now));
 }
 
 // The voter with the lowest key bootstraps a new log: never two of them.
-bool VoterAgent::bootstraps() const
+bool VoterAgent::is_bootstrap_voter() const
 {
     const MemberKey own = config_.members[config_.self].key;
     return std::none_of(config_.members.begin(), config_.members.end(),
@@ -124,9 +124,9 @@
 {
     for (MemberIndex member = 0; member < config_.members.size(); ++member) {
         if (!config_.members[member].is_voter || member == config_.self) continue;
-        const auto heard = peer_reports_.find(member);
-        if (heard == peer_reports_.end() || now - heard->second.received > report_validity) return false;
-        if (heard->second.report.stage != static_cast<uint8_t>(VoterStage::empty)) return false;
+        const auto peer = peer_reports_.find(member);
+        if (peer == peer_reports_.end() || now - peer->second.received > report_validity) return false;
+        if (peer->second.report.stage != static_cast<uint8_t>(VoterStage::empty)) return false;
     }
     return true;
 }
@@ -143,7 +143,7 @@
     } else if (stage_ == VoterStage::empty && store_->state().last_index() > 0) {
         stage_ = VoterStage::voting;  // a leader has sent its log
         fault_.reset();
-    } else if (stage_ == VoterStage::empty && bootstraps() && all_disks_empty(now)) {
+    } else if (stage_ == VoterStage::empty && is_bootstrap_voter() && all_disks_empty(now)) {
         bootstrap_log(now);
     } else if (stage_ == VoterStage::checking) {
         check_disk(now);
@@ -153,8 +153,8 @@
 void VoterAgent::bootstrap_log(TimePoint now)
 {
     std::vector<VoterConfig> voters{{store_->owner().disk, config_.id, true}};
-    for (const auto& [member, heard] : peer_reports_)
-        voters.push_back({heard.report.disk, config_.members[member].id, true});
+    for (const auto& [member, peer] : peer_reports_)
+        voters.push_back({peer.report.disk, config_.members[member].id, true});
     start_voter(now, voters);
     stage_ = VoterStage::voting;
 }
@@ -165,14 +165,14 @@
 {
     size_t answers = 0;
     uint64_t seen_by_others = 0;
-    for (const auto& [member, heard] : peer_reports_) {
-        if (heard.received < opened_at_) continue;
+    for (const auto& [member, peer] : peer_reports_) {
+        if (peer.received < opened_at_) continue;
         ++answers;
-        for (const SeenDisk& seen : heard.report.seen_disks)
+        for (const SeenDisk& seen : peer.report.seen_disks)
             if (seen.disk == store_->owner().disk) seen_by_others = std::max(seen_by_others, seen.writes);
     }
     if (seen_by_others > store_->synced_writes()) {
-        if (!store_->reset(draw_disk_id())) return;
+        if (!store_->reset(generate_disk_id())) return;
         stage_ = VoterStage::empty;
         fault_ =
             VoterFault{"its disk is older than other voters have seen it: it has no vote until it is let in"};
@@ -190,11 +190,11 @@
     const DiskReport& report = received.report;
     if (!config_.members[received.from].is_voter || !is_known_stage(report.stage)) return false;
     peer_reports_[received.from] = {report, now};
-    uint64_t& writes = seen_writes_[report.disk];
+    uint64_t& writes = highest_seen_writes_[report.disk];
     writes = std::max(writes, report.writes);
     // What a third voter has seen counts as well: the one that saw it may be gone.
     for (const SeenDisk& seen : report.seen_disks)
-        seen_writes_[seen.disk] = std::max(seen_writes_[seen.disk], seen.writes);
+        highest_seen_writes_[seen.disk] = std::max(highest_seen_writes_[seen.disk], seen.writes);
     return true;
 }
 
@@ -217,19 +217,19 @@
 
 bool VoterAgent::on(TimePoint now, const RaftMessage& message)
 {
-    uint64_t& writes = seen_writes_[message.from];
+    uint64_t& writes = highest_seen_writes_[message.from];
     writes = std::max(writes, message.writes);
-    const bool accepted =
-        stage_ == VoterStage::voting || (stage_ == VoterStage::empty && brings_log(message.bytes));
+    const bool accepted = stage_ == VoterStage::voting ||
+                          (stage_ == VoterStage::empty && is_replication_message(message.bytes));
     if (!accepted || !voter_ || store_->failed() || message.to != store_->owner().disk) return false;
-    take(voter_->receive(now, message.from, message.bytes));
+    process_effects(voter_->receive(now, message.from, message.bytes));
     return true;
 }
 
 bool VoterAgent::on(TimePoint now, const Proposal& proposal)
 {
     if (stage_ == VoterStage::voting && !store_->failed())
-        take(voter_->propose(now, proposal.id, pack(proposal.commands)));
+        process_effects(voter_->propose(now, proposal.id, pack(proposal.commands)));
     else
         effects_.emplace_back(ProposalResult{proposal.id, false, "it does not vote"});
     return true;
@@ -247,13 +247,13 @@
 void VoterAgent::add_voter(TimePoint now, uint64_t id, const std::string& member)
 {
     const auto index = config_.member_of(std::string_view(member));
-    const auto heard = index ? peer_reports_.find(*index) : peer_reports_.end();
-    const bool is_recent = heard != peer_reports_.end() && now - heard->second.received <= report_validity;
+    const auto peer = index ? peer_reports_.find(*index) : peer_reports_.end();
+    const bool is_recent = peer != peer_reports_.end() && now - peer->second.received <= report_validity;
     if (stage_ != VoterStage::voting || !is_recent) {
         effects_.emplace_back(ProposalResult{id, false, "nothing has been heard of its disk lately"});
         return;
     }
-    const VoterConfig voter{heard->second.report.disk, member, true};
+    const VoterConfig voter{peer->second.report.disk, member, true};
     const auto& voters = raft_state_.voters;
     const auto known = std::find_if(voters.begin(), voters.end(),
                                     [&](const VoterConfig& each) { return each.disk == voter.disk; });
@@ -263,7 +263,7 @@
     }
     const auto step = known != voters.end() ? Promotion::Step::promote : Promotion::Step::add;
     promotions_[id] = {voter, step};
-    take(voter_->add_voter(now, id, voter));
+    process_effects(voter_->add_voter(now, id, voter));
 }
 
 void VoterAgent::remove_voter(TimePoint now, uint64_t id, const std::string& member)
@@ -272,13 +272,13 @@
     const auto known = std::find_if(voters.begin(), voters.end(),
                                     [&](const VoterConfig& each) { return each.member == member; });
     if (stage_ == VoterStage::voting && known != voters.end())
-        return take(voter_->remove_voter(now, id, known->disk));
+        return process_effects(voter_->remove_voter(now, id, known->disk));
     effects_.emplace_back(ProposalResult{id, false, "it has no vote"});
 }
 
 // ---- effects ----
 
-void VoterAgent::take(std::vector<VoterEffect> effects)
+void VoterAgent::process_effects(std::vector<VoterEffect> effects)
 {
     for (VoterEffect& effect : effects) {
         if (auto* send = std::get_if<SendRaftMessage>(&effect)) {
@@ -287,9 +287,9 @@
             raft_state_ = std::move(*state);
         } else if (auto* result = std::get_if<ProposalResult>(&effect)) {
             effects_.emplace_back(std::move(*result));
-        } else if (leases_->table().version() != reported_table_) {
+        } else if (leases_->table().version() != reported_table_version_) {
             // Reported before the result of the proposal that has changed it.
-            reported_table_ = leases_->table().version();
+            reported_table_version_ = leases_->table().version();
             effects_.emplace_back(LeaseTableUpdated{leases_->table()});
         }
     }
@@ -302,12 +302,12 @@
     report.disk = store_->owner().disk;
     report.stage = static_cast<uint8_t>(stage_);
     report.writes = store_->synced_writes();
-    for (const auto& [disk, writes] : seen_writes_) report.seen_disks.push_back({disk, writes});
+    for (const auto& [disk, writes] : highest_seen_writes_) report.seen_disks.push_back({disk, writes});
     effects_.emplace_back(BroadcastDiskReport{std::move(report)});
     // Until the log has grown beyond its first entry, there may be voters that have not received that.
     const PersistentState& state = store_->state();
     const bool only_bootstrapped = state.last_index() == 1 && !state.snapshot.index;
-    if (stage_ != VoterStage::voting || !bootstraps() || !only_bootstrapped) return;
+    if (stage_ != VoterStage::voting || !is_bootstrap_voter() || !only_bootstrapped) return;
     BootstrapConfig config;
     for (const VoterConfig& voter : raft_state_.voters) config.voters.push_back({voter.member, voter.disk});
     if (!config.voters.empty()) effects_.emplace_back(BroadcastBootstrapConfig{std::move(config)});
@@ -322,7 +322,7 @@
         if (!result) continue;
         auto node = promotions_.extract(result->id);
         if (node.empty() || !result->committed) continue;
-        if (node.mapped().step != Promotion::Step::remove_old_disk)
+        if (node.mapped().step != Promotion::Step::remove_previous_disk)
             succeeded.emplace_back(node.key(), std::move(node.mapped()));
     }
     for (const auto& [id, promotion] : succeeded) continue_promotion(now, id, promotion);
@@ -330,26 +330,27 @@
 
 void VoterAgent::continue_promotion(TimePoint now, uint64_t id, const Promotion& promotion)
 {
-    const DiskId old_disk = old_disk_of(promotion.voter);
+    const DiskId previous_disk = previous_disk_of(promotion.voter);
     const bool promotes = promotion.step == Promotion::Step::add;
-    if (!promotes && !old_disk) return;
+    if (!promotes && !previous_disk) return;
     // The operator hears of the last step alone.
     std::erase_if(effects_, [id](const VoterAgentEffect& effect) {
         const auto* result = std::get_if<ProposalResult>(&effect);
         return result && result->id == id;
     });
     promotions_[id] = {promotion.voter,
-                       promotes ? Promotion::Step::promote : Promotion::Step::remove_old_disk};
-    take(promotes ? voter_->add_voter(now, id, promotion.voter) : voter_->remove_voter(now, id, old_disk));
+                       promotes ? Promotion::Step::promote : Promotion::Step::remove_previous_disk};
+    process_effects(promotes ? voter_->add_voter(now, id, promotion.voter)
+                             : voter_->remove_voter(now, id, previous_disk));
 }
 
 // The disk that a member voted with before; zero: none.
-DiskId VoterAgent::old_disk_of(const VoterConfig& voter) const
+DiskId VoterAgent::previous_disk_of(const VoterConfig& voter) const
 {
-    DiskId old_disk = 0;
+    DiskId previous_disk = 0;
     for (const VoterConfig& each : raft_state_.voters)
-        if (each.member == voter.member && each.disk != voter.disk) old_disk = each.disk;
-    return old_disk;
+        if (each.member == voter.member && each.disk != voter.disk) previous_disk = each.disk;
+    return previous_disk;
 }
 
 void VoterAgent::report_status(TimePoint now)
@@ -364,7 +365,7 @@
     if (stage_changed) send_reports(now);
 }
 
-std::vector<VoterAgentEffect> VoterAgent::finish(TimePoint now)
+std::vector<VoterAgentEffect> VoterAgent::finish_call(TimePoint now)
 {
     update_stage(now);
     continue_promotions(now);
--- a/src/fleet/consensus/voter_agent.h
+++ b/src/fleet/consensus/voter_agent.h
@@ -84,7 +84,7 @@
     };
     // Adding a voter takes up to three changes of the configuration.
     struct Promotion {
-        enum class Step : uint8_t { add, promote, remove_old_disk };
+        enum class Step : uint8_t { add, promote, remove_previous_disk };
 
         VoterConfig voter;
         Step step = Step::add;
@@ -106,17 +106,17 @@
     void bootstrap_log(TimePoint now);
     void check_disk(TimePoint now);
     bool all_disks_empty(TimePoint now) const;
-    bool bootstraps() const;
-    DiskId draw_disk_id();
+    bool is_bootstrap_voter() const;
+    DiskId generate_disk_id();
 
     // ---- effects ----
-    void take(std::vector<VoterEffect> effects);
+    void process_effects(std::vector<VoterEffect> effects);
     void send_reports(TimePoint now);
     void continue_promotions(TimePoint now);
     void continue_promotion(TimePoint now, uint64_t id, const Promotion& promotion);
-    DiskId old_disk_of(const VoterConfig& voter) const;
+    DiskId previous_disk_of(const VoterConfig& voter) const;
     void report_status(TimePoint now);
-    std::vector<VoterAgentEffect> finish(TimePoint now);
+    std::vector<VoterAgentEffect> finish_call(TimePoint now);
 
     const FleetConfig& config_;
     FileSystem& files_;
@@ -128,9 +128,9 @@
     VoterStage stage_ = VoterStage::empty;
     std::optional<VoterFault> fault_;
     std::map<MemberIndex, PeerReport> peer_reports_;
-    std::map<DiskId, uint64_t> seen_writes_;  // of each disk, by whoever told of it
+    std::map<DiskId, uint64_t> highest_seen_writes_;  // of each disk, by whoever told of it
     TimePoint last_report_, opened_at_, failed_at_;
-    std::optional<uint64_t> reported_table_;  // version
+    std::optional<uint64_t> reported_table_version_;  // version
     VoterState raft_state_;
     std::optional<VoterStatus> reported_status_;
     std::map<uint64_t, Promotion> promotions_;
--- a/src/fleet/lease/lease_client.cpp
+++ b/src/fleet/lease/lease_client.cpp
@@ -47,7 +47,7 @@
     request.instance = instance_;
     request.nonce = last_nonce_;
     request.table_version = table_.version();
-    request.requested = {requested_.begin(), requested_.end()};
+    request.requested = {requested_families_.begin(), requested_families_.end()};
     request.departing = departing_;
     request.last_answered_nonce = last_answered_nonce_;
     for (const auto& [duty, epoch] : unreported_) request.given_up.push_back({duty, epoch});
@@ -62,8 +62,8 @@
     if (!last_renewal_answered_) leader_.reset();
     const MemberIndex to = leader_ ? *leader_ : voters_[next_voter_++ % voters_.size()];
     ++last_nonce_;
-    pending_.push_back({last_nonce_, now});
-    if (pending_.size() > max_pending_renewals) pending_.pop_front();
+    pending_renewals_.push_back({last_nonce_, now});
+    if (pending_renewals_.size() > max_pending_renewals) pending_renewals_.pop_front();
     sends_.push_back({to, renew_request()});
     last_renewal_answered_ = false;
     // Jitter, so that hundreds of members don't ask in step.
@@ -75,11 +75,11 @@
 {
     now_ = now;
     if (now >= lease_end_)
-        while (!held_.empty()) lose(held_.begin()->first, "its lease ran out unrenewed");
+        while (!held_.empty()) drop_lease(held_.begin()->first, "its lease ran out unrenewed");
     if (now >= next_renewal_) send_renew_request(now);
 }
 
-void LeaseClient::lose(const std::string& duty, const std::string& reason)
+void LeaseClient::drop_lease(const std::string& duty, const std::string& reason)
 {
     const auto held = held_.find(duty);
     if (held == held_.end()) return;
@@ -96,7 +96,7 @@
     const auto held = held_.find(duty);
     if (held == held_.end()) return;
     const Epoch epoch = held->second;
-    lose(duty, reason);
+    drop_lease(duty, reason);
     if (leader_) sends_.push_back({*leader_, LeaseRelease{duty, epoch, instance_}});
 }
 
@@ -104,20 +104,20 @@
 {
     now_ = now;
     departing_ = true;
-    requested_.clear();
+    requested_families_.clear();
     while (!held_.empty()) release(now, std::string(held_.begin()->first), "this process stops");
     send_renew_request(now);
 }
 
 void LeaseClient::request_family(const std::string& family)
 {
-    requested_.insert(family);
+    requested_families_.insert(family);
     next_renewal_ = TimePoint{};
 }
 
 void LeaseClient::cancel_family_request(const std::string& family)
 {
-    requested_.erase(family);
+    requested_families_.erase(family);
     next_renewal_ = TimePoint{};
 }
 
@@ -133,16 +133,16 @@
     if (response.nonce && !extend_lease(now, response.nonce)) return;
     if (now >= lease_end_ || response.table_version < table_.version()) return;
     if (response.full_table) table_.assign(response.leases, response.table_version);
-    take_leases(response);
+    apply_leases(response);
 }
 
 bool LeaseClient::extend_lease(TimePoint now, uint64_t nonce)
 {
-    const auto renewal = std::find_if(pending_.begin(), pending_.end(),
+    const auto renewal = std::find_if(pending_renewals_.begin(), pending_renewals_.end(),
                                       [&](const PendingRenewal& pending) { return pending.nonce == nonce; });
-    if (renewal == pending_.end()) return false;
+    if (renewal == pending_renewals_.end()) return false;
     lease_end_ = std::max(lease_end_, renewal->sent + config_.lease.holder_duration());
-    pending_.erase(pending_.begin(), renewal + 1);
+    pending_renewals_.erase(pending_renewals_.begin(), renewal + 1);
     last_renewal_answered_ = true;
     const bool first_answer = std::exchange(last_answered_nonce_, nonce) == 0;
     const double jitter = 0.9 + 0.2 * uniform_random();
@@ -155,7 +155,7 @@
     return true;
 }
 
-void LeaseClient::take_leases(const LeaseRenewResponse& response)
+void LeaseClient::apply_leases(const LeaseRenewResponse& response)
 {
     std::set<std::string> listed;
     for (const LeaseRecord& lease : response.leases) {
@@ -169,28 +169,28 @@
     if (!response.nonce) return;
     std::erase_if(unreported_, [&](const auto& reported) { return !listed.count(reported.first); });
     for (const auto& [duty, epoch] : std::map(held_))
-        if (!listed.count(duty)) lose(duty, "it is not this member's any more");
+        if (!listed.count(duty)) drop_lease(duty, "it is not this member's any more");
 }
 
 void LeaseClient::accept_lease(const LeaseRecord& lease, Term term)
 {
     if (held_.count(lease.duty) && held_[lease.duty] == lease.epoch) return;
-    if (must_give_back(lease)) return give_back(lease);
-    lose(lease.duty, "it was granted anew");
+    if (must_return(lease)) return return_lease(lease);
+    drop_lease(lease.duty, "it was granted anew");
     held_[lease.duty] = lease.epoch;
     changes_.push_back({LeaseChange::Kind::gained, lease.duty, lease.epoch,
                         "granted by the leader of term " + std::to_string(term), lease_end_});
 }
 
 // An epoch that was given up is never taken back, however late a message comes.
-bool LeaseClient::must_give_back(const LeaseRecord& lease) const
+bool LeaseClient::must_return(const LeaseRecord& lease) const
 {
     if (departing_ || !config_.duty_of(lease.duty)) return true;
     const auto given_up = given_up_.find(lease.duty);
     return given_up != given_up_.end() && lease.epoch <= given_up->second;
 }
 
-void LeaseClient::give_back(const LeaseRecord& lease)
+void LeaseClient::return_lease(const LeaseRecord& lease)
 {
     given_up_[lease.duty] = unreported_[lease.duty] = std::max(lease.epoch, given_up_[lease.duty]);
     // Also where it was sent before: that message may have been lost.
--- a/src/fleet/lease/lease_client.h
+++ b/src/fleet/lease/lease_client.h
@@ -95,11 +95,11 @@
     LeaseRenewRequest renew_request() const;
     // Returns false for an answer to a renewal that is not pending.
     bool extend_lease(TimePoint now, uint64_t nonce);
-    void take_leases(const LeaseRenewResponse& response);
+    void apply_leases(const LeaseRenewResponse& response);
     void accept_lease(const LeaseRecord& lease, Term term);
-    bool must_give_back(const LeaseRecord& lease) const;
-    void give_back(const LeaseRecord& lease);
-    void lose(const std::string& duty, const std::string& reason);
+    bool must_return(const LeaseRecord& lease) const;
+    void return_lease(const LeaseRecord& lease);
+    void drop_lease(const std::string& duty, const std::string& reason);
     double uniform_random() { return std::uniform_real_distribution<>(0, 1)(random_); }
 
     const FleetConfig& config_;
@@ -115,15 +115,15 @@
 
     uint64_t last_nonce_ = 0;
     uint64_t last_answered_nonce_ = 0;
-    std::deque<PendingRenewal> pending_;
+    std::deque<PendingRenewal> pending_renewals_;
     bool last_renewal_answered_ = true;
     bool departing_ = false;
     TimePoint now_, next_renewal_, lease_end_;
 
     std::map<std::string, Epoch> held_;
-    std::map<std::string, Epoch> given_up_;    // the highest epoch of each duty that is not held any more
-    std::map<std::string, Epoch> unreported_;  // of these, what the leader may not know yet
-    std::set<std::string> requested_;          // families
+    std::map<std::string, Epoch> given_up_;     // the highest epoch of each duty that is not held any more
+    std::map<std::string, Epoch> unreported_;   // of these, what the leader may not know yet
+    std::set<std::string> requested_families_;  // families
     LeaseTable table_;
     std::vector<Send> sends_;
     std::vector<LeaseChange> changes_;
--- a/src/fleet/lease/lease_manager.cpp
+++ b/src/fleet/lease/lease_manager.cpp
@@ -12,8 +12,8 @@
 {
 
 constexpr Duration max_batch_interval = seconds(0.15);
-constexpr double settling_intervals = 1.2;  // renewal intervals after an election without new grants
-constexpr double disabled_expiry = 0.3;     // see DisabledChecks::full_expiry
+constexpr double settling_intervals = 1.2;     // renewal intervals after an election without new grants
+constexpr double early_expiry_fraction = 0.3;  // see DisabledChecks::full_expiry
 
 // The part of a duty's name before the dot.
 std::string family_of(const std::string& duty) { return duty.substr(0, duty.find('.')); }
@@ -43,7 +43,8 @@
 void LeaseManager::on_stepped_down()
 {
     if (!std::exchange(is_leader_, false)) return;
-    for (const auto& [duty, transfer] : transfers_) report(transfer.origin, false, "the leader stepped down");
+    for (const auto& [duty, transfer] : transfers_)
+        report_result(transfer.origin, false, "the leader stepped down");
     transfers_.clear();
     pending_renewals_.clear();
     pending_proposals_.clear();
@@ -53,7 +54,7 @@
 void LeaseManager::tick(TimePoint now)
 {
     if (!is_leader_ || !table_) return;
-    drive_transfers(now);
+    advance_transfers(now);
     assign_leases(now);
     rebalance(now);
     propose_pending_renewals(now);
@@ -68,12 +69,12 @@
     sessions_.record(now, from, request);
     for (const SeenEpoch& seen : request.seen_epochs)
         epoch_floors_[seen.duty] = std::max(epoch_floors_[seen.duty], seen.epoch);
-    for (const SeenEpoch& lease : request.given_up) take_back(now, from, request.instance, lease);
+    for (const SeenEpoch& lease : request.given_up) release_and_regrant(now, from, request.instance, lease);
     // A later renewal of the same instance replaces the earlier one.
     std::erase_if(pending_renewals_, [&](const PendingRenewal& renewal) {
         return renewal.from == from && renewal.request.instance == request.instance;
     });
-    if (disabled_checks.confirm_by_majority && table_) return answer({from, request}, *table_);
+    if (disabled_checks.confirm_by_majority && table_) return send_response({from, request}, *table_);
     pending_renewals_.push_back({from, request});
 }
 
@@ -100,12 +101,12 @@
     const PendingProposal pending = std::move(node.mapped());
     for (const LeaseCommand& command : pending.commands) pending_duties_.erase(command.duty);
     if (!is_leader_ || !committed) return;
-    for (const PendingRenewal& renewal : pending.renewals) answer(renewal, table);
+    for (const PendingRenewal& renewal : pending.renewals) send_response(renewal, table);
     notify_grantees(pending.commands, table);
-    finish_transfers(pending.commands, table);
+    complete_transfers(pending.commands, table);
 }
 
-void LeaseManager::answer(const PendingRenewal& renewal, const LeaseTable& table)
+void LeaseManager::send_response(const PendingRenewal& renewal, const LeaseTable& table)
 {
     const LeaseRenewRequest& request = renewal.request;
     LeaseRenewResponse response{term_, request.nonce, table.version(), false, {}};
@@ -124,7 +125,7 @@
 {
     std::set<MemberIndex> notified;
     for (const LeaseCommand& command : commands) {
-        if (command.what != LeaseCommand::grant) continue;
+        if (command.kind != LeaseCommand::grant) continue;
         const auto entry = table.entry(command.duty);
         const auto member = config_.member_of(command.holder);
         const bool granted = entry.holder == command.holder && entry.instance == command.instance;
@@ -149,7 +150,7 @@
     const auto renewed = sessions_.last_renewal(lease.holder, lease.instance);
     TimePoint last = renewed ? std::max(elected_at_, *renewed) : elected_at_;
     if (disabled_checks.wait_after_election && !renewed) last = elected_at_ - config_.lease.length;
-    const Duration length = config_.lease.length * (disabled_checks.full_expiry ? disabled_expiry : 1);
+    const Duration length = config_.lease.length * (disabled_checks.full_expiry ? early_expiry_fraction : 1);
     return now - last > length;
 }
 
@@ -174,7 +175,7 @@
     if (lease.holder) release_expired(duty, lease, loads, commands);
     if (duty.kind == DutyKind::drain) return grant_permit(now, duty, commands);
     const auto target = live_transfer_target(now, duty.name);
-    const auto to = target ? target : choose(duty.name, loads);
+    const auto to = target ? target : choose_holder(duty.name, loads);
     if (!to) return;
     ++loads[*to];
     grant(commands, duty.name, *to, transfers_.count(duty.name) ? "handed over" : "nobody held it");
@@ -195,7 +196,7 @@
     const std::string family = family_of(duty.name);
     std::optional<MemberIndex> first;
     TimePoint first_requested;
-    for (const auto& [member, session] : sessions_.all()) {
+    for (const auto& [member, session] : sessions_.sessions()) {
         const auto requested = session.requested.find(family);
         if (!sessions_.is_live(now, member) || requested == session.requested.end()) continue;
         if (has_permit(member, session, family, commands)) continue;
@@ -225,7 +226,7 @@
 }
 
 // Of the members that hold fewer than an even share, the one that ranks highest for this duty.
-std::optional<MemberIndex> LeaseManager::choose(const std::string& duty, const Loads& loads) const
+std::optional<MemberIndex> LeaseManager::choose_holder(const std::string& duty, const Loads& loads) const
 {
     if (loads.empty()) return {};
     const auto spread =
@@ -248,25 +249,26 @@
     const auto floor = epoch_floors_.find(duty);
     const auto transfer = transfers_.find(duty);
     LeaseCommand command;
-    command.what = LeaseCommand::grant;
+    command.kind = LeaseCommand::grant;
     command.duty = duty;
     command.epoch = floor == epoch_floors_.end() ? 0 : floor->second;
     command.holder = config_.members[to].key;
     command.instance = sessions_.instance_of(to);
-    command.why = reason;
-    command.placed = transfer != transfers_.end() && transfer->second.origin && transfer->second.to == to;
+    command.reason = reason;
+    command.pinned = transfer != transfers_.end() && transfer->second.origin && transfer->second.target == to;
     commands.push_back(std::move(command));
     pending_duties_.insert(duty);
 }
 
 void LeaseManager::on_release(TimePoint now, MemberIndex from, const LeaseRelease& release)
 {
-    if (is_leader_) take_back(now, from, release.instance, {release.duty, release.epoch});
+    if (is_leader_) release_and_regrant(now, from, release.instance, {release.duty, release.epoch});
 }
 
 // The holder says that it does not hold a lease any more. The next grant is in the same entry of the log, so
 // that nobody holds the duty for as short as possible.
-void LeaseManager::take_back(TimePoint now, MemberIndex from, InstanceId instance, const SeenEpoch& lease)
+void LeaseManager::release_and_regrant(TimePoint now, MemberIndex from, InstanceId instance,
+                                       const SeenEpoch& lease)
 {
     if (!table_) return;
     const auto entry = table_->entry(lease.duty);
@@ -288,7 +290,7 @@
     if (const auto target = live_transfer_target(now, duty)) return target;
     Loads loads = sessions_.loads(now, *table_);
     loads.erase(last_holder);
-    if (const auto chosen = choose(duty, loads)) return chosen;
+    if (const auto chosen = choose_holder(duty, loads)) return chosen;
     if (loads.empty()) return {};
     return loads.begin()->first;
 }
--- a/src/fleet/lease/lease_manager.h
+++ b/src/fleet/lease/lease_manager.h
@@ -60,7 +60,7 @@
     };
     // A duty that is being moved from its holder to another member.
     struct Transfer {
-        std::optional<MemberIndex> to;
+        std::optional<MemberIndex> target;
         Epoch epoch = 0;  // at which it is held now
         TimePoint started, last_revoke;
         std::optional<CommandOrigin> origin;  // absent: rebalancing
@@ -78,7 +78,7 @@
     // ---- renewals ----
     void propose(TimePoint now, std::vector<LeaseCommand> commands);
     void propose_pending_renewals(TimePoint now);
-    void answer(const PendingRenewal& renewal, const LeaseTable& table);
+    void send_response(const PendingRenewal& renewal, const LeaseTable& table);
     void notify_grantees(const std::vector<LeaseCommand>& commands, const LeaseTable& table);
     void notify_grantee(MemberIndex member, const LeaseCommand& grant, const LeaseTable& table);
 
@@ -92,21 +92,21 @@
                     const std::vector<LeaseCommand>& commands) const;
     void grant(std::vector<LeaseCommand>& commands, const std::string& duty, MemberIndex to,
                const std::string& reason);
-    void take_back(TimePoint now, MemberIndex from, InstanceId instance, const SeenEpoch& lease);
+    void release_and_regrant(TimePoint now, MemberIndex from, InstanceId instance, const SeenEpoch& lease);
     std::optional<MemberIndex> next_holder(TimePoint now, const std::string& duty,
                                            MemberIndex last_holder) const;
-    std::optional<MemberIndex> choose(const std::string& duty, const Loads& loads) const;
+    std::optional<MemberIndex> choose_holder(const std::string& duty, const Loads& loads) const;
     bool is_expired(TimePoint now, const LeaseTable::Entry& lease) const;
 
     // ---- transfers ----
     void rebalance(TimePoint now);
     const Duty* duty_to_move(MemberIndex from, MemberIndex to) const;
-    void drive_transfers(TimePoint now);
-    void finish_transfers(const std::vector<LeaseCommand>& commands, const LeaseTable& table);
+    void advance_transfers(TimePoint now);
+    void complete_transfers(const std::vector<LeaseCommand>& commands, const LeaseTable& table);
     std::optional<MemberIndex> live_transfer_target(TimePoint now, const std::string& duty) const;
     std::optional<MemberIndex> least_loaded_other(TimePoint now, MemberKey holder) const;
-    std::string refusal_of_transfer(TimePoint now, const AdminCommand& command) const;
-    void report(const std::optional<CommandOrigin>& origin, bool success, const std::string& text);
+    std::string transfer_refusal(TimePoint now, const AdminCommand& command) const;
+    void report_result(const std::optional<CommandOrigin>& origin, bool success, const std::string& text);
 
     const FleetConfig& config_;
     const LeaseTable* table_ = nullptr;
--- a/src/fleet/lease/lease_sessions.cpp
+++ b/src/fleet/lease/lease_sessions.cpp
@@ -49,7 +49,7 @@
     const auto found = sessions_.find(member);
     if (found == sessions_.end()) return false;
     const LeaseSession& session = found->second;
-    const Duration recent = config_.lease.length * lease_timing::liveness;
+    const Duration recent = config_.lease.length * lease_timing::liveness_window;
     return !session.departing && session.last_answered_at && now - session.last_request < recent &&
            now - *session.last_answered_at < recent;
 }
--- a/src/fleet/lease/lease_sessions.h
+++ b/src/fleet/lease/lease_sessions.h
@@ -35,7 +35,7 @@
 
     // Whether a member may be granted something: it renews, hears the answers and doesn't depart.
     [[nodiscard]] bool is_live(TimePoint now, MemberIndex member) const;
-    [[nodiscard]] const std::map<MemberIndex, LeaseSession>& all() const { return sessions_; }
+    [[nodiscard]] const std::map<MemberIndex, LeaseSession>& sessions() const { return sessions_; }
     [[nodiscard]] InstanceId instance_of(MemberIndex member) const { return sessions_.at(member).instance; }
     // The last renewal of this holder that reached this leader; nothing: none did.
     [[nodiscard]] std::optional<TimePoint> last_renewal(MemberKey holder, InstanceId instance) const;
--- a/src/fleet/lease/lease_table.cpp
+++ b/src/fleet/lease/lease_table.cpp
@@ -15,9 +15,9 @@
     MemberKey holder = 0;
     InstanceId instance = 0;
     Epoch epoch = 0;
-    std::string why;
-    bool placed = false;
-    MSGPACK_DEFINE(duty, holder, instance, epoch, why, placed)
+    std::string reason;
+    bool pinned = false;
+    MSGPACK_DEFINE(duty, holder, instance, epoch, reason, pinned)
 };
 struct StoredTable {
     uint64_t version = 0;
@@ -30,22 +30,22 @@
 void LeaseTable::apply(const std::vector<LeaseCommand>& commands)
 {
     for (const LeaseCommand& command : commands) {
-        if (command.what == LeaseCommand::confirm) continue;
+        if (command.kind == LeaseCommand::confirm) continue;
         if (apply(command, entries_[command.duty])) ++version_;
     }
 }
 
 bool LeaseTable::apply(const LeaseCommand& command, Entry& entry)
 {
-    if (command.what == LeaseCommand::release) {
+    if (command.kind == LeaseCommand::release) {
         // A release that comes late must not take the duty from its next holder.
         if (!entry.holder || entry.epoch != command.epoch) return false;
-        entry = {0, 0, entry.epoch, command.why, false};
+        entry = {0, 0, entry.epoch, command.reason, false};
         return true;
     }
     if (entry.holder || !command.holder) return false;
     const Epoch epoch = std::max(entry.epoch, command.epoch) + 1;
-    entry = {command.holder, command.instance, epoch, command.why, command.placed};
+    entry = {command.holder, command.instance, epoch, command.reason, command.pinned};
     return true;
 }
 
@@ -67,7 +67,8 @@
 {
     StoredTable stored{version_, {}};
     for (const auto& [duty, entry] : entries_)
-        stored.entries.push_back({duty, entry.holder, entry.instance, entry.epoch, entry.why, entry.placed});
+        stored.entries.push_back(
+            {duty, entry.holder, entry.instance, entry.epoch, entry.reason, entry.pinned});
     return pack(stored);
 }
 
@@ -78,8 +79,8 @@
     entries_.clear();
     version_ = stored->version;
     for (StoredEntry& entry : stored->entries)
-        entries_[std::move(entry.duty)] = {entry.holder, entry.instance, entry.epoch, std::move(entry.why),
-                                           entry.placed};
+        entries_[std::move(entry.duty)] = {entry.holder, entry.instance, entry.epoch, std::move(entry.reason),
+                                           entry.pinned};
     return true;
 }
 
--- a/src/fleet/lease/lease_table.h
+++ b/src/fleet/lease/lease_table.h
@@ -18,19 +18,19 @@
 
 // An entry of the replicated log. Its encoding is stored on disk and must not change.
 struct LeaseCommand {
-    enum What : uint8_t {
+    enum Kind : uint8_t {
         grant,    // where nobody holds the duty: at an epoch above `epoch` and above the last one
         release,  // of a lease that is held at exactly this epoch
         confirm,  // changes nothing; that it is committed proves that its proposer led when it was proposed
     };
-    uint8_t what = confirm;
+    uint8_t kind = confirm;
     std::string duty;
     Epoch epoch = 0;
     MemberKey holder = 0;
     InstanceId instance = 0;
-    std::string why;
-    bool placed = false;  // by an operator: rebalancing leaves it where it is
-    MSGPACK_DEFINE(what, duty, epoch, holder, instance, why, placed)
+    std::string reason;
+    bool pinned = false;  // by an operator: rebalancing leaves it where it is
+    MSGPACK_DEFINE(kind, duty, epoch, holder, instance, reason, pinned)
 };
 
 // What the leader asks to be appended to the log, as one entry.
@@ -46,8 +46,8 @@
         MemberKey holder = 0;  // zero: nobody
         InstanceId instance = 0;
         Epoch epoch = 0;
-        std::string why;  // reason of the last change
-        bool placed = false;
+        std::string reason;  // reason of the last change
+        bool pinned = false;
 
         bool operator==(const Entry&) const = default;
     };
--- a/src/fleet/lease/lease_timing.h
+++ b/src/fleet/lease/lease_timing.h
@@ -11,6 +11,6 @@
 // For which the leader gathers renewals into one entry of the log.
 inline constexpr double batch_interval = 1.0 / 20;
 // For which a member that has renewed counts as live, for new grants.
-inline constexpr double liveness = 0.6;
+inline constexpr double liveness_window = 0.6;
 
 }  // namespace firtide::fleet::lease_timing
--- a/src/fleet/lease/lease_transfer.cpp
+++ b/src/fleet/lease/lease_transfer.cpp
@@ -42,7 +42,7 @@
     for (const Duty& duty : config_.duties) {
         if (duty.kind == DutyKind::drain || pending_duties_.count(duty.name)) continue;
         const auto entry = table_->entry(duty.name);
-        if (entry.holder != config_.members[from].key || entry.placed) continue;
+        if (entry.holder != config_.members[from].key || entry.pinned) continue;
         if (!best || lease_rank(duty.name, target) > lease_rank(best->name, target)) best = &duty;
     }
     return best;
@@ -51,23 +51,23 @@
 void LeaseManager::transfer(TimePoint now, MemberIndex from, const AdminCommand& command)
 {
     const CommandOrigin origin{from, command.number};
-    const std::string refusal = refusal_of_transfer(now, command);
-    if (!refusal.empty()) return report(origin, false, refusal);
+    const std::string refusal = transfer_refusal(now, command);
+    if (!refusal.empty()) return report_result(origin, false, refusal);
     const std::string& duty = command.first;
     const auto entry = table_->entry(duty);
     auto to = config_.member_of(std::string_view(command.second));
     const bool holds_it =
         to && entry.holder == config_.members[*to].key && sessions_.instance_of(*to) == entry.instance;
-    if (holds_it) return report(origin, true, "it holds it already");
+    if (holds_it) return report_result(origin, true, "it holds it already");
     if (!to) to = least_loaded_other(now, entry.holder);
-    if (!to) return report(origin, false, "there is no other member to hold it");
+    if (!to) return report_result(origin, false, "there is no other member to hold it");
     if (const auto earlier = transfers_.find(duty); earlier != transfers_.end())
-        report(earlier->second.origin, false, "another hand-over came after it");
+        report_result(earlier->second.origin, false, "another hand-over came after it");
     transfers_[duty] = {to, entry.epoch, now, {}, origin};
 }
 
 // Empty: there is none.
-std::string LeaseManager::refusal_of_transfer(TimePoint now, const AdminCommand& command) const
+std::string LeaseManager::transfer_refusal(TimePoint now, const AdminCommand& command) const
 {
     if (!is_leader_ || !table_) return "this member does not lead";
     const auto duty = config_.duty_of(command.first);
@@ -91,18 +91,18 @@
 std::optional<MemberIndex> LeaseManager::live_transfer_target(TimePoint now, const std::string& duty) const
 {
     const auto transfer = transfers_.find(duty);
-    if (transfer == transfers_.end() || !transfer->second.to) return {};
-    if (!sessions_.is_live(now, *transfer->second.to)) return {};
-    return transfer->second.to;
+    if (transfer == transfers_.end() || !transfer->second.target) return {};
+    if (!sessions_.is_live(now, *transfer->second.target)) return {};
+    return transfer->second.target;
 }
 
-void LeaseManager::drive_transfers(TimePoint now)
+void LeaseManager::advance_transfers(TimePoint now)
 {
     for (auto next = transfers_.begin(); next != transfers_.end();) {
         const auto current = next++;
         auto& [duty, transfer] = *current;
         if (now - transfer.started > config_.lease.length * 2 + transfer_grace) {
-            report(transfer.origin, false, "it could not be handed over in time");
+            report_result(transfer.origin, false, "it could not be handed over in time");
             transfers_.erase(current);
             continue;
         }
@@ -115,22 +115,23 @@
     }
 }
 
-void LeaseManager::finish_transfers(const std::vector<LeaseCommand>& commands, const LeaseTable& table)
+void LeaseManager::complete_transfers(const std::vector<LeaseCommand>& commands, const LeaseTable& table)
 {
     for (const LeaseCommand& command : commands) {
         const auto transfer = transfers_.find(command.duty);
-        if (command.what != LeaseCommand::grant || transfer == transfers_.end()) continue;
+        if (command.kind != LeaseCommand::grant || transfer == transfers_.end()) continue;
         const auto entry = table.entry(command.duty);
         const auto holder = config_.member_of(entry.holder);
         const std::string text =
             holder ? "now held by " + config_.members[*holder].id + " at epoch " + std::to_string(entry.epoch)
                    : "nobody holds it";
-        report(transfer->second.origin, holder == transfer->second.to, text);
+        report_result(transfer->second.origin, holder == transfer->second.target, text);
         transfers_.erase(transfer);
     }
 }
 
-void LeaseManager::report(const std::optional<CommandOrigin>& origin, bool success, const std::string& text)
+void LeaseManager::report_result(const std::optional<CommandOrigin>& origin, bool success,
+                                 const std::string& text)
 {
     if (origin) sends_.push_back({origin->member, AdminCommandResult{origin->number, success, text}});
 }
--- a/src/fleet/outlier/outlier_gossip.cpp
+++ b/src/fleet/outlier/outlier_gossip.cpp
@@ -9,7 +9,7 @@
 
 constexpr double min_reduction = 0.1;               // of an entry that is worth a report
 constexpr Duration repeat_interval = seconds(0.5);  // of the same finding, with new evidence
-constexpr double start_repeat = 0.5;                // the same of a start alone: of the validity
+constexpr double start_repeat_fraction = 0.5;       // the same of a start alone: of the validity
 constexpr size_t max_reporters = 3;                 // whose reports on one upstream are passed on
 constexpr size_t max_reports = 64;                  // in one digest
 constexpr size_t min_batch = 6;                     // reports that wait for more bytes, where there are more
@@ -25,7 +25,7 @@
 }  // namespace
 
 OutlierGossip::OutlierGossip(const OutlierGossipConfig& config, MemberKey own, InstanceId instance)
-    : config_(config), own_(own), instance_(instance)
+    : config_(config), own_key_(own), instance_(instance)
 {
 }
 
@@ -46,25 +46,25 @@
     const bool is_reduced = evidence.reduction >= min_reduction && evidence.bad_responses > 0 &&
                             evidence.last_bad_response_age < config_.validity;
     if (!is_reduced && !evidence.time_since_start) return;
-    Sent& sent = last_sent_[evidence.upstream];
+    LastSent& sent = last_sent_[evidence.upstream];
     if (now - sent.at < repeat_interval && evidence.reduction < sent.reduction + min_reduction) return;
     const TimePoint found = is_reduced ? now - evidence.last_bad_response_age : now;
-    HeldReport& held = reports_[evidence.upstream][own_];
+    HeldReport& held = reports_[evidence.upstream][own_key_];
     // Nothing but new evidence renews a finding.
     const bool is_known =
         held.report.number && found <= held.found && evidence.reduction <= reduction_of(held.report);
     if (is_reduced && is_known) return;
-    if (!is_reduced && now - sent.at < config_.validity * start_repeat) return;
+    if (!is_reduced && now - sent.at < config_.validity * start_repeat_fraction) return;
     sent = {now, evidence.reduction};
     held = {make_report(evidence, is_reduced), found, found + config_.validity};
-    pending_.insert({evidence.upstream, own_});
+    pending_.insert({evidence.upstream, own_key_});
 }
 
 OutlierReport OutlierGossip::make_report(const OutlierEvidence& evidence, bool is_reduced)
 {
     OutlierReport report;
     report.upstream = evidence.upstream;
-    report.reporter = own_;
+    report.reporter = own_key_;
     report.instance = instance_;
     report.number = ++last_number_;
     const double reduction = std::min(1.0, evidence.reduction) * full_reduction;
@@ -80,7 +80,7 @@
 void OutlierGossip::on_digest(TimePoint now, const OutlierDigest& digest)
 {
     for (const OutlierReport& report : digest.reports) {
-        if (report.reporter == own_) continue;
+        if (report.reporter == own_key_) continue;
         if (is_stale(report))
             ++stale_;
         else
@@ -105,9 +105,9 @@
     const TimePoint found = now - Duration{int64_t{report.age_ms} * microseconds_per_millisecond};
     Reports& reports = reports_[report.upstream];
     std::erase_if(reports, [&](const auto& each) { return each.second.valid_until <= now; });
-    const bool is_known_enough = reports.size() >= max_reporters && !reports.count(report.reporter);
+    const bool has_enough_reporters = reports.size() >= max_reporters && !reports.count(report.reporter);
     reports[report.reporter] = {report, found, found + config_.validity};
-    if (!is_known_enough) pending_.insert({report.upstream, report.reporter});
+    if (!has_enough_reporters) pending_.insert({report.upstream, report.reporter});
 }
 
 // ---- what is sent ----
@@ -132,15 +132,15 @@
 }
 
 // The gravest first, own ones before others'.
-std::vector<const OutlierGossip::HeldReport*> OutlierGossip::pending_by_gravity()
+std::vector<const OutlierGossip::HeldReport*> OutlierGossip::pending_by_severity()
 {
     std::vector<const HeldReport*> order;
     for (const auto& [upstream, reporter] : pending_) order.push_back(&reports_[upstream][reporter]);
-    const auto gravity = [&](const HeldReport* held) {
-        return held->report.reduction + (held->report.reporter == own_ ? own_report_bonus : 0);
+    const auto severity = [&](const HeldReport* held) {
+        return held->report.reduction + (held->report.reporter == own_key_ ? own_report_bonus : 0);
     };
     std::stable_sort(order.begin(), order.end(), [&](const HeldReport* left, const HeldReport* right) {
-        return gravity(left) > gravity(right);
+        return severity(left) > severity(right);
     });
     return order;
 }
@@ -155,7 +155,7 @@
     if (pending_.empty() || receivers == 0) return digest;
     const size_t affordable = affordable_reports(receivers);
     if (affordable < std::min(min_batch, pending_.size())) return digest;
-    auto order = pending_by_gravity();
+    auto order = pending_by_severity();
     // The others wait until they are too old to be sent.
     if (order.size() > affordable) {
         dropped_ += order.size() - affordable;
@@ -183,47 +183,49 @@
     return own_answer_weight / (own_answer_weight + own.good_responses);
 }
 
-OutlierGossip::Consensus OutlierGossip::consensus_of(TimePoint now, const Reports& reports) const
+OutlierGossip::PeerSummary OutlierGossip::summarize_peers(TimePoint now, const Reports& reports) const
 {
-    Consensus consensus;
+    PeerSummary summary;
     for (const auto& [reporter, held] : reports) {
-        if (reporter == own_ || held.valid_until <= now) continue;
+        if (reporter == own_key_ || held.valid_until <= now) continue;
         const double reduction = reduction_of(held.report);
-        consensus.second = std::max(consensus.second, std::min(consensus.greatest, reduction));
-        consensus.greatest = std::max(consensus.greatest, reduction);
-        if (reduction > 0) consensus.last_found = std::max(consensus.last_found, held.found);
+        summary.second_highest_reduction =
+            std::max(summary.second_highest_reduction, std::min(summary.highest_reduction, reduction));
+        summary.highest_reduction = std::max(summary.highest_reduction, reduction);
+        if (reduction > 0) summary.last_found = std::max(summary.last_found, held.found);
         const uint32_t start = held.report.started_s;
         if (!start) continue;
-        if (!consensus.youngest_start || start < consensus.youngest_start) {
-            consensus.second_start = consensus.youngest_start;
-            consensus.youngest_start = start;
-        } else if (!consensus.second_start || start < consensus.second_start) {
-            consensus.second_start = start;
+        if (!summary.shortest_uptime_s || start < summary.shortest_uptime_s) {
+            summary.second_shortest_uptime_s = summary.shortest_uptime_s;
+            summary.shortest_uptime_s = start;
+        } else if (!summary.second_shortest_uptime_s || start < summary.second_shortest_uptime_s) {
+            summary.second_shortest_uptime_s = start;
         }
     }
-    return consensus;
+    return summary;
 }
 
 // Two reporters agree on the second greatest reduction; the greatest counts alone up to a share. Own good
 // answers since then hold both down: an own path that works says more than others' that may not.
 OutlierGossip::Verdict OutlierGossip::verdict(TimePoint now, uint64_t upstream, const Reports& reports) const
 {
-    const Consensus others = consensus_of(now, reports);
+    const PeerSummary others = summarize_peers(now, reports);
     Verdict verdict;
-    verdict.reduction = std::max(others.second, std::min(others.greatest, config_.alone));
+    verdict.reduction =
+        std::max(others.second_highest_reduction, std::min(others.highest_reduction, config_.alone));
     const auto own = evidence_.find(upstream);
     if (own != evidence_.end()) {
         const double discounted = discount(now, own->second, others.last_found);
         if (own->second.reduction >= min_reduction)
-            verdict.reduction = others.greatest;
+            verdict.reduction = others.highest_reduction;
         else if (discounted < 1)
             verdict.reduction = std::min(verdict.reduction, config_.alone) * discounted;
     }
     // A start is believed where two name one; where one does, the upstream is treated as a suspect.
     const bool knows_itself = own != evidence_.end() && own->second.time_since_start;
-    if (knows_itself || !others.youngest_start) return verdict;
-    if (others.second_start)
-        verdict.time_since_start = seconds(others.second_start - 1);
+    if (knows_itself || !others.shortest_uptime_s) return verdict;
+    if (others.second_shortest_uptime_s)
+        verdict.time_since_start = seconds(others.second_shortest_uptime_s - 1);
     else
         verdict.reduction = std::max(verdict.reduction, config_.alone);
     return verdict;
--- a/src/fleet/outlier/outlier_gossip.h
+++ b/src/fleet/outlier/outlier_gossip.h
@@ -64,7 +64,7 @@
     };
     using Reports = std::map<MemberKey, HeldReport>;  // on one upstream, by reporter
     // The last report of this balancer on an upstream.
-    struct Sent {
+    struct LastSent {
         TimePoint at;
         double reduction = 0;
     };
@@ -79,10 +79,10 @@
         auto operator<=>(const Pending&) const = default;
     };
     // What the others' valid reports on an upstream say together.
-    struct Consensus {
-        double greatest = 0, second = 0;  // reductions
+    struct PeerSummary {
+        double highest_reduction = 0, second_highest_reduction = 0;  // reductions
         TimePoint last_found{INT64_MIN / 2};
-        uint32_t youngest_start = 0, second_start = 0;  // zero: none names one
+        uint32_t shortest_uptime_s = 0, second_shortest_uptime_s = 0;  // zero: none names one
     };
 
     void report_local(TimePoint now, const OutlierEvidence& evidence);
@@ -91,20 +91,20 @@
     bool is_stale(const OutlierReport& report);
     void expire(TimePoint now);
     size_t affordable_reports(size_t receivers) const;
-    std::vector<const HeldReport*> pending_by_gravity();
+    std::vector<const HeldReport*> pending_by_severity();
 
-    Consensus consensus_of(TimePoint now, const Reports& reports) const;
+    PeerSummary summarize_peers(TimePoint now, const Reports& reports) const;
     Verdict verdict(TimePoint now, uint64_t upstream, const Reports& reports) const;
     double discount(TimePoint now, const OutlierEvidence& own, TimePoint found) const;
 
     const OutlierGossipConfig config_;
-    const MemberKey own_;
+    const MemberKey own_key_;
     const InstanceId instance_;
     uint64_t last_number_ = 0;
     std::map<uint64_t, Reports> reports_;  // by upstream
     std::map<uint64_t, OutlierEvidence> evidence_;
     TimePoint evidence_at_;
-    std::map<uint64_t, Sent> last_sent_;
+    std::map<uint64_t, LastSent> last_sent_;
     std::map<MemberKey, Sequence> sequences_;
     std::set<Pending> pending_;
     double byte_budget_ = 0;
--- a/src/fleet/quota/quota_allocator.cpp
+++ b/src/fleet/quota/quota_allocator.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-constexpr Duration retention = seconds(10);  // of a holder that asks for nothing
+constexpr Duration idle_retention = seconds(10);  // of a holder that asks for nothing
 constexpr double min_demand = 0.05, max_demand = 1e9;
 constexpr size_t max_pools = 4096;
 constexpr double rounding_margin = 0.999;  // rates go over the wire in single precision
@@ -22,7 +22,7 @@
 void QuotaAllocator::on_lease_gained(TimePoint now, Epoch epoch)
 {
     epoch_ = epoch;
-    began_ = now;
+    lease_gained_at_ = now;
     pools_.clear();
 }
 
@@ -32,9 +32,10 @@
 double QuotaAllocator::outstanding(TimePoint now, BudgetName name) const
 {
     const auto found = pools_.find(name);
-    if (found == pools_.end()) return is_first_lifetime(now) ? config_.total_of(name) * allocatable_share : 0;
+    if (found == pools_.end())
+        return may_have_earlier_grants(now) ? config_.total_of(name) * allocatable_share : 0;
     const Pool& pool = found->second;
-    double sum = is_first_lifetime(now) ? pool.unaccounted : 0;
+    double sum = may_have_earlier_grants(now) ? pool.unaccounted : 0;
     for (const auto& [id, holder] : pool.holders) sum += holder.outstanding(now);
     return sum;
 }
@@ -43,13 +44,13 @@
 {
     double most = 0;
     for (const OutstandingGrant& grant : grants)
-        if (now < grant.until) most = std::max(most, grant.rate);
+        if (now < grant.expires_at) most = std::max(most, grant.rate);
     return most;
 }
 
 // Max-min fairness: each gets what it asks for, up to the same level; what is left over is spread evenly on
 // top.
-double QuotaAllocator::wanted_rate(TimePoint now, const Pool& pool, const Holder& holder, double total) const
+double QuotaAllocator::fair_rate(TimePoint now, const Pool& pool, const Holder& holder, double total) const
 {
     std::vector<double> demands;
     for (const auto& [id, each] : pool.holders)
@@ -69,9 +70,10 @@
 {
     const auto [entry, is_new] = pools_.try_emplace(name);
     Pool& pool = entry->second;
-    if (is_new) pool.unaccounted = is_first_lifetime(now) ? config_.total_of(name) * allocatable_share : 0;
+    if (is_new)
+        pool.unaccounted = may_have_earlier_grants(now) ? config_.total_of(name) * allocatable_share : 0;
     std::erase_if(pool.holders, [&](const auto& each) {
-        return each.second.outstanding(now) <= 0 && now - each.second.last_request > retention;
+        return each.second.outstanding(now) <= 0 && now - each.second.last_request > idle_retention;
     });
     return pool;
 }
@@ -96,13 +98,13 @@
     Pool& pool = pool_of(now, name);
     Holder& holder = holder_of(now, pool, id, demand);
     std::erase_if(holder.grants, [&](const OutstandingGrant& grant) {
-        return now >= grant.until || grant.number < request.last_answered;
+        return now >= grant.expires_at || grant.number < request.last_answered;
     });
     holder.demand = std::clamp<double>(demand.demand, min_demand, max_demand);
     holder.last_request = now;
     const double others = outstanding(now, name) - holder.outstanding(now);
     const double available = std::max(0.0, total - others);
-    const double rate = std::clamp(wanted_rate(now, pool, holder, total), 0.0, available);
+    const double rate = std::clamp(fair_rate(now, pool, holder, total), 0.0, available);
     holder.grants.push_back({request.number, rate, now + max_grant_lifetime()});
     return rate;
 }
--- a/src/fleet/quota/quota_allocator.h
+++ b/src/fleet/quota/quota_allocator.h
@@ -31,7 +31,7 @@
     struct OutstandingGrant {
         uint64_t number = 0;
         double rate = 0;
-        TimePoint until;  // it can't be in use any more then
+        TimePoint expires_at;  // it can't be in use any more then
     };
     struct Holder {
         std::vector<OutstandingGrant> grants;  // the last one that is known to have arrived, and all after it
@@ -50,18 +50,21 @@
         std::map<HolderId, Holder> holders;
     };
 
-    bool is_first_lifetime(TimePoint now) const { return now - began_ < max_grant_lifetime(); }
+    bool may_have_earlier_grants(TimePoint now) const
+    {
+        return now - lease_gained_at_ < max_grant_lifetime();
+    }
     Duration max_grant_lifetime() const;
     Pool& pool_of(TimePoint now, BudgetName name);
     Holder& holder_of(TimePoint now, Pool& pool, HolderId id, const QuotaDemand& demand);
     double grant(TimePoint now, BudgetName name, HolderId id, const QuotaRequest& request,
                  const QuotaDemand& demand);
-    double wanted_rate(TimePoint now, const Pool& pool, const Holder& holder, double total) const;
+    double fair_rate(TimePoint now, const Pool& pool, const Holder& holder, double total) const;
 
     const QuotaConfig& config_;
     const double clock_drift_;
     Epoch epoch_ = 0;
-    TimePoint began_;
+    TimePoint lease_gained_at_;
     std::map<BudgetName, Pool> pools_;
 };
 
--- a/src/fleet/quota/quota_client.cpp
+++ b/src/fleet/quota/quota_client.cpp
@@ -7,8 +7,8 @@
 namespace
 {
 
-constexpr Duration retention = seconds(10);  // of a slow-start budget that nothing is asked of
-constexpr double demand_fall_gain = 2;       // a second
+constexpr Duration idle_retention = seconds(10);  // of a slow-start budget that nothing is asked of
+constexpr double demand_decay_rate = 2;           // a second
 constexpr size_t max_budgets = 256, max_pending_requests = 16;
 
 }  // namespace
@@ -37,7 +37,7 @@
 }
 
 QuotaClient::QuotaClient(const QuotaConfig& config, size_t members, InstanceId instance)
-    : config_(config), members_(members), instance_(instance)
+    : config_(config), member_count_(members), instance_(instance)
 {
     for (const auto& [name, total] : config.whole) {
         if (name == to_string(Budget::cold)) continue;  // one for each upstream that warms up
@@ -53,7 +53,7 @@
     const auto [entry, is_new] = budgets_.try_emplace(name);
     BudgetState& state = entry->second;
     if (!is_new) return state;
-    const double even_share = config_.total_of(name) * guaranteed_share / static_cast<double>(members_);
+    const double even_share = config_.total_of(name) * guaranteed_share / static_cast<double>(member_count_);
     state.lease.name = name;
     state.lease.guaranteed_rate = config_.floor.value_or(even_share);
     return state;
@@ -71,9 +71,9 @@
         const auto count = requests.find(name);
         const double rate = count == requests.end() ? 0 : count->second / elapsed;
         // Up at once, down slowly.
-        const double gain = rate > state.demand ? 1 : std::min(1.0, demand_fall_gain * elapsed);
+        const double gain = rate > state.demand ? 1 : std::min(1.0, demand_decay_rate * elapsed);
         state.demand += gain * (rate - state.demand);
-        const bool unused = now - state.last_demand > retention && now >= state.lease.expires_at;
+        const bool unused = now - state.last_demand > idle_retention && now >= state.lease.expires_at;
         next = name.of == Budget::cold && unused ? budgets_.erase(next) : std::next(next);
     }
 }
@@ -81,12 +81,12 @@
 QuotaRequest QuotaClient::make_request(TimePoint now, Epoch allocator)
 {
     // An answer of the earlier allocator must not come after the new one was told what is held.
-    if (std::exchange(allocator_, allocator) != allocator) {
+    if (std::exchange(allocator_epoch_, allocator) != allocator) {
         pending_requests_.clear();
-        last_answered_ = 0;
+        last_answered_number_ = 0;
     }
-    QuotaRequest request{instance_, allocator, ++last_number_, last_answered_, {}};
-    pending_requests_[last_number_] = now;
+    QuotaRequest request{instance_, allocator, ++last_request_number_, last_answered_number_, {}};
+    pending_requests_[last_request_number_] = now;
     while (pending_requests_.size() > max_pending_requests)
         pending_requests_.erase(pending_requests_.begin());
     for (const auto& [name, state] : budgets_) {
@@ -101,9 +101,9 @@
 void QuotaClient::on_response(TimePoint now, const QuotaResponse& response)
 {
     const auto request = pending_requests_.find(response.number);
-    const bool is_answer = response.instance == instance_ && response.epoch == allocator_;
+    const bool is_answer = response.instance == instance_ && response.epoch == allocator_epoch_;
     if (!is_answer || request == pending_requests_.end()) return;
-    last_answered_ = response.number;
+    last_answered_number_ = response.number;
     const TimePoint sent = request->second;
     pending_requests_.erase(pending_requests_.begin(), std::next(request));
     for (const QuotaGrant& grant : response.grants) {
--- a/src/fleet/quota/quota_client.h
+++ b/src/fleet/quota/quota_client.h
@@ -39,13 +39,13 @@
     BudgetState& state_of(BudgetName name);
 
     const QuotaConfig& config_;
-    const size_t members_;
+    const size_t member_count_;
     const InstanceId instance_;
     std::map<BudgetName, BudgetState> budgets_;
-    uint64_t last_number_ = 0;
+    uint64_t last_request_number_ = 0;
     std::map<uint64_t, TimePoint> pending_requests_;  // by number, when each was sent
-    Epoch allocator_ = 0;                             // epoch of the one that was asked last
-    uint64_t last_answered_ = 0;
+    Epoch allocator_epoch_ = 0;                       // epoch of the one that was asked last
+    uint64_t last_answered_number_ = 0;
     TimePoint last_measured_;
 };
 
--- a/src/fleet/storage/file_system.cpp
+++ b/src/fleet/storage/file_system.cpp
@@ -84,14 +84,14 @@
 
 std::error_code Directory::replace(const std::string& name, std::string_view bytes)
 {
-    const std::string fresh = path_of(name) + ".new";
+    const std::string temporary = path_of(name) + ".new";
     {
-        const Descriptor file(::open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, file_mode));
+        const Descriptor file(::open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, file_mode));
         if (!file.valid()) return last_error();
         if (const auto error = write_all(file.fd(), bytes)) return error;
         if (::fsync(file.fd()) != 0) return last_error();
     }
-    if (::rename(fresh.c_str(), path_of(name).c_str()) != 0) return last_error();
+    if (::rename(temporary.c_str(), path_of(name).c_str()) != 0) return last_error();
     return sync_path(path_, O_RDONLY | O_DIRECTORY);
 }
 
--- a/tests/compatibility.cpp
+++ b/tests/compatibility.cpp
@@ -93,13 +93,13 @@
     const auto last = unpack<std::vector<LeaseCommand>>(kept.entries.back().bytes);
     ASSERT_TRUE(last && last->size() == 1);
     const LeaseCommand& command = last->front();
-    EXPECT_EQ(command.what, LeaseCommand::grant);
+    EXPECT_EQ(command.kind, LeaseCommand::grant);
     EXPECT_EQ(command.duty, "exports");
     EXPECT_EQ(command.epoch, 41u);
     EXPECT_EQ(command.holder, key_of("m-2"));
     EXPECT_EQ(command.instance, 77u);
-    EXPECT_EQ(command.why, "its turn");
-    EXPECT_FALSE(command.placed);
+    EXPECT_EQ(command.reason, "its turn");
+    EXPECT_FALSE(command.pinned);
 }
 
 TEST_F(StoredVoter, VotesAgainWithAllThatWasCommitted)
--- a/tests/fleet_store.cpp
+++ b/tests/fleet_store.cpp
@@ -108,7 +108,7 @@
         const auto opened = open(bytes, kept);
         ++seen[to_string(opened)];
         // What can't be told from half a record at the end knows of fewer records: other voters tell.
-        if (opened == OpenResult::intact || opened == OpenResult::fresh) ++wrong;
+        if (opened == OpenResult::intact || opened == OpenResult::created) ++wrong;
         if (opened == OpenResult::truncated && kept.writes >= said.back().kept.writes) ++wrong;
     }
     std::printf("each bit turned: %zu wrong\n", wrong);
