--- a/src/fleet/consensus/raft_codec.cpp
+++ b/src/fleet/consensus/raft_codec.cpp
@@ -9,7 +9,7 @@
 
 using namespace raft_wire;
 
-// ---- out of the library's form ----
+// ---- libraft to wire format ----
 
 VoteRequest to_wire(const raft_request_vote& message)
 {
@@ -50,7 +50,7 @@
     return {message.term, message.last_log_index, message.last_log_term};
 }
 
-// ---- into the library's form ----
+// ---- wire format to libraft ----
 
 bool from_wire(const VoteRequest& wire, raft_message& into)
 {
--- a/src/fleet/consensus/raft_codec.h
+++ b/src/fleet/consensus/raft_codec.h
@@ -1,4 +1,4 @@
-// Between the consensus library's messages and the bytes that voters exchange.
+// Conversion between libraft's messages and the bytes that voters exchange.
 #pragma once
 
 #include <optional>
@@ -10,14 +10,14 @@
 namespace firtide::fleet
 {
 
-// Nothing where the message is of a kind that is not sent.
+// Returns no value for a message type that is never sent.
 std::optional<std::string> encode_raft_message(const raft_message& message);
 
-// Fills all but the sender. What the message points to belongs to the library once it has received it.
-// Returns false where the bytes are no message; nothing has been allocated then.
+// Fills in every field except the sender. libraft owns the memory that the message points to once it has
+// received the message. Returns false, with nothing allocated, if the bytes are not a valid message.
 [[nodiscard]] bool decode_raft_message(std::string_view bytes, raft_message& into);
 
-// Whether the bytes are a message of a leader that brings its log.
+// Whether the bytes are a message with which a leader replicates its log: append entries or install snapshot.
 [[nodiscard]] bool is_replication_message(std::string_view bytes);
 
 }  // namespace firtide::fleet
--- a/src/fleet/consensus/raft_environment.cpp
+++ b/src/fleet/consensus/raft_environment.cpp
@@ -180,7 +180,7 @@
     return std::uniform_int_distribution<int>(least, most)(environment_of(io).random_);
 }
 
-// In memory that the library releases.
+// The snapshot is allocated with libraft's allocator; libraft releases it.
 raft_snapshot* RaftEnvironment::stored_snapshot() const
 {
     const LogSnapshot& stored = store_.state().snapshot;
--- a/src/fleet/consensus/raft_environment.h
+++ b/src/fleet/consensus/raft_environment.h
@@ -1,6 +1,6 @@
-// What libraft runs on: a voter's disk, network, clock and random numbers, behind the library's raft_io. The
-// library calls back into this object; completions that it wants later are queued and run by
-// run_completions().
+// The environment that libraft runs in: implements the library's raft_io on a voter's disk, network, clock
+// and random number generator. libraft calls back into this object; the completions that it expects later are
+// queued and invoked by run_completions().
 #pragma once
 
 #include <deque>
@@ -17,8 +17,8 @@
 class RaftEnvironment
 {
   public:
-    // Messages to other voters are added to `effects`; `writes` is filled in by the voter. Both must outlive
-    // the environment.
+    // Messages to other voters are appended to `effects`, without their `writes`, which the voter fills in.
+    // `store` and `effects` must outlive the environment.
     RaftEnvironment(Store& store, std::vector<VoterEffect>& effects, uint64_t seed);
     RaftEnvironment(const RaftEnvironment&) = delete;
     RaftEnvironment& operator=(const RaftEnvironment&) = delete;
@@ -26,10 +26,10 @@
     raft_io* io() { return &io_; }
     void set_now(TimePoint now) { now_ = now; }
 
-    // Lets the library look at the clock.
+    // Lets libraft check its timeouts.
     void tick();
-    // Hands a message to the library. `configuration` names its sender; bytes that are no message change
-    // nothing.
+    // Delivers a message to libraft. `configuration` is used to look up the sender's address. Invalid
+    // messages are ignored.
     void receive(const raft_configuration& configuration, DiskId from, std::string_view bytes);
     void run_completions();
     [[nodiscard]] bool has_completions() const { return !completions_.empty(); }
@@ -41,7 +41,7 @@
     }
     static int to_status(bool success) { return success ? 0 : RAFT_IOERR; }
 
-    // The library's callbacks.
+    // ---- raft_io callbacks ----
     static int init(raft_io* io, raft_id id, const char* address);
     static void close(raft_io* io, raft_io_close_cb done);
     static int load(raft_io* io, raft_term* term, raft_id* vote, raft_snapshot** snapshot, raft_index* first,
--- a/src/fleet/consensus/raft_library.h
+++ b/src/fleet/consensus/raft_library.h
@@ -1,4 +1,4 @@
-// libraft's header, which says nothing of C++, and what is needed to hand memory to the library.
+// libraft's header, which lacks extern "C", and helpers that pass memory to the library.
 #pragma once
 
 extern "C" {
@@ -15,15 +15,15 @@
 namespace firtide::fleet::raft_library
 {
 
-// Memory that the library releases.
+// Allocates a copy that libraft releases.
 raft_buffer copy_buffer(std::string_view bytes);
-// One batch for all entries, as the library wants them. Null where there are none.
+// Copies all entries into one batch, as libraft requires. Returns null if there are none.
 raft_entry* copy_entries(const std::vector<LogEntry>& entries);
 
 std::string to_string(const raft_buffer& buffer);
 
-// Voters and other servers, out of and into the library's form. `into` is initialised; the library releases
-// it.
+// Converts the servers of a configuration from and to libraft's form. fill_configuration() initialises
+// `into`, which libraft releases.
 std::vector<RaftServer> servers_of(const raft_configuration& configuration);
 void fill_configuration(raft_configuration& into, const std::vector<RaftServer>& servers);
 
--- a/src/fleet/consensus/raft_wire.h
+++ b/src/fleet/consensus/raft_wire.h
@@ -1,5 +1,5 @@
-// Messages between voters, as they go over the wire inside a RaftMessage. They follow the consensus library's
-// own messages field by field; their encoding must not change.
+// Messages between voters, as they are sent inside a RaftMessage. They mirror libraft's messages field by
+// field; their encoding must not change.
 #pragma once
 
 #include <string>
@@ -11,11 +11,12 @@
 namespace firtide::fleet
 {
 
-// A member of the consensus configuration. Its address names the fleet's member and its disk: "ID/DISK".
+// A server of the consensus configuration. Its address consists of the member's id and the id of its disk:
+// "ID/DISK".
 struct RaftServer {
     DiskId disk = 0;
     std::string address;
-    int role = 0;  // as the library numbers them
+    int role = 0;  // libraft's role number
     MSGPACK_DEFINE(disk, address, role)
 };
 
@@ -33,7 +34,7 @@
 struct VoteResponse {
     Term term = 0;
     bool granted = false;
-    int pre_vote = 0;  // a tribool of the library: false, true, unknown
+    int pre_vote = 0;  // libraft's tribool: false, true, unknown
     MSGPACK_DEFINE(term, granted, pre_vote)
 };
 struct Entry {
@@ -71,7 +72,7 @@
     MSGPACK_DEFINE(term, last_index, last_term)
 };
 struct Envelope {
-    uint16_t kind = 0;  // as the library numbers its messages
+    uint16_t kind = 0;  // libraft's message type
     std::string body;
     MSGPACK_DEFINE(kind, body)
 };
--- a/src/fleet/consensus/store.cpp
+++ b/src/fleet/consensus/store.cpp
@@ -54,9 +54,11 @@
     file_bytes_ = text->size() - rest->size();
     synced_writes_ = state_.writes;
     if (rest->empty()) return OpenResult::intact;
-    // A complete record behind the bad place shows that this was no end in the middle of a write.
+    // A complete record after the invalid one shows that the file was damaged rather than cut short during a
+    // write.
     if (store_format::contains_record(rest->substr(1))) return OpenResult::damaged;
-    // It must not count up to what other voters have seen, in case what was cut off had been told after all.
+    // Does not increment the write count: it must not catch up with the count that other voters have seen, in
+    // case the removed record had been acknowledged after all.
     return rewrite(WriteCount::keep) ? OpenResult::truncated : OpenResult::failed;
 }
 
@@ -110,7 +112,7 @@
 bool Store::install_snapshot(LogSnapshot snapshot, LogIndex trailing)
 {
     const LogIndex keep_from = snapshot.index > trailing ? snapshot.index - trailing + 1 : 1;
-    // Entries stay only where they are those of the log that the snapshot was made of.
+    // Keeps entries only if they belong to the same log as the snapshot.
     const bool same_log = snapshot.index >= state_.first_index && snapshot.index <= state_.last_index() &&
                           state_.entries[snapshot.index - state_.first_index].term == snapshot.term;
     if (!same_log) {
@@ -147,7 +149,7 @@
 bool Store::rewrite(WriteCount write_count)
 {
     if (failed()) return false;
-    // The count of writes goes on from where it was, though the file has fewer records now.
+    // The write count continues from its last value even though the file now has fewer records.
     const uint64_t records = compacted_record_count();
     const uint64_t added = write_count == WriteCount::increment ? 1 : 0;
     state_.writes = std::max(state_.writes + added, records);
--- a/src/fleet/consensus/store_format.cpp
+++ b/src/fleet/consensus/store_format.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-constexpr size_t header_bytes = sizeof(uint32_t) + sizeof(uint64_t);  // length and checksum
+constexpr size_t header_bytes = sizeof(uint32_t) + sizeof(uint64_t);  // payload length and checksum
 constexpr size_t max_record_bytes = 64 << 20;
 
 enum class RecordKind : uint8_t { owner = 1, term, entry, truncate, snapshot };
@@ -21,7 +21,7 @@
     uint32_t version = store_format::version;
     std::string fleet, member;
     DiskId disk = 0;
-    uint64_t writes = 0;  // before the records that follow, as this file has them
+    uint64_t writes = 0;  // write count before the records that follow in this file
     MSGPACK_DEFINE(kind, version, fleet, member, disk, writes)
 };
 struct StoredTerm {
@@ -50,7 +50,7 @@
     std::string configuration;
     LogIndex configuration_index = 0;
     std::string data;
-    LogIndex first_index = 0;  // of the entries that follow
+    LogIndex first_index = 0;  // first index of the entries that follow
     MSGPACK_DEFINE(kind, index, term, configuration, configuration_index, data, first_index)
 };
 
@@ -178,7 +178,7 @@
 {
     try {
         return apply_or_throw(payload, state);
-    } catch (const std::exception&) {  // bytes that are no such record
+    } catch (const std::exception&) {  // the payload is not a valid record
         return false;
     }
 }
--- a/src/fleet/consensus/store_format.h
+++ b/src/fleet/consensus/store_format.h
@@ -1,5 +1,5 @@
-// The stored form of a voter's log: records of MessagePack, each with its length and checksum. Stored data of
-// earlier versions has to stay readable: fields are only ever added.
+// File format of a voter's store: MessagePack records, each preceded by its length and checksum. Files of
+// earlier versions must stay readable, so fields may only be added.
 #pragma once
 
 #include <deque>
@@ -14,37 +14,37 @@
 
 struct LogEntry {
     Term term = 0;
-    uint16_t kind = 0;  // as the consensus library numbers them
+    uint16_t kind = 0;  // libraft's entry type
     std::string bytes;
 
     bool operator==(const LogEntry&) const = default;
 };
 
-// All that was committed up to an index, in the place of the entries.
+// The committed state up to an index; replaces the entries up to there.
 struct LogSnapshot {
-    LogIndex index = 0;  // zero: there is none
+    LogIndex index = 0;  // zero: no snapshot
     Term term = 0;
-    std::string configuration;  // encoded; in force at configuration_index
+    std::string configuration;  // encoded; took effect at configuration_index
     LogIndex configuration_index = 0;
     std::string data;
 
     bool operator==(const LogSnapshot&) const = default;
 };
 
-// What a voter must not forget.
+// The state that a voter must preserve across restarts.
 struct PersistentState {
     Term term = 0;
-    DiskId vote = 0;  // in that term; zero: for nobody
+    DiskId vote = 0;  // in this term; zero: none
     LogSnapshot snapshot;
-    LogIndex first_index = 1;  // of the entries
+    LogIndex first_index = 1;  // index of the first of `entries`
     std::deque<LogEntry> entries;
-    uint64_t writes = 0;  // records that this disk has ever taken; other voters can have seen no more of it
+    uint64_t writes = 0;  // records ever written to this disk; other voters cannot have seen more
 
     [[nodiscard]] LogIndex last_index() const { return first_index + entries.size() - 1; }
     bool operator==(const PersistentState&) const = default;
 };
 
-// Whose disk it is.
+// The member and fleet that the store belongs to, and the id of its disk.
 struct StoreOwner {
     std::string fleet, member;
     DiskId disk = 0;
@@ -57,7 +57,7 @@
 
 inline constexpr uint32_t version = 1;
 
-// Each encodes one record, ready to be appended.
+// Each encodes one record with its header, ready to be appended to the file.
 std::string owner_record(const StoreOwner& owner, uint64_t writes);
 std::string term_record(Term term, DiskId vote);
 std::string entry_record(LogIndex index, const LogEntry& entry);
@@ -69,18 +69,19 @@
     StoreOwner owner;
     uint64_t writes = 0;
 };
-// Nothing where the payload is no owner's record.
+// Returns no value if the payload is not an owner record.
 std::optional<OwnerRecord> decode_owner(std::string_view payload);
 
-// The payload of the record that the bytes begin with; empty where there is no complete one.
+// Returns the payload of the record at the start of the bytes; empty if that record is incomplete or
+// corrupted.
 std::string_view payload_at(std::string_view bytes);
-// The bytes of a record with such a payload.
+// Size of a record with this payload, including its header.
 size_t record_size(std::string_view payload);
-// Whether a complete record stands anywhere in the bytes.
+// Whether the bytes contain a complete record at any offset.
 bool contains_record(std::string_view bytes);
 
-// Applies a record to the state that the records before it have made. Returns false where it does not follow
-// from that state, or is no record.
+// Applies a record to the state built from the preceding records. Returns false if it is not a valid record
+// or does not fit that state.
 [[nodiscard]] bool apply(std::string_view payload, PersistentState& state);
 
 }  // namespace store_format
--- a/src/fleet/consensus/voter.cpp
+++ b/src/fleet/consensus/voter.cpp
@@ -8,7 +8,7 @@
 {
 
 constexpr unsigned snapshot_threshold = 512;  // entries after which the log is compacted
-constexpr unsigned snapshot_trailing = 64;    // entries kept before a snapshot, for followers that are behind
+constexpr unsigned snapshot_trailing = 64;    // entries kept before a snapshot for followers that lag behind
 constexpr int64_t microseconds_per_millisecond = 1000;
 
 std::string address_of(const VoterConfig& voter) { return voter.member + "/" + std::to_string(voter.disk); }
@@ -30,7 +30,7 @@
     }
 }
 
-// A request to the library: lives until the library has said what became of it.
+// A request to libraft; it lives until libraft calls complete().
 template <class Request>
 struct PendingRequest {
     Request request{};
@@ -93,7 +93,7 @@
     Core(const Core&) = delete;
     Core& operator=(const Core&) = delete;
 
-    // ---- the library's callbacks ----
+    // ---- raft_fsm callbacks ----
 
     static int apply(raft_fsm* fsm, const raft_buffer* entry, void** result)
     {
@@ -156,7 +156,7 @@
         return false;
     }
 
-    // The library keeps the request where it has accepted it.
+    // libraft owns an accepted request until it completes; a rejected one is reported as failed.
     void keep_or_fail(std::unique_ptr<PendingChange> request, int error)
     {
         if (error)
@@ -183,7 +183,7 @@
         core.reported = state;
         core.effects.emplace_back(std::move(state));
     }
-    // What is sent rests on what was written meanwhile.
+    // Messages may depend on anything that has been written, so they are only sent once that is synced.
     if (!core.store.sync())
         std::erase_if(core.effects,
                       [](const VoterEffect& effect) { return std::get_if<SendRaftMessage>(&effect); });
@@ -234,7 +234,7 @@
             core_->effects.emplace_back(ProposalResult{id, false, raft_strerror(error)});
             return;
         }
-        (void)request.release();  // the library's until it completes
+        (void)request.release();  // owned by libraft until it completes
     });
 }
 
--- a/src/fleet/consensus/voter.h
+++ b/src/fleet/consensus/voter.h
@@ -1,7 +1,8 @@
-// One voter of the consensus: libraft, whose network, clock, random numbers and disk are this object's. Calls
-// in, effects out; nothing is sent before what it promises is on the disk.
+// One voter: drives libraft and provides its network, clock, random numbers and disk. It does no network I/O:
+// every call returns the effects to carry out. Messages are returned only after the state that they depend on
+// has been synced to the disk.
 //
-// Used by one thread, which may block on the disk.
+// Used by a single thread, which may block on the disk.
 #pragma once
 
 #include <functional>
@@ -19,23 +20,23 @@
 
 enum class RaftRole : uint8_t { none, follower, candidate, leader };
 
-// One server of the consensus configuration.
+// A server of the consensus configuration.
 struct VoterConfig {
     DiskId disk = 0;
-    std::string member;  // id
+    std::string member;  // member id
     bool is_voter = false;
 
     bool operator==(const VoterConfig&) const = default;
 };
 
-// Why a voter does not take part. The text is for the log and for operators.
+// The reason why a voter does not take part, as text for the log and for operators.
 struct VoterFault {
     std::string text;
 
     bool operator==(const VoterFault&) const = default;
 };
 
-// How a voter stands among the others.
+// The voter's view of the consensus.
 struct VoterState {
     RaftRole role = RaftRole::none;
     Term term = 0;
@@ -51,26 +52,26 @@
 struct SendRaftMessage {
     DiskId to = 0;
     std::string bytes;
-    uint64_t writes = 0;  // of the sender's disk when this was said
+    uint64_t writes = 0;  // synced write count of the sender's disk when the message is returned
 };
-// Committed by a majority, in the order of the log; never taken back.
+// An entry that a majority has committed. Entries are returned in log order and are never rolled back.
 struct EntryCommitted {
     std::string bytes;
 };
-// All that was committed up to now, in place of what was known.
+// The state machine was replaced by a snapshot of all entries committed so far.
 struct StateRestored {
     std::string bytes;
 };
-// What became of a proposal. Not committed: it may yet be.
+// The outcome of a proposal. If it is not committed, it may still be committed later.
 struct ProposalResult {
     uint64_t id = 0;
     bool committed = false;
     std::string error;
 };
-// VoterState is returned whenever it has changed.
+// A VoterState is returned whenever the state has changed.
 using VoterEffect = std::variant<SendRaftMessage, EntryCommitted, StateRestored, ProposalResult, VoterState>;
 
-// What the log's entries make, in the voter's own copy.
+// The replicated state that committed log entries are applied to; each voter has its own copy.
 class StateMachine
 {
   public:
@@ -81,7 +82,8 @@
 };
 
 struct VoterTiming {
-    Duration election_timeout = seconds(0.4);  // timeout: from one to two times it
+    // Lower bound: the actual timeout is randomised between one and two times this value.
+    Duration election_timeout = seconds(0.4);
     Duration heartbeat_interval = seconds(0.1);
 };
 
@@ -94,22 +96,22 @@
     Voter(const Voter&) = delete;
     Voter& operator=(const Voter&) = delete;
 
-    // Writes the first entry of a new log: who votes. Before start(), and only where nothing is stored.
-    // Returns false where that fails.
+    // Writes the first entry of a new log, which lists the voters. Must be called before start(), on an empty
+    // store. Returns false on failure.
     [[nodiscard]] bool bootstrap(const std::vector<VoterConfig>& voters);
 
     [[nodiscard]] std::vector<VoterEffect> start(TimePoint now);
-    [[nodiscard]] std::vector<VoterEffect> tick(TimePoint now);  // every 20 ms or so
-    // Bytes that are no message change nothing.
+    [[nodiscard]] std::vector<VoterEffect> tick(TimePoint now);  // expected about every 20 ms
+    // Invalid messages are ignored.
     [[nodiscard]] std::vector<VoterEffect> receive(TimePoint now, DiskId from, std::string_view bytes);
     [[nodiscard]] std::vector<VoterEffect> propose(TimePoint now, uint64_t id, const std::string& bytes);
 
-    // Changes of the configuration, one at a time; each ends with a ProposalResult. A server that is not in
-    // the configuration is added without a vote at first; one that is gets its vote.
+    // Configuration changes: one at a time, each completed by a ProposalResult. add_voter() adds an unknown
+    // server without a vote, and gives a known server its vote.
     [[nodiscard]] std::vector<VoterEffect> add_voter(TimePoint now, uint64_t id, const VoterConfig& voter);
     [[nodiscard]] std::vector<VoterEffect> remove_voter(TimePoint now, uint64_t id, DiskId disk);
 
-    // Hands leadership to any other voter. Does nothing where this one does not lead.
+    // Transfers leadership to any other voter. Has no effect unless this voter is the leader.
     [[nodiscard]] std::vector<VoterEffect> step_down(TimePoint now);
 
   private:
--- a/src/fleet/consensus/voter_agent.cpp
+++ b/src/fleet/consensus/voter_agent.cpp
@@ -12,13 +12,13 @@
 
 constexpr Duration report_interval = seconds(0.25);
 constexpr Duration report_validity = seconds(2);
-constexpr Duration reopen_interval = seconds(2);  // after a failure of the disk
+constexpr Duration reopen_interval = seconds(2);  // after a disk error
 
 bool is_known_stage(uint8_t stage) { return stage <= static_cast<uint8_t>(VoterStage::refused); }
 
 }  // namespace
 
-// The log's entries are lease commands.
+// Applies log entries, which are lists of lease commands, to the lease table.
 class VoterAgent::LeaseStateMachine : public StateMachine
 {
   public:
@@ -112,7 +112,7 @@
     process_effects(voter_->start(now));
 }
 
-// The voter with the lowest key bootstraps a new log: never two of them.
+// Only the voter with the lowest key bootstraps a new log, so that two voters never do.
 bool VoterAgent::is_bootstrap_voter() const
 {
     const MemberKey own = config_.members[config_.self].key;
@@ -141,7 +141,7 @@
         fault_ = VoterFault{"its disk fails: " + (store_->error() ? store_->error()->text() : "")};
         if (now - failed_at_ > reopen_interval) open_store(now);
     } else if (stage_ == VoterStage::empty && store_->state().last_index() > 0) {
-        stage_ = VoterStage::voting;  // a leader has sent its log
+        stage_ = VoterStage::voting;  // a leader has replicated its log to this voter
         fault_.reset();
     } else if (stage_ == VoterStage::empty && is_bootstrap_voter() && all_disks_empty(now)) {
         bootstrap_log(now);
@@ -159,8 +159,8 @@
     stage_ = VoterStage::voting;
 }
 
-// A disk that was restored from a copy, or whose last writes were lost, could vote twice in a term. Other
-// voters have seen more writes of it than it has itself.
+// A disk that was restored from a copy, or that lost its last writes, could vote twice in one term. It is
+// recognised by a write count below the one that other voters have seen.
 void VoterAgent::check_disk(TimePoint now)
 {
     size_t answers = 0;
@@ -192,7 +192,7 @@
     peer_reports_[received.from] = {report, now};
     uint64_t& writes = highest_seen_writes_[report.disk];
     writes = std::max(writes, report.writes);
-    // What a third voter has seen counts as well: the one that saw it may be gone.
+    // Counts seen by other voters are merged as well: the voter that saw a count first may no longer exist.
     for (const SeenDisk& seen : report.seen_disks)
         highest_seen_writes_[seen.disk] = std::max(highest_seen_writes_[seen.disk], seen.writes);
     return true;
@@ -288,7 +288,7 @@
         } else if (auto* result = std::get_if<ProposalResult>(&effect)) {
             effects_.emplace_back(std::move(*result));
         } else if (leases_->table().version() != reported_table_version_) {
-            // Reported before the result of the proposal that has changed it.
+            // Returned before the result of the proposal that changed the table.
             reported_table_version_ = leases_->table().version();
             effects_.emplace_back(LeaseTableUpdated{leases_->table()});
         }
@@ -304,7 +304,7 @@
     report.writes = store_->synced_writes();
     for (const auto& [disk, writes] : highest_seen_writes_) report.seen_disks.push_back({disk, writes});
     effects_.emplace_back(BroadcastDiskReport{std::move(report)});
-    // Until the log has grown beyond its first entry, there may be voters that have not received that.
+    // As long as the log holds only its first entry, some voters may not have received that entry.
     const PersistentState& state = store_->state();
     const bool only_bootstrapped = state.last_index() == 1 && !state.snapshot.index;
     if (stage_ != VoterStage::voting || !is_bootstrap_voter() || !only_bootstrapped) return;
@@ -313,7 +313,7 @@
     if (!config.voters.empty()) effects_.emplace_back(BroadcastBootstrapConfig{std::move(config)});
 }
 
-// Goes on with the next step of each promotion whose last one has succeeded.
+// Starts the next step of each promotion whose last step succeeded.
 void VoterAgent::continue_promotions(TimePoint now)
 {
     std::vector<std::pair<uint64_t, Promotion>> succeeded;
@@ -333,7 +333,7 @@
     const DiskId previous_disk = previous_disk_of(promotion.voter);
     const bool promotes = promotion.step == Promotion::Step::add;
     if (!promotes && !previous_disk) return;
-    // The operator hears of the last step alone.
+    // Only the result of the last step is reported to the operator.
     std::erase_if(effects_, [id](const VoterAgentEffect& effect) {
         const auto* result = std::get_if<ProposalResult>(&effect);
         return result && result->id == id;
@@ -344,7 +344,7 @@
                              : voter_->remove_voter(now, id, previous_disk));
 }
 
-// The disk that a member voted with before; zero: none.
+// The disk that the member voted with before, or zero.
 DiskId VoterAgent::previous_disk_of(const VoterConfig& voter) const
 {
     DiskId previous_disk = 0;
--- a/src/fleet/consensus/voter_agent.h
+++ b/src/fleet/consensus/voter_agent.h
@@ -1,7 +1,7 @@
-// Decides whether and as whom this member votes: it opens the disk, checks with the other voters that the
-// disk is not older than they have seen it, bootstraps a new log, and runs the voter.
+// Manages this member's voter: opens its disk, checks the other voters' reports for a newer state of that
+// disk, bootstraps a new log, and runs the voter.
 //
-// Calls in, effects out. Used by one thread, which may block on the disk.
+// Calls return the effects to carry out. Used by a single thread, which may block on the disk.
 #pragma once
 
 #include <map>
@@ -27,7 +27,7 @@
     MemberIndex from = 0;
     BootstrapConfig config;
 };
-// A change of who votes, from an operator.
+// An operator's request to add or remove a voter.
 struct VoterConfigChange {
     enum class Kind : uint8_t { add, remove };
 
@@ -40,14 +40,14 @@
 
 // ---- effects ----
 
-// To all other voters.
+// Sent to all other voters.
 struct BroadcastDiskReport {
     DiskReport report;
 };
 struct BroadcastBootstrapConfig {
     BootstrapConfig config;
 };
-// The lease table as committed.
+// The lease table after a committed change.
 struct LeaseTableUpdated {
     LeaseTable table;
 };
@@ -59,7 +59,7 @@
 
     bool operator==(const VoterStatus&) const = default;
 };
-// VoterStatus is returned whenever it has changed.
+// A VoterStatus is returned whenever it has changed.
 using VoterAgentEffect = std::variant<SendRaftMessage, BroadcastDiskReport, BroadcastBootstrapConfig,
                                       LeaseTableUpdated, ProposalResult, VoterStatus>;
 
@@ -73,7 +73,7 @@
     VoterAgent& operator=(const VoterAgent&) = delete;
 
     [[nodiscard]] std::vector<VoterAgentEffect> start(TimePoint now);
-    [[nodiscard]] std::vector<VoterAgentEffect> tick(TimePoint now);  // every 20 ms or so
+    [[nodiscard]] std::vector<VoterAgentEffect> tick(TimePoint now);  // expected about every 20 ms
     [[nodiscard]] std::vector<VoterAgentEffect> handle(TimePoint now, const VoterAgentCall& call);
 
   private:
@@ -82,7 +82,7 @@
         DiskReport report;
         TimePoint received;
     };
-    // Adding a voter takes up to three changes of the configuration.
+    // Adding a voter takes up to three configuration changes.
     struct Promotion {
         enum class Step : uint8_t { add, promote, remove_previous_disk };
 
@@ -90,7 +90,7 @@
         Step step = Step::add;
     };
 
-    // Each returns false where the call is ignored.
+    // Each returns false if the call is ignored.
     bool on(TimePoint now, const DiskReportReceived& received);
     bool on(TimePoint now, const BootstrapReceived& received);
     bool on(TimePoint now, const RaftMessage& message);
@@ -128,9 +128,9 @@
     VoterStage stage_ = VoterStage::empty;
     std::optional<VoterFault> fault_;
     std::map<MemberIndex, PeerReport> peer_reports_;
-    std::map<DiskId, uint64_t> highest_seen_writes_;  // of each disk, by whoever told of it
+    std::map<DiskId, uint64_t> highest_seen_writes_;  // by disk, as seen by any voter
     TimePoint last_report_, opened_at_, failed_at_;
-    std::optional<uint64_t> reported_table_version_;  // version
+    std::optional<uint64_t> reported_table_version_;  // version of the table that was returned last
     VoterState raft_state_;
     std::optional<VoterStatus> reported_status_;
     std::map<uint64_t, Promotion> promotions_;
--- a/src/fleet/lease/fencing_guard.h
+++ b/src/fleet/lease/fencing_guard.h
@@ -1,4 +1,5 @@
-// The receiver's side of fencing: rejects effects of a lease that another holder has since been granted.
+// The receiver's side of fencing: rejects effects made under a lease that has since been granted to another
+// holder.
 #pragma once
 
 #include <cstdint>
@@ -10,18 +11,18 @@
 namespace firtide::fleet
 {
 
-// Keeps the newest (epoch, sequence number) of each duty. Not thread-safe.
+// Tracks the highest (epoch, sequence number) of each duty. Not thread-safe.
 class FencingGuard
 {
   public:
-    // Accepts an effect that is newer than every one accepted before it, and records it. Returns false for an
-    // effect of a lower epoch, and for one that has been accepted already.
+    // Accepts and records an effect that is newer than all accepted before it. Returns false for an effect
+    // with a lower epoch and for one that was already accepted.
     [[nodiscard]] bool accept(const std::string& duty, Epoch epoch, uint64_t number);
 
     // Records that a duty has reached this epoch, without an effect.
     void observe_epoch(const std::string& duty, Epoch epoch) { (void)accept(duty, epoch, 0); }
 
-    // The newest epoch seen of a duty; zero where none was.
+    // The highest epoch seen of a duty, or zero.
     [[nodiscard]] Epoch epoch(const std::string& duty) const;
 
   private:
--- a/src/fleet/lease/lease_client.cpp
+++ b/src/fleet/lease/lease_client.cpp
@@ -58,7 +58,7 @@
 
 void LeaseClient::send_renew_request(TimePoint now)
 {
-    // A leader that does not answer may have lost its term: another voter may know better.
+    // A leader that does not answer may no longer be the leader: asks another voter.
     if (!last_renewal_answered_) leader_.reset();
     const MemberIndex to = leader_ ? *leader_ : voters_[next_voter_++ % voters_.size()];
     ++last_nonce_;
@@ -66,7 +66,7 @@
     if (pending_renewals_.size() > max_pending_renewals) pending_renewals_.pop_front();
     sends_.push_back({to, renew_request()});
     last_renewal_answered_ = false;
-    // Jitter, so that hundreds of members don't ask in step.
+    // Jitter keeps hundreds of members from sending their renewals at the same time.
     const double jitter = 0.8 + 0.4 * uniform_random();
     next_renewal_ = now + config_.lease.length * (lease_timing::retry_interval * jitter);
 }
@@ -149,7 +149,7 @@
     const TimePoint lease_start = lease_end_ - config_.lease.holder_duration();
     next_renewal_ =
         std::max(now, lease_start + config_.lease.length * (lease_timing::renewal_interval * jitter));
-    // The leader grants only to members that are known to receive its answers, so the first answer is
+    // The leader grants leases only to members that are known to receive its answers, so the first answer is
     // acknowledged at once.
     if (first_answer) next_renewal_ = now;
     return true;
@@ -160,12 +160,12 @@
     std::set<std::string> listed;
     for (const LeaseRecord& lease : response.leases) {
         if (lease.holder != own_key_) continue;
-        // One of an earlier instance of this member has to run out by itself.
+        // A lease of an earlier instance of this member has to expire.
         if (lease.instance != instance_) continue;
         listed.insert(lease.duty);
         accept_lease(lease, response.term);
     }
-    // Without a nonce the leader lists what is new, not all that is held.
+    // Without a nonce the response lists new grants, not everything that is held.
     if (!response.nonce) return;
     std::erase_if(unreported_, [&](const auto& reported) { return !listed.count(reported.first); });
     for (const auto& [duty, epoch] : std::map(held_))
@@ -182,7 +182,7 @@
                         "granted by the leader of term " + std::to_string(term), lease_end_});
 }
 
-// An epoch that was given up is never taken back, however late a message comes.
+// An epoch that was given up is never accepted again, however late a message arrives.
 bool LeaseClient::must_return(const LeaseRecord& lease) const
 {
     if (departing_ || !config_.duty_of(lease.duty)) return true;
@@ -193,7 +193,7 @@
 void LeaseClient::return_lease(const LeaseRecord& lease)
 {
     given_up_[lease.duty] = unreported_[lease.duty] = std::max(lease.epoch, given_up_[lease.duty]);
-    // Also where it was sent before: that message may have been lost.
+    // Sent again even if it was sent before, because that message may have been lost.
     if (leader_) sends_.push_back({*leader_, LeaseRelease{lease.duty, lease.epoch, instance_}});
 }
 
--- a/src/fleet/lease/lease_client.h
+++ b/src/fleet/lease/lease_client.h
@@ -1,12 +1,13 @@
-// The member's side of leases. Each member renews one lease that covers every duty it holds.
+// The member's side of leases. Each member renews a single lease that covers every duty it holds.
 //
-// The member asks the leader, which answers once a majority of the voters has confirmed that it still leads.
-// The lease counts from the moment of asking, by the member's own clock, shortened by the stated clock drift;
-// the leader counts from the arrival of the request. So a duty is held by nobody any more before it can be
-// granted again, whoever stalls or is cut off, as long as clocks keep to the stated drift. Where they don't,
-// receivers reject effects by epoch (FencingGuard).
+// The member sends a renewal to the leader, which answers once a majority of the voters has confirmed that it
+// is still the leader. The member counts the lease from the time it sent the request, by its own clock, and
+// shortens it by the configured clock drift; the leader counts from the arrival of the request. The holder's
+// lease is therefore over before the duty can be granted again, even if a member stalls or is partitioned, as
+// long as clocks stay within the configured drift. If they do not, receivers reject stale effects by epoch
+// (FencingGuard).
 //
-// No I/O and no clock of its own: every call carries the time. Not thread-safe.
+// Does no I/O and reads no clock: every call is given the time. Not thread-safe.
 #pragma once
 
 #include <deque>
@@ -24,7 +25,7 @@
 namespace firtide::fleet
 {
 
-// A duty that this member has gained or lost.
+// A duty that this member gained or lost.
 struct LeaseChange {
     enum class Kind : uint8_t { gained, lost };
 
@@ -32,7 +33,7 @@
     std::string duty;
     Epoch epoch = 0;
     std::string reason;
-    TimePoint lease_end;  // lost: no later than this, by this member's clock, the lease was over
+    TimePoint lease_end;  // by this member's clock; lost: the lease was over no later than this
 };
 
 class LeaseClient
@@ -42,50 +43,51 @@
     LeaseClient(const FleetConfig& config, InstanceId instance, uint64_t seed);
 
     void start(TimePoint now);
-    // Epochs that were known before this start: a lease at one of them is not accepted again.
+    // Epochs known from before this start: a lease at one of them is not accepted again.
     void restore_epochs(const std::vector<SeenEpoch>& epochs);
-    // Renews when that is due, and gives up what was not renewed in time. To be called every 50 ms or so.
+    // Sends a renewal when it is due and drops duties whose lease has expired. Expected about every 50 ms.
     void tick(TimePoint now);
 
     void on_renew_response(TimePoint now, MemberIndex from, const LeaseRenewResponse& response);
     void on_redirect(TimePoint now, MemberIndex from, const LeaderRedirect& redirect);
     void on_revoke(TimePoint now, MemberIndex from, const LeaseRevoke& revoke);
-    // What a voter or a ping says of who leads. Of an older term, or zero, it changes nothing.
+    // A hint from a voter or a ping. Ignored if the leader is zero or the term is old.
     void on_leader_hint(MemberKey leader, Term term);
 
-    // Duties that are granted on request only, by their family (the part of a duty's name before the dot).
+    // Requests a family of duties that are granted only on request. The family is the part of a duty's name
+    // before the dot.
     void request_family(const std::string& family);
     void cancel_family_request(const std::string& family);
 
-    // Gives one duty back.
+    // Releases one duty.
     void release(TimePoint now, const std::string& duty, const std::string& reason);
-    // Gives everything back and asks for nothing any more.
+    // Releases all duties and requests no more.
     void depart(TimePoint now);
 
-    // The check that stands before each effect of a duty, with a clock read for it.
+    // Must be checked before each effect of a duty, with a freshly read clock.
     [[nodiscard]] bool holds(TimePoint now, const std::string& duty, Epoch epoch) const;
-    // The epoch at which this member holds a duty now; nothing where it doesn't.
+    // The epoch at which this member holds a duty now, if it does.
     [[nodiscard]] std::optional<Epoch> held_epoch(TimePoint now, const std::string& duty) const;
     [[nodiscard]] std::map<std::string, Epoch> held_duties(TimePoint now) const;
-    // What is left of the lease; zero once it is over.
+    // Remaining time of the lease; zero once it is over.
     [[nodiscard]] Duration time_left(TimePoint now) const
     {
         return now < lease_end_ ? lease_end_ - now : Duration{};
     }
-    // Whether a majority has confirmed the lease lately.
+    // Whether the last lease that a majority confirmed is still running.
     [[nodiscard]] bool is_lease_valid(TimePoint now) const { return now < lease_end_; }
 
-    // The leader's table, as it was sent last.
+    // The leader's lease table, as last received.
     [[nodiscard]] const LeaseTable& table() const { return table_; }
     [[nodiscard]] Term term() const { return term_; }
-    // Who leads, as far as this member knows.
+    // The leader as far as this member knows.
     [[nodiscard]] std::optional<MemberIndex> leader() const { return leader_; }
 
     [[nodiscard]] std::vector<Send> take_sends() { return std::exchange(sends_, {}); }
     [[nodiscard]] std::vector<LeaseChange> take_changes() { return std::exchange(changes_, {}); }
 
   private:
-    // A renewal that is not answered yet.
+    // A renewal without an answer so far.
     struct PendingRenewal {
         uint64_t nonce = 0;
         TimePoint sent;
@@ -93,7 +95,7 @@
 
     void send_renew_request(TimePoint now);
     LeaseRenewRequest renew_request() const;
-    // Returns false for an answer to a renewal that is not pending.
+    // Returns false if no renewal with this nonce is pending.
     bool extend_lease(TimePoint now, uint64_t nonce);
     void apply_leases(const LeaseRenewResponse& response);
     void accept_lease(const LeaseRecord& lease, Term term);
@@ -106,12 +108,12 @@
     const MemberKey own_key_;
     const InstanceId instance_;
     std::ranlux24_base random_;
-    std::vector<MemberIndex> voters_;  // in this member's own order of asking
+    std::vector<MemberIndex> voters_;  // in random order
     size_t next_voter_ = 0;
 
     std::optional<MemberIndex> leader_;
     Term leader_term_ = 0;
-    Term term_ = 0;  // of the last answer
+    Term term_ = 0;  // of the last response
 
     uint64_t last_nonce_ = 0;
     uint64_t last_answered_nonce_ = 0;
@@ -121,9 +123,9 @@
     TimePoint now_, next_renewal_, lease_end_;
 
     std::map<std::string, Epoch> held_;
-    std::map<std::string, Epoch> given_up_;     // the highest epoch of each duty that is not held any more
-    std::map<std::string, Epoch> unreported_;   // of these, what the leader may not know yet
-    std::set<std::string> requested_families_;  // families
+    std::map<std::string, Epoch> given_up_;    // highest epoch at which each duty was held and given up
+    std::map<std::string, Epoch> unreported_;  // the part of `given_up_` that the leader may not know yet
+    std::set<std::string> requested_families_;
     LeaseTable table_;
     std::vector<Send> sends_;
     std::vector<LeaseChange> changes_;
--- a/src/fleet/lease/lease_manager.cpp
+++ b/src/fleet/lease/lease_manager.cpp
@@ -12,8 +12,8 @@
 {
 
 constexpr Duration max_batch_interval = seconds(0.15);
-constexpr double settling_intervals = 1.2;     // renewal intervals after an election without new grants
-constexpr double early_expiry_fraction = 0.3;  // see DisabledChecks::full_expiry
+constexpr double settling_intervals = 1.2;  // no new grants for this many renewal intervals after an election
+constexpr double early_expiry_fraction = 0.3;  // fraction of a lease; see DisabledChecks::full_expiry
 
 // The part of a duty's name before the dot.
 std::string family_of(const std::string& duty) { return duty.substr(0, duty.find('.')); }
@@ -22,7 +22,7 @@
 
 LeaseManager::LeaseManager(const FleetConfig& config, uint64_t seed) : config_(config), sessions_(config)
 {
-    // So that a restarted leader does not take the result of an earlier proposal for its own.
+    // A random start keeps a restarted leader from mistaking the result of an earlier proposal for its own.
     std::ranlux24_base random(static_cast<uint32_t>(seed ^ seed >> 32));
     last_proposal_id_ = uint64_t{random()} << 32;
 }
@@ -84,7 +84,7 @@
     if (!pending_renewals_.empty() && now - last_proposal_ >= batch) propose(now, {});
 }
 
-// Pending renewals are confirmed by whatever is committed next.
+// Pending renewals are answered once this proposal is committed.
 void LeaseManager::propose(TimePoint now, std::vector<LeaseCommand> commands)
 {
     if (commands.empty()) commands.push_back({});
@@ -120,7 +120,7 @@
     sends_.push_back({renewal.from, std::move(response)});
 }
 
-// Whoever was granted something hears of it at once, without a nonce: that renews nothing.
+// Notifies members of new grants at once. The response has no nonce, so it renews no lease.
 void LeaseManager::notify_grantees(const std::vector<LeaseCommand>& commands, const LeaseTable& table)
 {
     std::set<MemberIndex> notified;
@@ -144,7 +144,7 @@
 
 // ---- grants ----
 
-// Whether nobody can hold it any more, by whatever clock within the stated drift.
+// Whether the lease can no longer be in force by any clock within the configured drift.
 bool LeaseManager::is_expired(TimePoint now, const LeaseTable::Entry& lease) const
 {
     const auto renewed = sessions_.last_renewal(lease.holder, lease.instance);
@@ -167,8 +167,8 @@
                                 std::vector<LeaseCommand>& commands)
 {
     const auto lease = table_->entry(duty.name);
-    // After an election, who is live shows within one renewal: the first to ask must not be granted
-    // everything.
+    // It takes one renewal interval after an election to learn which members are live. Until then, duties
+    // without a holder are not granted, so that the first member to renew does not get every duty.
     const Duration settling = config_.lease.length * (lease_timing::renewal_interval * settling_intervals);
     const bool settled = now - elected_at_ > settling;
     if (lease.holder ? !is_expired(now, lease) : !settled) return;
@@ -186,11 +186,11 @@
 {
     commands.push_back({LeaseCommand::release, duty.name, lease.epoch, 0, 0, "its lease ran out", false});
     pending_duties_.insert(duty.name);
-    // It must not be granted again to the member that it is taken from.
+    // The duty must not be granted again to the member that it is taken from.
     if (const auto member = config_.member_of(lease.holder)) loads.erase(*member);
 }
 
-// Permits go to the members that have asked, in the order of asking; one for each member.
+// Permits are granted in the order of the requests, at most one to each member.
 void LeaseManager::grant_permit(TimePoint now, const Duty& duty, std::vector<LeaseCommand>& commands)
 {
     const std::string family = family_of(duty.name);
@@ -207,7 +207,7 @@
     if (first) grant(commands, duty.name, *first, "its turn");
 }
 
-// Also where it is granted by a proposal that is not committed yet.
+// Also considers grants of proposals that are not committed yet.
 bool LeaseManager::has_permit(MemberIndex member, const LeaseSession& session, const std::string& family,
                               const std::vector<LeaseCommand>& commands) const
 {
@@ -225,7 +225,7 @@
     });
 }
 
-// Of the members that hold fewer than an even share, the one that ranks highest for this duty.
+// Of the members that hold less than an even share, picks the one with the highest rank for this duty.
 std::optional<MemberIndex> LeaseManager::choose_holder(const std::string& duty, const Loads& loads) const
 {
     if (loads.empty()) return {};
@@ -265,8 +265,8 @@
     if (is_leader_) release_and_regrant(now, from, release.instance, {release.duty, release.epoch});
 }
 
-// The holder says that it does not hold a lease any more. The next grant is in the same entry of the log, so
-// that nobody holds the duty for as short as possible.
+// Releases a lease that its holder has given up. The next grant goes into the same log entry, so that the
+// duty is without a holder for as short as possible.
 void LeaseManager::release_and_regrant(TimePoint now, MemberIndex from, InstanceId instance,
                                        const SeenEpoch& lease)
 {
--- a/src/fleet/lease/lease_manager.h
+++ b/src/fleet/lease/lease_manager.h
@@ -1,12 +1,13 @@
-// The leader's side of leases: confirms renewals, grants duties that nobody holds, spreads them evenly and
-// transfers them on request. One at each voter; active only while that voter leads.
+// The leader's side of leases: confirms renewals, grants duties without a holder, balances them across
+// members and transfers them on request. Every voter has one; it is active only while that voter is the
+// leader.
 //
-// Everything that it decides goes through the replicated log as a Proposal; a renewal is answered once a
-// proposal that was made after it is committed, which proves that this voter still led. A new leader waits
-// for a whole lease before it grants what others may hold: its predecessor may have confirmed renewals until
-// just before.
+// Every decision is proposed to the replicated log. A renewal is answered once a proposal made after it has
+// been committed, which proves that this voter was still the leader. A new leader waits for a full lease
+// before it grants duties that others may hold, because its predecessor may have confirmed renewals until
+// just before the election.
 //
-// No I/O and no clock of its own. Not thread-safe.
+// Does no I/O and reads no clock. Not thread-safe.
 #pragma once
 
 #include <map>
@@ -27,7 +28,7 @@
     // `config` must outlive the manager.
     LeaseManager(const FleetConfig& config, uint64_t seed);
 
-    // The table as committed so far; it is read where it stands, and must outlive the manager.
+    // The committed table. It is not copied and must outlive the manager.
     void set_table(const LeaseTable& table) { table_ = &table; }
 
     void on_elected(TimePoint now, Term term);
@@ -37,43 +38,44 @@
     void tick(TimePoint now);
     void on_renew_request(TimePoint now, MemberIndex from, const LeaseRenewRequest& request);
     void on_release(TimePoint now, MemberIndex from, const LeaseRelease& release);
-    // What became of a proposal. `committed` false: it may yet be.
+    // The outcome of a proposal. If it is not committed, it may still be committed later.
     void on_proposal_result(const LeaseTable& table, uint64_t proposal, bool committed);
-    // An operator's command: gives the duty `first` to the member `second`, or to whichever holds the fewest.
+    // An operator's command: transfers the duty `first` to the member `second`, or, if that is empty, to the
+    // member that holds the fewest duties.
     void transfer(TimePoint now, MemberIndex from, const AdminCommand& command);
 
     [[nodiscard]] std::vector<Send> take_sends() { return std::exchange(sends_, {}); }
     [[nodiscard]] std::vector<Proposal> take_proposals() { return std::exchange(proposals_, {}); }
 
-    // Safety rules that tests switch off, to show that each is needed.
+    // Safety checks that tests disable to show that each one is needed.
     struct DisabledChecks {
-        bool wait_after_election = false;  // grants without waiting for leases of the last leader
-        bool confirm_by_majority = false;  // answers renewals at once
-        bool full_expiry = false;          // grants again after a part of the lease
+        bool wait_after_election = false;  // grants without waiting for leases that the last leader confirmed
+        bool confirm_by_majority = false;  // answers renewals without a majority's confirmation
+        bool full_expiry = false;          // grants again after a fraction of the lease
     } disabled_checks;
 
   private:
-    // The member that an operator's command came from, and its number there.
+    // The member that relayed an operator's command, and the command's number there.
     struct CommandOrigin {
         MemberIndex member = 0;
         uint64_t number = 0;
     };
-    // A duty that is being moved from its holder to another member.
+    // A duty that is being moved to another member.
     struct Transfer {
         std::optional<MemberIndex> target;
-        Epoch epoch = 0;  // at which it is held now
+        Epoch epoch = 0;  // at which the present holder holds it
         TimePoint started, last_revoke;
-        std::optional<CommandOrigin> origin;  // absent: rebalancing
+        std::optional<CommandOrigin> origin;  // not set: started by rebalancing
     };
     struct PendingRenewal {
         MemberIndex from = 0;
         LeaseRenewRequest request;
     };
     struct PendingProposal {
-        std::vector<PendingRenewal> renewals;  // answered once it is committed
+        std::vector<PendingRenewal> renewals;  // answered once the proposal is committed
         std::vector<LeaseCommand> commands;
     };
-    using Loads = std::map<MemberIndex, size_t>;  // duties held, of each live member
+    using Loads = std::map<MemberIndex, size_t>;  // number of duties held by each live member
 
     // ---- renewals ----
     void propose(TimePoint now, std::vector<LeaseCommand> commands);
@@ -114,10 +116,10 @@
     Term term_ = 0;
     TimePoint elected_at_, last_rebalance_, last_proposal_;
     LeaseSessions sessions_;
-    std::map<std::string, Epoch> epoch_floors_;  // the highest epoch that a member has seen of each duty
+    std::map<std::string, Epoch> epoch_floors_;  // highest epoch of each duty that any member has seen
     std::vector<PendingRenewal> pending_renewals_;
     std::map<uint64_t, PendingProposal> pending_proposals_;
-    std::set<std::string> pending_duties_;  // that a pending proposal is about
+    std::set<std::string> pending_duties_;  // duties changed by a pending proposal
     std::map<std::string, Transfer> transfers_;
     uint64_t last_proposal_id_ = 0;
     std::vector<Send> sends_;
--- a/src/fleet/lease/lease_rank.h
+++ b/src/fleet/lease/lease_rank.h
@@ -1,4 +1,4 @@
-// Rendezvous hashing of duties to members: little moves when members come and go.
+// Rendezvous hashing of duties to members: few duties move when members join or leave.
 #pragma once
 
 #include <xxhash.h>
@@ -10,7 +10,7 @@
 namespace firtide::fleet
 {
 
-// Of the members that may hold a duty, the one with the highest rank is preferred.
+// The eligible member with the highest rank is preferred for a duty.
 inline uint64_t lease_rank(std::string_view duty, MemberKey member)
 {
     return XXH3_64bits_withSeed(duty.data(), duty.size(), member);
--- a/src/fleet/lease/lease_sessions.h
+++ b/src/fleet/lease/lease_sessions.h
@@ -1,5 +1,5 @@
-// The leader's knowledge of the members that renew with it: who is live, what each has asked for, and when a
-// lease can no longer be in force. Not thread-safe; no clock of its own.
+// The leader's record of the members that renew with it: which are live, what each has requested, and when a
+// lease can no longer be in force. Not thread-safe; reads no clock.
 #pragma once
 
 #include <map>
@@ -17,9 +17,9 @@
     InstanceId instance = 0;
     TimePoint last_request;
     uint64_t last_answered_nonce = 0;
-    std::optional<TimePoint> last_answered_at;  // absent: no answer is known to have reached it
+    std::optional<TimePoint> last_answered_at;  // not set: no answer is known to have arrived
     bool departing = false;
-    std::map<std::string, TimePoint> requested;  // families of duties, and since when
+    std::map<std::string, TimePoint> requested;  // families of duties, with the time of the first request
 };
 
 class LeaseSessions
@@ -30,16 +30,16 @@
 
     void clear();
     void record(TimePoint now, MemberIndex member, const LeaseRenewRequest& request);
-    // Forgets what can't matter any more.
+    // Removes records that are too old to matter.
     void expire(TimePoint now);
 
-    // Whether a member may be granted something: it renews, hears the answers and doesn't depart.
+    // Whether a member may be granted a duty: it renews, receives the answers and is not departing.
     [[nodiscard]] bool is_live(TimePoint now, MemberIndex member) const;
     [[nodiscard]] const std::map<MemberIndex, LeaseSession>& sessions() const { return sessions_; }
     [[nodiscard]] InstanceId instance_of(MemberIndex member) const { return sessions_.at(member).instance; }
-    // The last renewal of this holder that reached this leader; nothing: none did.
+    // The last renewal of this holder that reached this leader, if any.
     [[nodiscard]] std::optional<TimePoint> last_renewal(MemberKey holder, InstanceId instance) const;
-    // Live members, and how many duties each holds.
+    // The number of duties held by each live member.
     [[nodiscard]] std::map<MemberIndex, size_t> loads(TimePoint now, const LeaseTable& table) const;
 
   private:
@@ -51,7 +51,7 @@
 
     const FleetConfig& config_;
     std::map<MemberIndex, LeaseSession> sessions_;
-    std::map<Holder, TimePoint> last_renewal_;  // also of instances that another one has replaced
+    std::map<Holder, TimePoint> last_renewal_;  // also of instances that have since been replaced
 };
 
 }  // namespace firtide::fleet
--- a/src/fleet/lease/lease_table.cpp
+++ b/src/fleet/lease/lease_table.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-// The stored form.
+// ---- stored form ----
 struct StoredEntry {
     std::string duty;
     MemberKey holder = 0;
@@ -38,7 +38,7 @@
 bool LeaseTable::apply(const LeaseCommand& command, Entry& entry)
 {
     if (command.kind == LeaseCommand::release) {
-        // A release that comes late must not take the duty from its next holder.
+        // A late release must not take the duty from its next holder.
         if (!entry.holder || entry.epoch != command.epoch) return false;
         entry = {0, 0, entry.epoch, command.reason, false};
         return true;
--- a/src/fleet/lease/lease_table.h
+++ b/src/fleet/lease/lease_table.h
@@ -1,8 +1,8 @@
 // The replicated lease table: which member holds each duty, and at which epoch.
 //
-// A duty is a singleton task (see FleetConfig::duties) that one member performs at a time under a lease.
-// Commands of the replicated log change the table in the order of the log, alike at every voter. The table
-// knows no clock; when a lease ends is decided by LeaseClient and LeaseManager.
+// A duty is a singleton task (see FleetConfig::duties) that one member at a time performs under a lease.
+// Every voter applies the commands of the replicated log in log order, so all copies of the table agree. The
+// table is independent of time; LeaseClient and LeaseManager decide when a lease ends.
 #pragma once
 
 #include <map>
@@ -16,12 +16,12 @@
 namespace firtide::fleet
 {
 
-// An entry of the replicated log. Its encoding is stored on disk and must not change.
+// A command in the replicated log. Its encoding is stored on disk and must not change.
 struct LeaseCommand {
     enum Kind : uint8_t {
-        grant,    // where nobody holds the duty: at an epoch above `epoch` and above the last one
-        release,  // of a lease that is held at exactly this epoch
-        confirm,  // changes nothing; that it is committed proves that its proposer led when it was proposed
+        grant,    // only if the duty has no holder; the new epoch is above `epoch` and above the last one
+        release,  // only if the lease is held at exactly this epoch
+        confirm,  // changes nothing; its commit proves that the proposer was the leader when it proposed it
     };
     uint8_t kind = confirm;
     std::string duty;
@@ -29,11 +29,11 @@
     MemberKey holder = 0;
     InstanceId instance = 0;
     std::string reason;
-    bool pinned = false;  // by an operator: rebalancing leaves it where it is
+    bool pinned = false;  // placed by an operator: rebalancing does not move it
     MSGPACK_DEFINE(kind, duty, epoch, holder, instance, reason, pinned)
 };
 
-// What the leader asks to be appended to the log, as one entry.
+// Commands that the leader asks to append to the log, as one entry.
 struct Proposal {
     uint64_t id = 0;  // returned with the ProposalResult
     std::vector<LeaseCommand> commands;
@@ -43,29 +43,29 @@
 {
   public:
     struct Entry {
-        MemberKey holder = 0;  // zero: nobody
+        MemberKey holder = 0;  // zero: none
         InstanceId instance = 0;
         Epoch epoch = 0;
-        std::string reason;  // reason of the last change
+        std::string reason;  // of the last change
         bool pinned = false;
 
         bool operator==(const Entry&) const = default;
     };
 
-    // Applies committed commands. One that does not fit the present state changes nothing.
+    // Applies committed commands. A command that does not fit the present state is ignored.
     void apply(const std::vector<LeaseCommand>& commands);
 
     [[nodiscard]] const std::map<std::string, Entry>& entries() const { return entries_; }
-    // The entry of a duty; an empty one where it was never granted.
+    // The entry of a duty; an empty one if it was never granted.
     [[nodiscard]] Entry entry(const std::string& duty) const;
-    // Grows with every change.
+    // Increases with every change.
     [[nodiscard]] uint64_t version() const { return version_; }
 
-    // Replaces the whole table by what the leader has sent.
+    // Replaces the whole table with the one received from the leader.
     void assign(const std::vector<LeaseRecord>& leases, uint64_t version);
 
-    // The stored form, as it stands in snapshots of the log. decode() returns false, and leaves the table as
-    // it was, where the bytes are no table.
+    // The encoding used in snapshots of the log. decode() returns false and leaves the table unchanged if the
+    // bytes are invalid.
     [[nodiscard]] std::string encode() const;
     [[nodiscard]] bool decode(std::string_view bytes);
 
--- a/src/fleet/lease/lease_transfer.cpp
+++ b/src/fleet/lease/lease_transfer.cpp
@@ -1,5 +1,5 @@
-// Transfers of LeaseManager: one duty at a time while rebalancing, and those that operators ask for. The
-// holder is asked to release the lease, again and again until it does or the lease is over.
+// Transfers of LeaseManager, started by rebalancing (one duty at a time) or by an operator. The holder is
+// asked to release the lease repeatedly, until it does or the lease has expired.
 #include <algorithm>
 
 #include "lease_manager.h"
@@ -12,13 +12,13 @@
 {
 
 constexpr Duration revoke_interval = seconds(0.1);  // between two requests to release the same lease
-constexpr Duration transfer_grace = seconds(1);     // beyond two leases, before a transfer is given up
-constexpr double rebalance_interval = lease_timing::renewal_interval / 4;  // of a lease's length
-constexpr size_t tolerated_imbalance = 1;  // duties that the most loaded member may hold more than the least
+constexpr Duration transfer_grace = seconds(1);  // beyond two lease lengths, before a transfer is abandoned
+constexpr double rebalance_interval = lease_timing::renewal_interval / 4;  // fraction of the lease length
+constexpr size_t tolerated_imbalance = 1;  // allowed difference between the most and the fewest duties held
 
 }  // namespace
 
-// One duty at a time goes from the most loaded member to the least loaded one.
+// Moves one duty at a time from the most loaded member to the least loaded one.
 void LeaseManager::rebalance(TimePoint now)
 {
     if (now - last_rebalance_ < config_.lease.length * rebalance_interval || !transfers_.empty()) return;
@@ -33,8 +33,8 @@
         transfers_[duty->name] = {least, table_->entry(duty->name).epoch, now, {}, {}};
 }
 
-// Of the duties that one member holds, the one that ranks highest for the other. What an operator has placed
-// stays.
+// Of the duties that `from` holds, picks the one with the highest rank for `to`. Duties placed by an operator
+// are not moved.
 const Duty* LeaseManager::duty_to_move(MemberIndex from, MemberIndex to) const
 {
     const Duty* best = nullptr;
@@ -66,7 +66,7 @@
     transfers_[duty] = {to, entry.epoch, now, {}, origin};
 }
 
-// Empty: there is none.
+// The reason why the transfer is refused; empty if it is not.
 std::string LeaseManager::transfer_refusal(TimePoint now, const AdminCommand& command) const
 {
     if (!is_leader_ || !table_) return "this member does not lead";
--- a/src/fleet/outlier/outlier_gossip.cpp
+++ b/src/fleet/outlier/outlier_gossip.cpp
@@ -7,17 +7,23 @@
 namespace
 {
 
-constexpr double min_reduction = 0.1;               // of an entry that is worth a report
-constexpr Duration repeat_interval = seconds(0.5);  // of the same finding, with new evidence
-constexpr double start_repeat_fraction = 0.5;       // the same of a start alone: of the validity
-constexpr size_t max_reporters = 3;                 // whose reports on one upstream are passed on
-constexpr size_t max_reports = 64;                  // in one digest
-constexpr size_t min_batch = 6;                     // reports that wait for more bytes, where there are more
+// Smallest reduction that is reported, and smallest increase that is reported at once.
+constexpr double min_reduction = 0.1;
+// Between reports on one upstream whose reduction has increased by less than min_reduction.
+constexpr Duration repeat_interval = seconds(0.5);
+// Between reports of a start without a reduction, as a fraction of the validity.
+constexpr double start_repeat_fraction = 0.5;
+constexpr size_t max_reporters = 3;  // reporters on one upstream whose reports are forwarded
+constexpr size_t max_reports = 64;   // per digest
+// A digest waits until the byte budget covers this many of the pending reports, or all of them.
+constexpr size_t min_batch = 6;
 constexpr size_t max_upstreams = 10000;
 constexpr double report_bytes = 48, frame_bytes = 40;
-constexpr double own_answer_weight = 3;  // good answers that halve what others say
-constexpr int own_report_bonus = 32;     // of 255, in the order of sending
-constexpr double full_reduction = 255;   // as it is encoded
+// Number of good responses that halves the weight of others' reports.
+constexpr double own_answer_weight = 3;
+// Added to the severity of own reports when reports are ordered, on the scale of the encoded reduction.
+constexpr int own_report_bonus = 32;
+constexpr double full_reduction = 255;  // a reduction of 1 as it is encoded
 constexpr int64_t microseconds_per_millisecond = 1000;
 
 double reduction_of(const OutlierReport& report) { return report.reduction / full_reduction; }
@@ -29,7 +35,7 @@
 {
 }
 
-// ---- own findings ----
+// ---- own evidence ----
 
 void OutlierGossip::on_local_evidence(TimePoint now, const std::vector<OutlierEvidence>& evidence)
 {
@@ -50,7 +56,7 @@
     if (now - sent.at < repeat_interval && evidence.reduction < sent.reduction + min_reduction) return;
     const TimePoint found = is_reduced ? now - evidence.last_bad_response_age : now;
     HeldReport& held = reports_[evidence.upstream][own_key_];
-    // Nothing but new evidence renews a finding.
+    // Only new evidence renews a report.
     const bool is_known =
         held.report.number && found <= held.found && evidence.reduction <= reduction_of(held.report);
     if (is_reduced && is_known) return;
@@ -75,7 +81,7 @@
     return report;
 }
 
-// ---- reports of others ----
+// ---- reports of other balancers ----
 
 void OutlierGossip::on_digest(TimePoint now, const OutlierDigest& digest)
 {
@@ -110,7 +116,7 @@
     if (!has_enough_reporters) pending_.insert({report.upstream, report.reporter});
 }
 
-// ---- what is sent ----
+// ---- outgoing digests ----
 
 void OutlierGossip::expire(TimePoint now)
 {
@@ -131,7 +137,7 @@
     return static_cast<size_t>(std::max(0.0, (bytes - frame_bytes) / report_bytes));
 }
 
-// The gravest first, own ones before others'.
+// The most severe reports come first; own reports get a bonus.
 std::vector<const OutlierGossip::HeldReport*> OutlierGossip::pending_by_severity()
 {
     std::vector<const HeldReport*> order;
@@ -156,7 +162,7 @@
     const size_t affordable = affordable_reports(receivers);
     if (affordable < std::min(min_batch, pending_.size())) return digest;
     auto order = pending_by_severity();
-    // The others wait until they are too old to be sent.
+    // Reports that do not fit stay pending until they expire.
     if (order.size() > affordable) {
         dropped_ += order.size() - affordable;
         order.resize(affordable);
@@ -175,7 +181,7 @@
 
 // ---- verdicts ----
 
-// What others say counts less the more own answers since then were good.
+// Good responses that this balancer got since the report was made reduce its weight.
 double OutlierGossip::discount(TimePoint now, const OutlierEvidence& own, TimePoint found) const
 {
     const TimePoint last_good = now - own.last_good_response_age - (now - evidence_at_);
@@ -205,8 +211,9 @@
     return summary;
 }
 
-// Two reporters agree on the second greatest reduction; the greatest counts alone up to a share. Own good
-// answers since then hold both down: an own path that works says more than others' that may not.
+// Two reporters agree on at least the second-highest reduction; the highest one alone counts up to the
+// `alone` share. Own good responses since then lower both: a path that works from here is stronger evidence
+// than reports from paths that may not work.
 OutlierGossip::Verdict OutlierGossip::verdict(TimePoint now, uint64_t upstream, const Reports& reports) const
 {
     const PeerSummary others = summarize_peers(now, reports);
@@ -221,7 +228,8 @@
         else if (discounted < 1)
             verdict.reduction = std::min(verdict.reduction, config_.alone) * discounted;
     }
-    // A start is believed where two name one; where one does, the upstream is treated as a suspect.
+    // A start is accepted if two reporters name it. If only one does, the upstream gets at least the `alone`
+    // reduction.
     const bool knows_itself = own != evidence_.end() && own->second.time_since_start;
     if (knows_itself || !others.shortest_uptime_s) return verdict;
     if (others.second_shortest_uptime_s)
--- a/src/fleet/outlier/outlier_gossip.h
+++ b/src/fleet/outlier/outlier_gossip.h
@@ -1,9 +1,9 @@
-// What balancers report to each other of upstreams that fail, and how far such reports count.
+// Reports that balancers exchange about failing upstreams, and how much weight they get.
 //
-// Each balancer reports what it has found itself, with its age; what it was told it passes on unchanged. A
-// report is valid for a stated time from when it was found, as a report of RFC 8581 is, whenever it arrives,
-// and nothing but a new finding of the same balancer renews it. One balancer alone counts up to a share; two
-// that agree, or own evidence, make it count in full. No I/O, no clock of its own.
+// Each balancer reports its own findings with their age and forwards the reports of others unchanged. As in
+// RFC 8581, a report is valid for a fixed time from when the finding was made, whenever it arrives; only a
+// new finding of the same balancer renews it. A single reporter counts up to a configured share; two
+// reporters that agree, or one together with own evidence, count in full. Does no I/O and reads no clock.
 #pragma once
 
 #include <map>
@@ -18,26 +18,26 @@
 namespace firtide::fleet
 {
 
-// What this balancer itself knows of an upstream.
+// This balancer's own observations of an upstream.
 struct OutlierEvidence {
-    uint64_t upstream = 0;                           // hash of its uid
-    double reduction = 0;                            // of its own entry
-    uint32_t good_responses = 0, bad_responses = 0;  // answers of the last seconds
-    Duration last_bad_response_age;                  // of the last bad one
-    Duration last_good_response_age;                 // of the last good one
-    std::optional<Duration> time_since_start;        // where it warms up: how long ago
+    uint64_t upstream = 0;                           // hash of the upstream's uid
+    double reduction = 0;                            // of this balancer's own entry
+    uint32_t good_responses = 0, bad_responses = 0;  // in the last seconds
+    Duration last_bad_response_age;                  // since the last bad response
+    Duration last_good_response_age;                 // since the last good response
+    std::optional<Duration> time_since_start;        // set while the upstream warms up
 };
 
 class OutlierGossip
 {
   public:
-    // A report that is valid, for show-fleet.
+    // A valid report, for show-fleet.
     struct ReceivedReport {
         MemberKey reporter = 0;
         double reduction = 0;
         Duration age;
     };
-    // What reports on an upstream amount to.
+    // The combined result of the reports on an upstream.
     struct Verdict {
         double reduction = 0;
         std::optional<Duration> time_since_start;
@@ -45,44 +45,44 @@
 
     OutlierGossip(const OutlierGossipConfig& config, MemberKey own, InstanceId instance);
 
-    // All evidence of this balancer, in place of what was there before.
+    // Replaces all evidence of this balancer.
     void on_local_evidence(TimePoint now, const std::vector<OutlierEvidence>& evidence);
     void on_digest(TimePoint now, const OutlierDigest& digest);
-    // What is due for each of so many receivers, within the byte budget; empty: nothing.
+    // The digest to send to each of the receivers, within the byte budget. Empty if nothing is due.
     [[nodiscard]] OutlierDigest next_digest(TimePoint now, size_t receivers);
 
-    // Of the upstreams that any report counts for.
+    // Verdicts on all upstreams that reports have an effect on.
     [[nodiscard]] std::map<uint64_t, Verdict> verdicts(TimePoint now) const;
     [[nodiscard]] std::vector<ReceivedReport> reports_on(TimePoint now, uint64_t upstream) const;
-    [[nodiscard]] uint64_t dropped_reports() const { return dropped_; }  // for want of bytes
-    [[nodiscard]] uint64_t stale_reports() const { return stale_; }      // received again, or too old
+    [[nodiscard]] uint64_t dropped_reports() const { return dropped_; }  // not sent for lack of byte budget
+    [[nodiscard]] uint64_t stale_reports() const { return stale_; }      // received twice, or too old
 
   private:
     struct HeldReport {
         OutlierReport report;
         TimePoint found, valid_until;
     };
-    using Reports = std::map<MemberKey, HeldReport>;  // on one upstream, by reporter
-    // The last report of this balancer on an upstream.
+    using Reports = std::map<MemberKey, HeldReport>;  // reports on one upstream, by reporter
+    // This balancer's last report on an upstream.
     struct LastSent {
         TimePoint at;
         double reduction = 0;
     };
-    // The newest reports of one balancer's instance: what comes twice, late or out of order renews nothing.
+    // Highest report numbers of one balancer's instance. Duplicate, late and reordered reports renew nothing.
     struct Sequence {
         InstanceId instance = 0;
-        std::map<uint64_t, uint64_t> newest;  // number, by upstream
+        std::map<uint64_t, uint64_t> newest;  // by upstream
     };
     struct Pending {
         uint64_t upstream = 0;
         MemberKey reporter = 0;
         auto operator<=>(const Pending&) const = default;
     };
-    // What the others' valid reports on an upstream say together.
+    // Summary of the other balancers' valid reports on an upstream.
     struct PeerSummary {
-        double highest_reduction = 0, second_highest_reduction = 0;  // reductions
+        double highest_reduction = 0, second_highest_reduction = 0;
         TimePoint last_found{INT64_MIN / 2};
-        uint32_t shortest_uptime_s = 0, second_shortest_uptime_s = 0;  // zero: none names one
+        uint32_t shortest_uptime_s = 0, second_shortest_uptime_s = 0;  // plus one; zero: none reported
     };
 
     void report_local(TimePoint now, const OutlierEvidence& evidence);
--- a/src/fleet/quota/quota_allocator.cpp
+++ b/src/fleet/quota/quota_allocator.cpp
@@ -7,10 +7,10 @@
 namespace
 {
 
-constexpr Duration idle_retention = seconds(10);  // of a holder that asks for nothing
+constexpr Duration idle_retention = seconds(10);  // after the last request of an idle holder
 constexpr double min_demand = 0.05, max_demand = 1e9;
 constexpr size_t max_pools = 4096;
-constexpr double rounding_margin = 0.999;  // rates go over the wire in single precision
+constexpr double rounding_margin = 0.999;  // rates are sent in single precision, which may round up
 
 }  // namespace
 
@@ -26,7 +26,7 @@
     pools_.clear();
 }
 
-// Twice a quota's length, by the slowest clock.
+// Twice the lease length, measured by the slowest clock.
 Duration QuotaAllocator::max_grant_lifetime() const { return config_.length * (2 + 8 * clock_drift_); }
 
 double QuotaAllocator::outstanding(TimePoint now, BudgetName name) const
@@ -48,8 +48,7 @@
     return most;
 }
 
-// Max-min fairness: each gets what it asks for, up to the same level; what is left over is spread evenly on
-// top.
+// Max-min fairness: each holder gets its demand, up to a common limit; what is left is shared evenly.
 double QuotaAllocator::fair_rate(TimePoint now, const Pool& pool, const Holder& holder, double total) const
 {
     std::vector<double> demands;
@@ -84,7 +83,7 @@
     const auto [entry, is_new] = pool.holders.try_emplace(id);
     Holder& holder = entry->second;
     if (!is_new) return holder;
-    // What an earlier allocator has granted to it is accounted for here from now on.
+    // What an earlier allocator granted to this holder is tracked here from now on.
     const double held_rate = std::clamp<double>(demand.held_rate, 0, pool.unaccounted);
     pool.unaccounted -= held_rate;
     holder.grants.push_back({0, held_rate, now + max_grant_lifetime()});
--- a/src/fleet/quota/quota_allocator.h
+++ b/src/fleet/quota/quota_allocator.h
@@ -1,5 +1,6 @@
-// The allocator of fleet-wide budgets, at the holder of the duty "parts". All quotas together are never more
-// than the whole, whoever comes, goes, stalls or is cut off. No I/O, no clock of its own.
+// The allocator of fleet-wide budgets, which runs on the holder of the duty "parts". The quotas never add up
+// to more than the budget, even when members join, leave, stall or are partitioned. Does no I/O and reads no
+// clock.
 #pragma once
 
 #include <map>
@@ -14,27 +15,28 @@
 class QuotaAllocator
 {
   public:
-    // `config` must outlive the allocator. `clock_drift`: by which the members' clocks may differ in rate.
+    // `config` must outlive the allocator. `clock_drift`: the largest relative difference between the rates
+    // of the members' clocks.
     QuotaAllocator(const QuotaConfig& config, double clock_drift);
 
-    // Begins at a new epoch. What an earlier allocator has granted may be in use for a while.
+    // Starts a new epoch. Grants of an earlier allocator may remain in use for a while.
     void on_lease_gained(TimePoint now, Epoch epoch);
     [[nodiscard]] Epoch epoch() const { return epoch_; }
 
-    // An answer without grants, where the request is for another epoch.
+    // The response has no grants if the request is for another epoch.
     [[nodiscard]] QuotaResponse answer(TimePoint now, MemberKey from, const QuotaRequest& request);
 
-    // What members may use together of a budget's allocatable share, at the most.
+    // Upper bound of what members may currently use of a budget's allocatable share.
     [[nodiscard]] double outstanding(TimePoint now, BudgetName name) const;
 
   private:
     struct OutstandingGrant {
         uint64_t number = 0;
         double rate = 0;
-        TimePoint expires_at;  // it can't be in use any more then
+        TimePoint expires_at;  // after which it can no longer be in use
     };
     struct Holder {
-        std::vector<OutstandingGrant> grants;  // the last one that is known to have arrived, and all after it
+        std::vector<OutstandingGrant> grants;  // the last one known to have arrived, and all later ones
         double demand = 0;
         TimePoint last_request;
 
@@ -46,7 +48,7 @@
         auto operator<=>(const HolderId&) const = default;
     };
     struct Pool {
-        double unaccounted = 0;  // may be in use from an earlier allocator, until those leases have ended
+        double unaccounted = 0;  // rate that grants of an earlier allocator may still use until they expire
         std::map<HolderId, Holder> holders;
     };
 
--- a/src/fleet/quota/quota_client.cpp
+++ b/src/fleet/quota/quota_client.cpp
@@ -7,8 +7,8 @@
 namespace
 {
 
-constexpr Duration idle_retention = seconds(10);  // of a slow-start budget that nothing is asked of
-constexpr double demand_decay_rate = 2;           // a second
+constexpr Duration idle_retention = seconds(10);  // of a slow-start budget without demand
+constexpr double demand_decay_rate = 2;           // per second
 constexpr size_t max_budgets = 256, max_pending_requests = 16;
 
 }  // namespace
@@ -40,7 +40,7 @@
     : config_(config), member_count_(members), instance_(instance)
 {
     for (const auto& [name, total] : config.whole) {
-        if (name == to_string(Budget::cold)) continue;  // one for each upstream that warms up
+        if (name == to_string(Budget::cold)) continue;  // created for each upstream that warms up
         if (name.starts_with(tenant_prefix))
             state_of({Budget::tenant, key_of(name.substr(tenant_prefix.size()))});
         else
@@ -70,7 +70,7 @@
         auto& [name, state] = *next;
         const auto count = requests.find(name);
         const double rate = count == requests.end() ? 0 : count->second / elapsed;
-        // Up at once, down slowly.
+        // Demand rises at once and falls gradually.
         const double gain = rate > state.demand ? 1 : std::min(1.0, demand_decay_rate * elapsed);
         state.demand += gain * (rate - state.demand);
         const bool unused = now - state.last_demand > idle_retention && now >= state.lease.expires_at;
@@ -80,7 +80,7 @@
 
 QuotaRequest QuotaClient::make_request(TimePoint now, Epoch allocator)
 {
-    // An answer of the earlier allocator must not come after the new one was told what is held.
+    // An answer of the last allocator must not arrive after the new one was told the held rate.
     if (std::exchange(allocator_epoch_, allocator) != allocator) {
         pending_requests_.clear();
         last_answered_number_ = 0;
@@ -97,7 +97,7 @@
     return request;
 }
 
-// A lease counts from its request, so that it is over here before it is over at the allocator.
+// A lease counts from its request, so that it expires here before it does at the allocator.
 void QuotaClient::on_response(TimePoint now, const QuotaResponse& response)
 {
     const auto request = pending_requests_.find(response.number);
--- a/src/fleet/quota/quota_lease.h
+++ b/src/fleet/quota/quota_lease.h
@@ -1,4 +1,4 @@
-// A member's share of a budget of the fleet, for a while.
+// A member's temporary share of a fleet-wide budget.
 #pragma once
 
 #include "src/base/time.h"
@@ -7,12 +7,12 @@
 namespace firtide::fleet
 {
 
-// Good in full until `full_until` by the clock of its holder, then falling evenly to the guaranteed rate,
-// which it has from `expires` on.
+// Grants the full rate until `full_rate_until` by the holder's clock. From then on the rate falls linearly
+// and reaches the guaranteed rate at `expires_at`.
 struct QuotaLease {
     BudgetName name;
-    double rate = 0;             // a second
-    double guaranteed_rate = 0;  // a second, beside the rate and for ever
+    double rate = 0;             // per second
+    double guaranteed_rate = 0;  // per second, in addition to `rate`; does not expire
     TimePoint full_rate_until, expires_at;
 
     [[nodiscard]] double rate_at(TimePoint now) const
--- a/src/fleet/quota/token_bucket.h
+++ b/src/fleet/quota/token_bucket.h
@@ -1,4 +1,4 @@
-// A token bucket whose rate is a quota lease.
+// A token bucket that is refilled at the rate of a quota lease.
 #pragma once
 
 #include "quota_lease.h"
@@ -6,13 +6,13 @@
 namespace firtide::fleet
 {
 
-// Saves up no more than a second's tokens, or one.
+// Holds at most one second's tokens, but at least one.
 class TokenBucket
 {
   public:
-    // Whether a token is there now.
+    // Refills the bucket and returns whether it has a token.
     [[nodiscard]] bool has_token(TimePoint now, const QuotaLease& lease);
-    // Takes a token; false where there is none.
+    // Takes a token. Returns false if there is none.
     [[nodiscard]] bool try_take(TimePoint now, const QuotaLease& lease);
 
   private:
--- a/src/fleet/storage/file_system.h
+++ b/src/fleet/storage/file_system.h
@@ -1,5 +1,5 @@
-// Storage of a member: a few named files in one directory. An interface, so that tests and the simulation can
-// make any call fail. Errors are values; a default-constructed std::error_code means success.
+// Persistent storage of a member: a few named files in one directory. It is an interface so that tests and
+// the simulation can inject failures. A default-constructed std::error_code means success.
 #pragma once
 
 #include <optional>
@@ -17,22 +17,22 @@
   public:
     virtual ~FileSystem() = default;
 
-    // Reads a whole file; nothing where there is none.
+    // Reads a whole file; `into` is empty if the file does not exist.
     [[nodiscard]] virtual std::error_code read(const std::string& name, std::optional<std::string>& into) = 0;
-    // Adds bytes to the end of a file. After an error a part of them may stand there.
+    // Appends bytes to a file. After an error the file may contain a part of them.
     [[nodiscard]] virtual std::error_code append(const std::string& name, std::string_view bytes) = 0;
-    // Returns once what was appended is on the disk.
+    // Returns once everything appended is on the disk.
     [[nodiscard]] virtual std::error_code sync(const std::string& name) = 0;
-    // Replaces a file, all or nothing; on the disk when it returns.
+    // Replaces a file atomically. The new content is on the disk when it returns.
     [[nodiscard]] virtual std::error_code replace(const std::string& name, std::string_view bytes) = 0;
 };
 
-// A directory of the operating system, locked for this process as long as the object lives. Its calls block
-// on the disk. Not thread-safe for one and the same file.
+// A directory of the operating system, locked by this process for the lifetime of the object. Its calls block
+// on the disk. Concurrent calls for the same file are not allowed.
 class Directory : public FileSystem
 {
   public:
-    // Creates the directory where there is none. Fails with operation_would_block where another process holds
+    // Creates the directory if it does not exist. Fails with operation_would_block if another process holds
     // the lock.
     [[nodiscard]] static std::error_code open(const std::string& path, std::optional<Directory>& into);
 
--- a/tests/compatibility.cpp
+++ b/tests/compatibility.cpp
@@ -1,5 +1,5 @@
-// What an earlier version has stored or sent, read by this one: a mixed fleet understands itself, and an
-// upgrade keeps its disks. The data is described in tests/data/README.md.
+// Reads files and messages written by an earlier version, so that fleets with mixed versions interoperate and
+// an upgrade keeps the stored data. tests/data/README.md describes the files.
 #include <gtest/gtest.h>
 #include <stdlib.h>
 
@@ -26,7 +26,7 @@
     return text.str();
 }
 
-// The fleet that the voter's store was written in.
+// The fleet whose voter wrote the recorded store.
 FleetConfig recorded_fleet()
 {
     FleetConfig file;
@@ -179,7 +179,7 @@
     EXPECT_EQ(encode_member_snapshot(memory), read_data("snapshot"));
 }
 
-// Each message with the values that it was recorded with.
+// One message of each type, with the field values it was recorded with.
 std::vector<Message> recorded_messages()
 {
     const auto raft = [](std::string bytes) { return RaftMessage{41, 42, 43, std::move(bytes)}; };
@@ -251,7 +251,7 @@
     EXPECT_EQ(again, recorded);
 }
 
-// The other messages between voters follow one message of each kind.
+// After one message of each type, the recording holds the remaining messages between voters.
 TEST(RecordedFrames, HoldMessagesBetweenVoters)
 {
     using namespace raft_wire;
@@ -271,7 +271,7 @@
     EXPECT_EQ(recorded[5], encoded(6, TimeoutNow{261, 262, 263}));
 }
 
-// A directory of this test alone.
+// Uses a temporary directory of its own.
 class StoredIncarnation : public ::testing::Test
 {
   protected:
--- a/tests/fleet_store.cpp
+++ b/tests/fleet_store.cpp
@@ -1,5 +1,5 @@
-// A voter's file, cut at every byte and with every bit turned: what was acknowledged comes back, or the file
-// is refused.
+// Opens a voter's log truncated at every byte and with every bit flipped. Each time, the store must either
+// restore everything that was acknowledged or refuse the file.
 #include <cstdio>
 #include <map>
 
@@ -13,7 +13,7 @@
 
 constexpr const char* file = "voter.log";
 
-// Acknowledged after each sync: how long the file was, and what it held.
+// The file size and the state acknowledged by one sync.
 struct Said {
     size_t bytes;
     PersistentState kept;
@@ -90,7 +90,7 @@
         const auto opened = open(whole.substr(0, cut), kept);
         ++seen[to_string(opened)];
         if (opened != OpenResult::intact && opened != OpenResult::truncated) continue;
-        // No more than was written, no less than was acknowledged with so many bytes.
+        // The state must not go beyond what was written or fall behind what was acknowledged at this size.
         const Said* last = nullptr;
         for (const Said& s : said)
             if (s.bytes <= cut) last = &s;
@@ -107,7 +107,8 @@
         PersistentState kept;
         const auto opened = open(bytes, kept);
         ++seen[to_string(opened)];
-        // What can't be told from half a record at the end knows of fewer records: other voters tell.
+        // A flip that looks like an incomplete last record must lower the write count, so that other voters
+        // detect the loss.
         if (opened == OpenResult::intact || opened == OpenResult::created) ++wrong;
         if (opened == OpenResult::truncated && kept.writes >= said.back().kept.writes) ++wrong;
     }
