--- a/src/fleet/consensus/voter_agent.cpp
+++ b/src/fleet/consensus/voter_agent.cpp
@@ -108,7 +108,7 @@
     voter_.reset();
     voter_ = std::make_unique<Voter>(*store_, times_, random_(), *leases_);
     if (!bootstrap.empty() && !voter_->bootstrap(bootstrap))
-        fault_ = VoterFault{"the log could not be founded"};
+        fault_ = VoterFault{"the log could not be bootstrapped"};
     process_effects(voter_->start(now));
 }
 
@@ -250,7 +250,7 @@
     const auto peer = index ? peer_reports_.find(*index) : peer_reports_.end();
     const bool is_recent = peer != peer_reports_.end() && now - peer->second.received <= report_validity;
     if (stage_ != VoterStage::voting || !is_recent) {
-        effects_.emplace_back(ProposalResult{id, false, "nothing has been heard of its disk lately"});
+        effects_.emplace_back(ProposalResult{id, false, "no recent report about its disk has arrived"});
         return;
     }
     const VoterConfig voter{peer->second.report.disk, member, true};
