--- a/tests/compatibility.cpp
+++ b/tests/compatibility.cpp
@@ -29,13 +29,13 @@
 // The fleet whose voter wrote the recorded store.
 FleetConfig recorded_fleet()
 {
-    FleetConfig file;
-    file.name = "edge";
-    file.id = "m-1";
-    file.members.push_back({"m-1", 0, "127.0.0.1:7946", "a", true, 1});
-    file.members.push_back({"m-2", 0, "127.0.0.1:7947", "b", false, 2});
-    file.duties.push_back({"reports", DutyKind::other, "", seconds(1), 3});
-    return file;
+    FleetConfig config;
+    config.name = "edge";
+    config.id = "m-1";
+    config.members.push_back({"m-1", 0, "127.0.0.1:7946", "a", true, 1});
+    config.members.push_back({"m-2", 0, "127.0.0.1:7947", "b", false, 2});
+    config.duties.push_back({"reports", DutyKind::other, "", seconds(1), 3});
+    return config;
 }
 
 class StoredVoter : public ::testing::Test
@@ -82,15 +82,15 @@
     place("voter.log");
     Store store(disk_);
     ASSERT_EQ(store.open("edge", "m-1", 9), OpenResult::intact);
-    const PersistentState& kept = store.state();
-    EXPECT_EQ(kept.first_index, 449u);
-    EXPECT_EQ(kept.last_index(), 601u);
-    ASSERT_EQ(kept.entries.size(), 153u);
-    for (const LogEntry& entry : kept.entries) {
+    const PersistentState& state = store.state();
+    EXPECT_EQ(state.first_index, 449u);
+    EXPECT_EQ(state.last_index(), 601u);
+    ASSERT_EQ(state.entries.size(), 153u);
+    for (const LogEntry& entry : state.entries) {
         EXPECT_EQ(entry.term, 1u);
         EXPECT_EQ(entry.kind, 1u);
     }
-    const auto last = unpack<std::vector<LeaseCommand>>(kept.entries.back().bytes);
+    const auto last = unpack<std::vector<LeaseCommand>>(state.entries.back().bytes);
     ASSERT_TRUE(last && last->size() == 1);
     const LeaseCommand& command = last->front();
     EXPECT_EQ(command.kind, LeaseCommand::grant);
@@ -105,15 +105,15 @@
 TEST_F(StoredVoter, VotesAgainWithAllThatWasCommitted)
 {
     place("voter.log");
-    const FleetConfig file = recorded_fleet();
-    VoterAgent agent(file, disk_, VoterTiming{}, 3);
+    const FleetConfig config = recorded_fleet();
+    VoterAgent agent(config, disk_, VoterTiming{}, 3);
     TimePoint now{5'000'000};
     std::optional<VoterStatus> status;
     std::optional<LeaseTable> table;
     const auto take = [&](std::vector<VoterAgentEffect> effects) {
         for (VoterAgentEffect& effect : effects) {
-            if (auto* said = std::get_if<VoterStatus>(&effect)) status = std::move(*said);
-            if (auto* said = std::get_if<LeaseTableUpdated>(&effect)) table = std::move(said->table);
+            if (auto* changed = std::get_if<VoterStatus>(&effect)) status = std::move(*changed);
+            if (auto* updated = std::get_if<LeaseTableUpdated>(&effect)) table = std::move(updated->table);
         }
     };
     take(agent.start(now));
@@ -137,46 +137,46 @@
     place("voter-records.log");
     Store store(disk_);
     ASSERT_EQ(store.open("edge", "m-1", 8), OpenResult::intact);
-    const PersistentState& kept = store.state();
+    const PersistentState& state = store.state();
     EXPECT_EQ(store.owner().disk, 7u);
-    EXPECT_EQ(kept.term, 3u);
-    EXPECT_EQ(kept.vote, 9u);
-    EXPECT_EQ(kept.writes, 10u);
-    EXPECT_EQ(kept.snapshot, (LogSnapshot{2, 1, "voters", 1, "table"}));
-    EXPECT_EQ(kept.first_index, 2u);
+    EXPECT_EQ(state.term, 3u);
+    EXPECT_EQ(state.vote, 9u);
+    EXPECT_EQ(state.writes, 10u);
+    EXPECT_EQ(state.snapshot, (LogSnapshot{2, 1, "voters", 1, "table"}));
+    EXPECT_EQ(state.first_index, 2u);
     const std::deque<LogEntry> entries{{1, 1, std::string(60, 'x')}, {3, 1, "two"}, {3, 2, ""}};
-    EXPECT_EQ(kept.entries, entries);
+    EXPECT_EQ(state.entries, entries);
 }
 
 TEST(StoredSnapshot, IsReadFieldByField)
 {
     const auto decoded = decode_member_snapshot(read_data("snapshot"));
     ASSERT_TRUE(std::holds_alternative<MemberSnapshot>(decoded));
-    const auto& memory = std::get<MemberSnapshot>(decoded);
-    EXPECT_EQ(memory.fleet, "edge");
-    EXPECT_EQ(memory.member, "m-1");
-    EXPECT_EQ(memory.incarnation, 12u);
-    EXPECT_EQ(memory.boot_id, "0b5f6f0e-5f4f-4a53-9a1c-1f6f5a3c2d10");
-    EXPECT_EQ(memory.written_at_boot_us, 123456789);
-    EXPECT_EQ(memory.list_version, 41u);
-    EXPECT_EQ(memory.list_text, R"({"rev":41,"all":true,"targets":[]})");
-    EXPECT_EQ(memory.accepted_rate, 153.25);
-    EXPECT_EQ(memory.total_capacity, 12.5);
-    EXPECT_EQ(memory.peer_count, 3u);
-    ASSERT_EQ(memory.reductions.size(), 2u);
-    EXPECT_EQ(memory.reductions[0].upstream_hash, 0x1122334455667788u);
-    EXPECT_EQ(memory.reductions[0].reduction, 0.25f);
-    EXPECT_EQ(memory.reductions[0].remaining_us, 1500000);
-    EXPECT_EQ(memory.reductions[1].upstream_hash, 9u);
-    EXPECT_EQ(memory.reductions[1].reduction, 1.0f);
-    EXPECT_EQ(memory.reductions[1].remaining_us, 40);
-    ASSERT_EQ(memory.seen_epochs.size(), 2u);
-    EXPECT_EQ(memory.seen_epochs[0].duty, "list");
-    EXPECT_EQ(memory.seen_epochs[0].epoch, 7u);
-    EXPECT_EQ(memory.seen_epochs[1].duty, "reports");
-    EXPECT_EQ(memory.seen_epochs[1].epoch, 9u);
-    EXPECT_EQ(memory.open_request_ids, (std::vector<std::string>{"9b1f03aa5c7e2d41", "b-2"}));
-    EXPECT_EQ(encode_member_snapshot(memory), read_data("snapshot"));
+    const auto& snapshot = std::get<MemberSnapshot>(decoded);
+    EXPECT_EQ(snapshot.fleet, "edge");
+    EXPECT_EQ(snapshot.member, "m-1");
+    EXPECT_EQ(snapshot.incarnation, 12u);
+    EXPECT_EQ(snapshot.boot_id, "0b5f6f0e-5f4f-4a53-9a1c-1f6f5a3c2d10");
+    EXPECT_EQ(snapshot.written_at_boot_us, 123456789);
+    EXPECT_EQ(snapshot.list_version, 41u);
+    EXPECT_EQ(snapshot.list_text, R"({"rev":41,"all":true,"targets":[]})");
+    EXPECT_EQ(snapshot.accepted_rate, 153.25);
+    EXPECT_EQ(snapshot.total_capacity, 12.5);
+    EXPECT_EQ(snapshot.peer_count, 3u);
+    ASSERT_EQ(snapshot.reductions.size(), 2u);
+    EXPECT_EQ(snapshot.reductions[0].upstream_hash, 0x1122334455667788u);
+    EXPECT_EQ(snapshot.reductions[0].reduction, 0.25f);
+    EXPECT_EQ(snapshot.reductions[0].remaining_us, 1500000);
+    EXPECT_EQ(snapshot.reductions[1].upstream_hash, 9u);
+    EXPECT_EQ(snapshot.reductions[1].reduction, 1.0f);
+    EXPECT_EQ(snapshot.reductions[1].remaining_us, 40);
+    ASSERT_EQ(snapshot.seen_epochs.size(), 2u);
+    EXPECT_EQ(snapshot.seen_epochs[0].duty, "list");
+    EXPECT_EQ(snapshot.seen_epochs[0].epoch, 7u);
+    EXPECT_EQ(snapshot.seen_epochs[1].duty, "reports");
+    EXPECT_EQ(snapshot.seen_epochs[1].epoch, 9u);
+    EXPECT_EQ(snapshot.open_request_ids, (std::vector<std::string>{"9b1f03aa5c7e2d41", "b-2"}));
+    EXPECT_EQ(encode_member_snapshot(snapshot), read_data("snapshot"));
 }
 
 // One message of each type, with the field values it was recorded with.
@@ -239,16 +239,16 @@
     const std::string recorded = read_data("frames.bin");
     FrameReader reader;
     reader.take(recorded);
-    std::string again;
+    std::string encoded;
     uint32_t number = 0;
     while (reader.next() == FrameReader::State::message) {
         const size_t kind = number < std::variant_size_v<Message> ? number : Message(RaftMessage{}).index();
         EXPECT_EQ(reader.message().index(), kind);
-        again += encode_frame(reader.message(), number++);
+        encoded += encode_frame(reader.message(), number++);
     }
     EXPECT_STREQ(reader.why(), "");
     EXPECT_EQ(number, std::variant_size_v<Message> + 5);
-    EXPECT_EQ(again, recorded);
+    EXPECT_EQ(encoded, recorded);
 }
 
 // After one message of each type, the recording holds the remaining messages between voters.
--- a/tests/fleet_store.cpp
+++ b/tests/fleet_store.cpp
@@ -1,5 +1,5 @@
-// Opens a voter's log truncated at every byte and with every bit flipped. Each time, the store must either
-// restore everything that was acknowledged or refuse the file.
+// Opens a voter's log truncated at every byte and with every bit flipped. Each time, the store must restore
+// everything that was acknowledged, refuse the file, or show by a lower write count that records are missing.
 #include <cstdio>
 #include <map>
 
@@ -11,22 +11,22 @@
 namespace
 {
 
-constexpr const char* file = "voter.log";
+constexpr const char* file_name = "voter.log";
 
 // The file size and the state acknowledged by one sync.
-struct Said {
-    size_t bytes;
-    PersistentState kept;
+struct SyncedState {
+    size_t file_bytes;
+    PersistentState state;
 };
 
-std::vector<Said> write(simulation::Disk& disk)
+std::vector<SyncedState> write_sample(simulation::Disk& disk)
 {
-    std::vector<Said> said;
+    std::vector<SyncedState> synced;
     Store store(disk);
-    std::printf("at first: %s\n", to_string(store.open("edge", "a", 7)));
+    std::printf("first open: %s\n", to_string(store.open("edge", "a", 7)));
     const auto sync = [&] {
         if (!store.sync()) std::printf("SYNC FAILED\n");
-        said.push_back({store.file_bytes(), store.state()});
+        synced.push_back({store.file_bytes(), store.state()});
     };
     sync();
     store.set_term(1, 0), sync();
@@ -34,45 +34,45 @@
     store.set_term(3, 9), sync();
     store.truncate(2);
     store.append({{3, 1, "two"}, {3, 2, ""}}), sync();
-    return said;
+    return synced;
 }
 
 std::string bytes_of(simulation::Disk& disk)
 {
     std::optional<std::string> text;
-    (void)disk.read(file, text);
+    (void)disk.read(file_name, text);
     return text.value_or("");
 }
 
-OpenResult open(const std::string& bytes, PersistentState& kept, const char* member = "a")
+OpenResult open(const std::string& bytes, PersistentState& state, const char* member = "a")
 {
     simulation::Disk disk;
-    (void)disk.replace(file, bytes);
+    (void)disk.replace(file_name, bytes);
     Store store(disk);
     const auto opened = store.open("edge", member, 8);
-    kept = store.state();
+    state = store.state();
     return opened;
 }
 
-void errors()
+void report_disk_errors()
 {
-    for (const char* what : {"full", "broken"}) {
+    for (const char* fault : {"full", "broken"}) {
         simulation::Disk disk;
         Store store(disk);
         (void)store.open("edge", "a", 7);
         store.set_term(1, 0);
         (void)store.sync();
-        (what[0] == 'f' ? disk.full : disk.broken) = true;
+        (fault[0] == 'f' ? disk.full : disk.broken) = true;
         store.set_term(2, 5);
-        const bool well = store.sync();
+        const bool succeeded = store.sync();
         disk.full = disk.broken = false;
-        std::printf("%s: %s, and then %s: %s\n", what, well ? "well" : "failed",
-                    store.sync() ? "well" : "still failed", store.error()->text().c_str());
-        Store again(disk);
-        const auto opened = again.open("edge", "a", 8);
-        std::printf("  opened again: %s, term %llu, disk %llu\n", to_string(opened),
-                    static_cast<unsigned long long>(again.state().term),
-                    static_cast<unsigned long long>(again.owner().disk));
+        std::printf("%s: sync %s, repeated sync %s: %s\n", fault, succeeded ? "succeeded" : "failed",
+                    store.sync() ? "succeeded" : "failed", store.error()->text().c_str());
+        Store reopened(disk);
+        const auto opened = reopened.open("edge", "a", 8);
+        std::printf("  reopened: %s, term %llu, disk %llu\n", to_string(opened),
+                    static_cast<unsigned long long>(reopened.state().term),
+                    static_cast<unsigned long long>(reopened.owner().disk));
     }
 }
 
@@ -81,56 +81,61 @@
 int main()
 {
     simulation::Disk disk;
-    const auto said = write(disk);
-    const auto whole = bytes_of(disk);
-    std::map<std::string, size_t> seen;
-    size_t wrong = 0;
-    for (size_t cut = 0; cut <= whole.size(); ++cut) {
-        PersistentState kept;
-        const auto opened = open(whole.substr(0, cut), kept);
-        ++seen[to_string(opened)];
+    const auto synced = write_sample(disk);
+    const auto complete = bytes_of(disk);
+    std::map<std::string, size_t> results;
+    size_t violations = 0;
+    for (size_t cut = 0; cut <= complete.size(); ++cut) {
+        PersistentState state;
+        const auto opened = open(complete.substr(0, cut), state);
+        ++results[to_string(opened)];
         if (opened != OpenResult::intact && opened != OpenResult::truncated) continue;
-        // The state must not go beyond what was written or fall behind what was acknowledged at this size.
-        const Said* last = nullptr;
-        for (const Said& s : said)
-            if (s.bytes <= cut) last = &s;
-        wrong += !last || kept.writes < last->kept.writes || kept.term < last->kept.term;
-        if (cut == whole.size()) wrong += !(kept == said.back().kept);
+        // The state must include what was acknowledged at this size; the complete file must restore exactly
+        // what was written.
+        const SyncedState* last = nullptr;
+        for (const SyncedState& each : synced)
+            if (each.file_bytes <= cut) last = &each;
+        violations += !last || state.writes < last->state.writes || state.term < last->state.term;
+        if (cut == complete.size()) violations += !(state == synced.back().state);
     }
-    std::printf("cut at every byte of the file: %zu wrong\n", wrong);
-    for (const auto& [what, n] : seen) std::printf("  %s%s\n", what.c_str(), n ? "" : " never");
-    wrong = 0;
-    seen.clear();
-    for (size_t bit = 0; bit < whole.size() * 8; ++bit) {
-        auto bytes = whole;
+    std::printf("truncated at every byte: %zu violations\n", violations);
+    for (const auto& [result, count] : results)
+        std::printf("  %s%s\n", result.c_str(), count ? "" : " never");
+    violations = 0;
+    results.clear();
+    for (size_t bit = 0; bit < complete.size() * 8; ++bit) {
+        auto bytes = complete;
         bytes[bit / 8] = static_cast<char>(bytes[bit / 8] ^ 1 << bit % 8);
-        PersistentState kept;
-        const auto opened = open(bytes, kept);
-        ++seen[to_string(opened)];
+        PersistentState state;
+        const auto opened = open(bytes, state);
+        ++results[to_string(opened)];
         // A flip that looks like an incomplete last record must lower the write count, so that other voters
         // detect the loss.
-        if (opened == OpenResult::intact || opened == OpenResult::created) ++wrong;
-        if (opened == OpenResult::truncated && kept.writes >= said.back().kept.writes) ++wrong;
+        if (opened == OpenResult::intact || opened == OpenResult::created) ++violations;
+        if (opened == OpenResult::truncated && state.writes >= synced.back().state.writes) ++violations;
     }
-    std::printf("each bit turned: %zu wrong\n", wrong);
-    for (const auto& [what, n] : seen) std::printf("  %s%s\n", what.c_str(), n ? "" : " never");
-    PersistentState kept;
-    std::printf("another member's: %s\n", to_string(open(whole, kept, "b")));
+    std::printf("every bit flipped: %zu violations\n", violations);
+    for (const auto& [result, count] : results)
+        std::printf("  %s%s\n", result.c_str(), count ? "" : " never");
+    PersistentState state;
+    std::printf("opened by another member: %s\n", to_string(open(complete, state, "b")));
     {
         simulation::Disk small;
-        (void)small.replace(file, whole);
+        (void)small.replace(file_name, complete);
         Store store(small);
         (void)store.open("edge", "a", 8);
         const auto before = store.state().writes;
-        const bool well = store.install_snapshot({3, 3, "v", 1, "table"}, 1);
-        std::printf("a snapshot: %s, entries from %llu to %llu, the count goes on: %s\n",
-                    well ? "well" : "failed", static_cast<unsigned long long>(store.state().first_index),
+        const bool installed = store.install_snapshot({3, 3, "v", 1, "table"}, 1);
+        std::printf("snapshot %s, entries %llu to %llu, write count continues: %s\n",
+                    installed ? "installed" : "failed",
+                    static_cast<unsigned long long>(store.state().first_index),
                     static_cast<unsigned long long>(store.state().last_index()),
                     store.state().writes > before ? "yes" : "no");
-        const auto held = store.state();
-        std::printf("  read again: %s\n", open(bytes_of(small), kept) == OpenResult::intact && kept == held
-                                              ? "the same"
-                                              : "OTHERWISE");
+        const auto expected = store.state();
+        std::printf("  reopened: %s\n",
+                    open(bytes_of(small), state) == OpenResult::intact && state == expected
+                        ? "same state"
+                        : "DIFFERENT STATE");
     }
-    errors();
+    report_disk_errors();
 }
