--- a/src/fleet/consensus/raft_environment.cpp
+++ b/src/fleet/consensus/raft_environment.cpp
@@ -175,9 +175,9 @@
     return static_cast<raft_time>(environment_of(io).now_.us / microseconds_per_millisecond);
 }
 
-int RaftEnvironment::random(raft_io* io, int least, int most)
+int RaftEnvironment::random(raft_io* io, int min, int max)
 {
-    return std::uniform_int_distribution<int>(least, most)(environment_of(io).random_);
+    return std::uniform_int_distribution<int>(min, max)(environment_of(io).random_);
 }
 
 // The snapshot is allocated with libraft's allocator; libraft releases it.
--- a/src/fleet/consensus/raft_environment.h
+++ b/src/fleet/consensus/raft_environment.h
@@ -59,7 +59,7 @@
                             const raft_snapshot* snapshot, raft_io_snapshot_put_cb done);
     static int get_snapshot(raft_io* io, raft_io_snapshot_get* request, raft_io_snapshot_get_cb done);
     static raft_time time(raft_io* io);
-    static int random(raft_io* io, int least, int most);
+    static int random(raft_io* io, int min, int max);
 
     raft_snapshot* stored_snapshot() const;
 
--- a/src/fleet/consensus/voter_agent.cpp
+++ b/src/fleet/consensus/voter_agent.cpp
@@ -250,7 +250,7 @@
     const auto peer = index ? peer_reports_.find(*index) : peer_reports_.end();
     const bool is_recent = peer != peer_reports_.end() && now - peer->second.received <= report_validity;
     if (stage_ != VoterStage::voting || !is_recent) {
-        effects_.emplace_back(ProposalResult{id, false, "no recent report about its disk has arrived"});
+        effects_.emplace_back(ProposalResult{id, false, "no recent report of its disk has arrived"});
         return;
     }
     const VoterConfig voter{peer->second.report.disk, member, true};
--- a/src/fleet/lease/lease_manager.cpp
+++ b/src/fleet/lease/lease_manager.cpp
@@ -229,10 +229,10 @@
 std::optional<MemberIndex> LeaseManager::choose_holder(const std::string& duty, const Loads& loads) const
 {
     if (loads.empty()) return {};
-    const auto spread =
+    const auto balanced_duties =
         static_cast<size_t>(std::count_if(config_.duties.begin(), config_.duties.end(),
                                           [](const Duty& each) { return each.kind != DutyKind::drain; }));
-    const size_t even_share = (spread + loads.size() - 1) / loads.size();
+    const size_t even_share = (balanced_duties + loads.size() - 1) / loads.size();
     std::optional<MemberIndex> best;
     for (const auto& [member, load] : loads) {
         if (load >= even_share) continue;
--- a/src/fleet/lease/lease_transfer.cpp
+++ b/src/fleet/lease/lease_transfer.cpp
@@ -26,11 +26,11 @@
     const Loads loads = sessions_.loads(now, *table_);
     if (loads.size() < 2) return;
     const auto by_load = [](const auto& left, const auto& right) { return left.second < right.second; };
-    const auto [least, least_load] = *std::min_element(loads.begin(), loads.end(), by_load);
-    const auto [most, most_load] = *std::max_element(loads.begin(), loads.end(), by_load);
-    if (most_load <= least_load + tolerated_imbalance) return;
-    if (const Duty* duty = duty_to_move(most, least))
-        transfers_[duty->name] = {least, table_->entry(duty->name).epoch, now, {}, {}};
+    const auto [least_loaded, lowest_load] = *std::min_element(loads.begin(), loads.end(), by_load);
+    const auto [most_loaded, highest_load] = *std::max_element(loads.begin(), loads.end(), by_load);
+    if (highest_load <= lowest_load + tolerated_imbalance) return;
+    if (const Duty* duty = duty_to_move(most_loaded, least_loaded))
+        transfers_[duty->name] = {least_loaded, table_->entry(duty->name).epoch, now, {}, {}};
 }
 
 // Of the duties that `from` holds, picks the one with the highest rank for `to`. Duties placed by an operator
--- a/src/fleet/outlier/outlier_gossip.cpp
+++ b/src/fleet/outlier/outlier_gossip.cpp
@@ -21,7 +21,8 @@
 constexpr double report_bytes = 48, frame_bytes = 40;
 // Number of good responses that halves the weight of others' reports.
 constexpr double own_answer_weight = 3;
-// Added to the severity of own reports when reports are ordered, on the scale of the encoded reduction.
+// Added to the severity of own reports when reports are ordered, on the scale of the encoded reduction (0 to
+// 255).
 constexpr int own_report_bonus = 32;
 constexpr double full_reduction = 255;  // a reduction of 1 as it is encoded
 constexpr int64_t microseconds_per_millisecond = 1000;
--- a/src/fleet/quota/quota_allocator.cpp
+++ b/src/fleet/quota/quota_allocator.cpp
@@ -42,10 +42,10 @@
 
 double QuotaAllocator::Holder::outstanding(TimePoint now) const
 {
-    double most = 0;
+    double highest_rate = 0;
     for (const OutstandingGrant& grant : grants)
-        if (now < grant.expires_at) most = std::max(most, grant.rate);
-    return most;
+        if (now < grant.expires_at) highest_rate = std::max(highest_rate, grant.rate);
+    return highest_rate;
 }
 
 // Max-min fairness: each holder gets its demand, up to a common limit; what is left is shared evenly.
@@ -56,13 +56,13 @@
         if (now - each.last_request < config_.length * 2)
             demands.push_back(std::max(each.demand, min_demand));
     std::sort(demands.begin(), demands.end());
-    double left = total;
+    double remaining = total;
     for (size_t i = 0; i < demands.size(); ++i) {
-        const double level = left / static_cast<double>(demands.size() - i);
+        const double level = remaining / static_cast<double>(demands.size() - i);
         if (demands[i] >= level) return std::min(holder.demand, level);
-        left -= demands[i];
+        remaining -= demands[i];
     }
-    return holder.demand + left / static_cast<double>(std::max<size_t>(1, demands.size()));
+    return holder.demand + remaining / static_cast<double>(std::max<size_t>(1, demands.size()));
 }
 
 QuotaAllocator::Pool& QuotaAllocator::pool_of(TimePoint now, BudgetName name)
