--- a/src/fleet/consensus/voter.cpp
+++ b/src/fleet/consensus/voter.cpp
@@ -65,7 +65,7 @@
     std::optional<VoterFault> start_fault;
     VoterState reported;
 
-    Core(Store& to_store, VoterTiming times, uint64_t seed, StateMachine& applied_to)
+    Core(Store& to_store, VoterTiming timing, uint64_t seed, StateMachine& applied_to)
         : store(to_store), machine(applied_to), environment(to_store, effects, seed)
     {
         fsm.version = 1;
@@ -76,8 +76,8 @@
         const StoreOwner& owner = store.owner();
         const std::string address = address_of({owner.disk, owner.member, true});
         raft_init(&library, environment.io(), &fsm, owner.disk, address.c_str());
-        raft_set_election_timeout(&library, milliseconds_of(times.election_timeout));
-        raft_set_heartbeat_timeout(&library, milliseconds_of(times.heartbeat_interval));
+        raft_set_election_timeout(&library, milliseconds_of(timing.election_timeout));
+        raft_set_heartbeat_timeout(&library, milliseconds_of(timing.heartbeat_interval));
         raft_set_pre_vote(&library, true);
         raft_set_snapshot_threshold(&library, snapshot_threshold);
         raft_set_snapshot_trailing(&library, snapshot_trailing);
@@ -157,7 +157,7 @@
     }
 
     // libraft owns an accepted request until it completes; a rejected one is reported as failed.
-    void keep_or_fail(std::unique_ptr<PendingChange> request, int error)
+    void release_or_fail(std::unique_ptr<PendingChange> request, int error)
     {
         if (error)
             effects.emplace_back(ProposalResult{request->id, false, raft_errmsg(&library)});
@@ -166,8 +166,8 @@
     }
 };
 
-Voter::Voter(Store& store, VoterTiming times, uint64_t seed, StateMachine& machine)
-    : core_(std::make_unique<Core>(store, times, seed, machine))
+Voter::Voter(Store& store, VoterTiming timing, uint64_t seed, StateMachine& machine)
+    : core_(std::make_unique<Core>(store, timing, seed, machine))
 {
 }
 
@@ -248,7 +248,7 @@
                 ? raft_assign(library, &request->request, voter.disk, RAFT_VOTER, &PendingChange::complete)
                 : raft_add(library, &request->request, voter.disk, address_of(voter).c_str(),
                            &PendingChange::complete);
-        core_->keep_or_fail(std::move(request), error);
+        core_->release_or_fail(std::move(request), error);
     });
 }
 
@@ -257,7 +257,7 @@
     return run(now, [&] {
         auto request = std::make_unique<PendingChange>(id, core_->effects);
         const int error = raft_remove(&core_->library, &request->request, disk, &PendingChange::complete);
-        core_->keep_or_fail(std::move(request), error);
+        core_->release_or_fail(std::move(request), error);
     });
 }
 
--- a/src/fleet/consensus/voter.h
+++ b/src/fleet/consensus/voter.h
@@ -91,7 +91,7 @@
 {
   public:
     // `store` and `machine` must outlive the voter.
-    Voter(Store& store, VoterTiming times, uint64_t seed, StateMachine& machine);
+    Voter(Store& store, VoterTiming timing, uint64_t seed, StateMachine& machine);
     ~Voter();
     Voter(const Voter&) = delete;
     Voter& operator=(const Voter&) = delete;
--- a/src/fleet/consensus/voter_agent.cpp
+++ b/src/fleet/consensus/voter_agent.cpp
@@ -35,8 +35,8 @@
     LeaseTable table_;
 };
 
-VoterAgent::VoterAgent(const FleetConfig& config, FileSystem& files, VoterTiming times, uint64_t seed)
-    : config_(config), files_(files), times_(times), random_(static_cast<uint32_t>(seed ^ seed >> 32))
+VoterAgent::VoterAgent(const FleetConfig& config, FileSystem& files, VoterTiming timing, uint64_t seed)
+    : config_(config), files_(files), timing_(timing), random_(static_cast<uint32_t>(seed ^ seed >> 32))
 {
 }
 
@@ -106,7 +106,7 @@
 void VoterAgent::start_voter(TimePoint now, const std::vector<VoterConfig>& bootstrap)
 {
     voter_.reset();
-    voter_ = std::make_unique<Voter>(*store_, times_, random_(), *leases_);
+    voter_ = std::make_unique<Voter>(*store_, timing_, random_(), *leases_);
     if (!bootstrap.empty() && !voter_->bootstrap(bootstrap))
         fault_ = VoterFault{"the log could not be bootstrapped"};
     process_effects(voter_->start(now));
--- a/src/fleet/consensus/voter_agent.h
+++ b/src/fleet/consensus/voter_agent.h
@@ -67,7 +67,7 @@
 {
   public:
     // `config` and `files` must outlive the agent.
-    VoterAgent(const FleetConfig& config, FileSystem& files, VoterTiming times, uint64_t seed);
+    VoterAgent(const FleetConfig& config, FileSystem& files, VoterTiming timing, uint64_t seed);
     ~VoterAgent();
     VoterAgent(const VoterAgent&) = delete;
     VoterAgent& operator=(const VoterAgent&) = delete;
@@ -120,7 +120,7 @@
 
     const FleetConfig& config_;
     FileSystem& files_;
-    const VoterTiming times_;
+    const VoterTiming timing_;
     std::ranlux24_base random_;
     std::unique_ptr<Store> store_;
     std::unique_ptr<LeaseStateMachine> leases_;
--- a/src/fleet/lease/fencing_guard.cpp
+++ b/src/fleet/lease/fencing_guard.cpp
@@ -3,10 +3,10 @@
 namespace firtide::fleet
 {
 
-bool FencingGuard::accept(const std::string& duty, Epoch epoch, uint64_t number)
+bool FencingGuard::accept(const std::string& duty, Epoch epoch, uint64_t sequence_number)
 {
     Position& newest = newest_[duty];
-    const Position position{epoch, number};
+    const Position position{epoch, sequence_number};
     if (position <= newest) return false;
     newest = position;
     return true;
--- a/src/fleet/lease/fencing_guard.h
+++ b/src/fleet/lease/fencing_guard.h
@@ -17,7 +17,7 @@
   public:
     // Accepts and records an effect that is newer than all accepted before it. Returns false for an effect
     // with a lower epoch and for one that was already accepted.
-    [[nodiscard]] bool accept(const std::string& duty, Epoch epoch, uint64_t number);
+    [[nodiscard]] bool accept(const std::string& duty, Epoch epoch, uint64_t sequence_number);
 
     // Records that a duty has reached this epoch, without an effect.
     void observe_epoch(const std::string& duty, Epoch epoch) { (void)accept(duty, epoch, 0); }
@@ -28,7 +28,7 @@
   private:
     struct Position {
         Epoch epoch = 0;
-        uint64_t number = 0;
+        uint64_t sequence_number = 0;
         auto operator<=>(const Position&) const = default;
     };
 
--- a/src/fleet/outlier/outlier_gossip.cpp
+++ b/src/fleet/outlier/outlier_gossip.cpp
@@ -20,7 +20,7 @@
 constexpr size_t max_upstreams = 10000;
 constexpr double report_bytes = 48, frame_bytes = 40;
 // Number of good responses that halves the weight of others' reports.
-constexpr double own_answer_weight = 3;
+constexpr double own_response_weight = 3;
 // Added to the severity of own reports when reports are ordered, on the scale of the encoded reduction (0 to
 // 255).
 constexpr int own_report_bonus = 32;
@@ -187,7 +187,7 @@
 {
     const TimePoint last_good = now - own.last_good_response_age - (now - evidence_at_);
     if (own.bad_responses > 0 || own.good_responses == 0 || last_good < found) return 1;
-    return own_answer_weight / (own_answer_weight + own.good_responses);
+    return own_response_weight / (own_response_weight + own.good_responses);
 }
 
 OutlierGossip::PeerSummary OutlierGossip::summarize_peers(TimePoint now, const Reports& reports) const
