--- a/src/fleet/lease/lease_manager.cpp
+++ b/src/fleet/lease/lease_manager.cpp
@@ -12,8 +12,8 @@
 {
 
 constexpr Duration max_batch_interval = seconds(0.15);
-constexpr double settling_intervals = 1.2;  // renewal intervals after an election without new grants
-constexpr double disabled_expiry = 0.3;     // see DisabledChecks::full_expiry
+constexpr double settling_intervals = 1.2;  // no new grants for this many renewal intervals after an election
+constexpr double early_expiry_fraction = 0.3;  // fraction of a lease; see DisabledChecks::full_expiry
 
 // The part of a duty's name before the dot.
 std::string family_of(const std::string& duty) { return duty.substr(0, duty.find('.')); }
@@ -22,7 +22,7 @@
 
 LeaseManager::LeaseManager(const FleetConfig& config, uint64_t seed) : config_(config), sessions_(config)
 {
-    // So that a restarted leader does not take the result of an earlier proposal for its own.
+    // A random start keeps a restarted leader from mistaking the result of an earlier proposal for its own.
     std::ranlux24_base random(static_cast<uint32_t>(seed ^ seed >> 32));
     last_proposal_id_ = uint64_t{random()} << 32;
 }
@@ -43,7 +43,8 @@
 void LeaseManager::on_stepped_down()
 {
     if (!std::exchange(is_leader_, false)) return;
-    for (const auto& [duty, transfer] : transfers_) report(transfer.origin, false, "the leader stepped down");
+    for (const auto& [duty, transfer] : transfers_)
+        report_result(transfer.origin, false, "the leader stepped down");
     transfers_.clear();
     pending_renewals_.clear();
     pending_proposals_.clear();
@@ -53,7 +54,7 @@
 void LeaseManager::tick(TimePoint now)
 {
     if (!is_leader_ || !table_) return;
-    drive_transfers(now);
+    advance_transfers(now);
     assign_leases(now);
     rebalance(now);
     propose_pending_renewals(now);
@@ -68,12 +69,12 @@
     sessions_.record(now, from, request);
     for (const SeenEpoch& seen : request.seen_epochs)
         epoch_floors_[seen.duty] = std::max(epoch_floors_[seen.duty], seen.epoch);
-    for (const SeenEpoch& lease : request.given_up) take_back(now, from, request.instance, lease);
+    for (const SeenEpoch& lease : request.given_up) release_and_regrant(now, from, request.instance, lease);
     // A later renewal of the same instance replaces the earlier one.
     std::erase_if(pending_renewals_, [&](const PendingRenewal& renewal) {
         return renewal.from == from && renewal.request.instance == request.instance;
     });
-    if (disabled_checks.confirm_by_majority && table_) return answer({from, request}, *table_);
+    if (disabled_checks.confirm_by_majority && table_) return send_response({from, request}, *table_);
     pending_renewals_.push_back({from, request});
 }
 
@@ -83,7 +84,7 @@
     if (!pending_renewals_.empty() && now - last_proposal_ >= batch) propose(now, {});
 }
 
-// Pending renewals are confirmed by whatever is committed next.
+// Pending renewals are answered once this proposal is committed.
 void LeaseManager::propose(TimePoint now, std::vector<LeaseCommand> commands)
 {
     if (commands.empty()) commands.push_back({});
@@ -100,12 +101,12 @@
     const PendingProposal pending = std::move(node.mapped());
     for (const LeaseCommand& command : pending.commands) pending_duties_.erase(command.duty);
     if (!is_leader_ || !committed) return;
-    for (const PendingRenewal& renewal : pending.renewals) answer(renewal, table);
+    for (const PendingRenewal& renewal : pending.renewals) send_response(renewal, table);
     notify_grantees(pending.commands, table);
-    finish_transfers(pending.commands, table);
+    complete_transfers(pending.commands, table);
 }
 
-void LeaseManager::answer(const PendingRenewal& renewal, const LeaseTable& table)
+void LeaseManager::send_response(const PendingRenewal& renewal, const LeaseTable& table)
 {
     const LeaseRenewRequest& request = renewal.request;
     LeaseRenewResponse response{term_, request.nonce, table.version(), false, {}};
@@ -119,12 +120,12 @@
     sends_.push_back({renewal.from, std::move(response)});
 }
 
-// Whoever was granted something hears of it at once, without a nonce: that renews nothing.
+// Notifies members of new grants at once. The response has no nonce, so it renews no lease.
 void LeaseManager::notify_grantees(const std::vector<LeaseCommand>& commands, const LeaseTable& table)
 {
     std::set<MemberIndex> notified;
     for (const LeaseCommand& command : commands) {
-        if (command.what != LeaseCommand::grant) continue;
+        if (command.kind != LeaseCommand::grant) continue;
         const auto entry = table.entry(command.duty);
         const auto member = config_.member_of(command.holder);
         const bool granted = entry.holder == command.holder && entry.instance == command.instance;
@@ -143,13 +144,13 @@
 
 // ---- grants ----
 
-// Whether nobody can hold it any more, by whatever clock within the stated drift.
+// Whether the lease can no longer be in force by any clock within the configured drift.
 bool LeaseManager::is_expired(TimePoint now, const LeaseTable::Entry& lease) const
 {
     const auto renewed = sessions_.last_renewal(lease.holder, lease.instance);
     TimePoint last = renewed ? std::max(elected_at_, *renewed) : elected_at_;
     if (disabled_checks.wait_after_election && !renewed) last = elected_at_ - config_.lease.length;
-    const Duration length = config_.lease.length * (disabled_checks.full_expiry ? disabled_expiry : 1);
+    const Duration length = config_.lease.length * (disabled_checks.full_expiry ? early_expiry_fraction : 1);
     return now - last > length;
 }
 
@@ -166,15 +167,15 @@
                                 std::vector<LeaseCommand>& commands)
 {
     const auto lease = table_->entry(duty.name);
-    // After an election, who is live shows within one renewal: the first to ask must not be granted
-    // everything.
+    // It takes one renewal interval after an election to learn which members are live. Until then, duties
+    // without a holder are not granted, so that the first member to renew does not get every duty.
     const Duration settling = config_.lease.length * (lease_timing::renewal_interval * settling_intervals);
     const bool settled = now - elected_at_ > settling;
     if (lease.holder ? !is_expired(now, lease) : !settled) return;
     if (lease.holder) release_expired(duty, lease, loads, commands);
     if (duty.kind == DutyKind::drain) return grant_permit(now, duty, commands);
     const auto target = live_transfer_target(now, duty.name);
-    const auto to = target ? target : choose(duty.name, loads);
+    const auto to = target ? target : choose_holder(duty.name, loads);
     if (!to) return;
     ++loads[*to];
     grant(commands, duty.name, *to, transfers_.count(duty.name) ? "handed over" : "nobody held it");
@@ -185,17 +186,17 @@
 {
     commands.push_back({LeaseCommand::release, duty.name, lease.epoch, 0, 0, "its lease ran out", false});
     pending_duties_.insert(duty.name);
-    // It must not be granted again to the member that it is taken from.
+    // The duty must not be granted again to the member that it is taken from.
     if (const auto member = config_.member_of(lease.holder)) loads.erase(*member);
 }
 
-// Permits go to the members that have asked, in the order of asking; one for each member.
+// Permits are granted in the order of the requests, at most one to each member.
 void LeaseManager::grant_permit(TimePoint now, const Duty& duty, std::vector<LeaseCommand>& commands)
 {
     const std::string family = family_of(duty.name);
     std::optional<MemberIndex> first;
     TimePoint first_requested;
-    for (const auto& [member, session] : sessions_.all()) {
+    for (const auto& [member, session] : sessions_.sessions()) {
         const auto requested = session.requested.find(family);
         if (!sessions_.is_live(now, member) || requested == session.requested.end()) continue;
         if (has_permit(member, session, family, commands)) continue;
@@ -206,7 +207,7 @@
     if (first) grant(commands, duty.name, *first, "its turn");
 }
 
-// Also where it is granted by a proposal that is not committed yet.
+// Also considers grants of proposals that are not committed yet.
 bool LeaseManager::has_permit(MemberIndex member, const LeaseSession& session, const std::string& family,
                               const std::vector<LeaseCommand>& commands) const
 {
@@ -224,14 +225,14 @@
     });
 }
 
-// Of the members that hold fewer than an even share, the one that ranks highest for this duty.
-std::optional<MemberIndex> LeaseManager::choose(const std::string& duty, const Loads& loads) const
+// Of the members that hold less than an even share, picks the one with the highest rank for this duty.
+std::optional<MemberIndex> LeaseManager::choose_holder(const std::string& duty, const Loads& loads) const
 {
     if (loads.empty()) return {};
-    const auto spread =
+    const auto balanced_duties =
         static_cast<size_t>(std::count_if(config_.duties.begin(), config_.duties.end(),
                                           [](const Duty& each) { return each.kind != DutyKind::drain; }));
-    const size_t even_share = (spread + loads.size() - 1) / loads.size();
+    const size_t even_share = (balanced_duties + loads.size() - 1) / loads.size();
     std::optional<MemberIndex> best;
     for (const auto& [member, load] : loads) {
         if (load >= even_share) continue;
@@ -248,25 +249,26 @@
     const auto floor = epoch_floors_.find(duty);
     const auto transfer = transfers_.find(duty);
     LeaseCommand command;
-    command.what = LeaseCommand::grant;
+    command.kind = LeaseCommand::grant;
     command.duty = duty;
     command.epoch = floor == epoch_floors_.end() ? 0 : floor->second;
     command.holder = config_.members[to].key;
     command.instance = sessions_.instance_of(to);
-    command.why = reason;
-    command.placed = transfer != transfers_.end() && transfer->second.origin && transfer->second.to == to;
+    command.reason = reason;
+    command.pinned = transfer != transfers_.end() && transfer->second.origin && transfer->second.target == to;
     commands.push_back(std::move(command));
     pending_duties_.insert(duty);
 }
 
 void LeaseManager::on_release(TimePoint now, MemberIndex from, const LeaseRelease& release)
 {
-    if (is_leader_) take_back(now, from, release.instance, {release.duty, release.epoch});
+    if (is_leader_) release_and_regrant(now, from, release.instance, {release.duty, release.epoch});
 }
 
-// The holder says that it does not hold a lease any more. The next grant is in the same entry of the log, so
-// that nobody holds the duty for as short as possible.
-void LeaseManager::take_back(TimePoint now, MemberIndex from, InstanceId instance, const SeenEpoch& lease)
+// Releases a lease that its holder has given up. The next grant goes into the same log entry, so that the
+// duty is without a holder for as short as possible.
+void LeaseManager::release_and_regrant(TimePoint now, MemberIndex from, InstanceId instance,
+                                       const SeenEpoch& lease)
 {
     if (!table_) return;
     const auto entry = table_->entry(lease.duty);
@@ -288,7 +290,7 @@
     if (const auto target = live_transfer_target(now, duty)) return target;
     Loads loads = sessions_.loads(now, *table_);
     loads.erase(last_holder);
-    if (const auto chosen = choose(duty, loads)) return chosen;
+    if (const auto chosen = choose_holder(duty, loads)) return chosen;
     if (loads.empty()) return {};
     return loads.begin()->first;
 }
--- a/src/fleet/outlier/outlier_gossip.cpp
+++ b/src/fleet/outlier/outlier_gossip.cpp
@@ -7,17 +7,24 @@
 namespace
 {
 
-constexpr double min_reduction = 0.1;               // of an entry that is worth a report
-constexpr Duration repeat_interval = seconds(0.5);  // of the same finding, with new evidence
-constexpr double start_repeat = 0.5;                // the same of a start alone: of the validity
-constexpr size_t max_reporters = 3;                 // whose reports on one upstream are passed on
-constexpr size_t max_reports = 64;                  // in one digest
-constexpr size_t min_batch = 6;                     // reports that wait for more bytes, where there are more
+// Smallest reduction that is reported, and smallest increase that is reported at once.
+constexpr double min_reduction = 0.1;
+// Between reports on one upstream whose reduction has increased by less than min_reduction.
+constexpr Duration repeat_interval = seconds(0.5);
+// Between reports of a start without a reduction, as a fraction of the validity.
+constexpr double start_repeat_fraction = 0.5;
+constexpr size_t max_reporters = 3;  // reporters on one upstream whose reports are forwarded
+constexpr size_t max_reports = 64;   // per digest
+// A digest waits until the byte budget covers this many of the pending reports, or all of them.
+constexpr size_t min_batch = 6;
 constexpr size_t max_upstreams = 10000;
 constexpr double report_bytes = 48, frame_bytes = 40;
-constexpr double own_answer_weight = 3;  // good answers that halve what others say
-constexpr int own_report_bonus = 32;     // of 255, in the order of sending
-constexpr double full_reduction = 255;   // as it is encoded
+// Number of good responses that halves the weight of others' reports.
+constexpr double own_response_weight = 3;
+// Added to the severity of own reports when reports are ordered, on the scale of the encoded reduction (0 to
+// 255).
+constexpr int own_report_bonus = 32;
+constexpr double full_reduction = 255;  // a reduction of 1 as it is encoded
 constexpr int64_t microseconds_per_millisecond = 1000;
 
 double reduction_of(const OutlierReport& report) { return report.reduction / full_reduction; }
@@ -25,11 +32,11 @@
 }  // namespace
 
 OutlierGossip::OutlierGossip(const OutlierGossipConfig& config, MemberKey own, InstanceId instance)
-    : config_(config), own_(own), instance_(instance)
+    : config_(config), own_key_(own), instance_(instance)
 {
 }
 
-// ---- own findings ----
+// ---- own evidence ----
 
 void OutlierGossip::on_local_evidence(TimePoint now, const std::vector<OutlierEvidence>& evidence)
 {
@@ -46,25 +53,25 @@
     const bool is_reduced = evidence.reduction >= min_reduction && evidence.bad_responses > 0 &&
                             evidence.last_bad_response_age < config_.validity;
     if (!is_reduced && !evidence.time_since_start) return;
-    Sent& sent = last_sent_[evidence.upstream];
+    LastSent& sent = last_sent_[evidence.upstream];
     if (now - sent.at < repeat_interval && evidence.reduction < sent.reduction + min_reduction) return;
     const TimePoint found = is_reduced ? now - evidence.last_bad_response_age : now;
-    HeldReport& held = reports_[evidence.upstream][own_];
-    // Nothing but new evidence renews a finding.
+    HeldReport& held = reports_[evidence.upstream][own_key_];
+    // Only new evidence renews a report.
     const bool is_known =
         held.report.number && found <= held.found && evidence.reduction <= reduction_of(held.report);
     if (is_reduced && is_known) return;
-    if (!is_reduced && now - sent.at < config_.validity * start_repeat) return;
+    if (!is_reduced && now - sent.at < config_.validity * start_repeat_fraction) return;
     sent = {now, evidence.reduction};
     held = {make_report(evidence, is_reduced), found, found + config_.validity};
-    pending_.insert({evidence.upstream, own_});
+    pending_.insert({evidence.upstream, own_key_});
 }
 
 OutlierReport OutlierGossip::make_report(const OutlierEvidence& evidence, bool is_reduced)
 {
     OutlierReport report;
     report.upstream = evidence.upstream;
-    report.reporter = own_;
+    report.reporter = own_key_;
     report.instance = instance_;
     report.number = ++last_number_;
     const double reduction = std::min(1.0, evidence.reduction) * full_reduction;
@@ -75,12 +82,12 @@
     return report;
 }
 
-// ---- reports of others ----
+// ---- reports of other balancers ----
 
 void OutlierGossip::on_digest(TimePoint now, const OutlierDigest& digest)
 {
     for (const OutlierReport& report : digest.reports) {
-        if (report.reporter == own_) continue;
+        if (report.reporter == own_key_) continue;
         if (is_stale(report))
             ++stale_;
         else
@@ -105,12 +112,12 @@
     const TimePoint found = now - Duration{int64_t{report.age_ms} * microseconds_per_millisecond};
     Reports& reports = reports_[report.upstream];
     std::erase_if(reports, [&](const auto& each) { return each.second.valid_until <= now; });
-    const bool is_known_enough = reports.size() >= max_reporters && !reports.count(report.reporter);
+    const bool has_enough_reporters = reports.size() >= max_reporters && !reports.count(report.reporter);
     reports[report.reporter] = {report, found, found + config_.validity};
-    if (!is_known_enough) pending_.insert({report.upstream, report.reporter});
+    if (!has_enough_reporters) pending_.insert({report.upstream, report.reporter});
 }
 
-// ---- what is sent ----
+// ---- outgoing digests ----
 
 void OutlierGossip::expire(TimePoint now)
 {
@@ -131,16 +138,16 @@
     return static_cast<size_t>(std::max(0.0, (bytes - frame_bytes) / report_bytes));
 }
 
-// The gravest first, own ones before others'.
-std::vector<const OutlierGossip::HeldReport*> OutlierGossip::pending_by_gravity()
+// The most severe reports come first; own reports get a bonus.
+std::vector<const OutlierGossip::HeldReport*> OutlierGossip::pending_by_severity()
 {
     std::vector<const HeldReport*> order;
     for (const auto& [upstream, reporter] : pending_) order.push_back(&reports_[upstream][reporter]);
-    const auto gravity = [&](const HeldReport* held) {
-        return held->report.reduction + (held->report.reporter == own_ ? own_report_bonus : 0);
+    const auto severity = [&](const HeldReport* held) {
+        return held->report.reduction + (held->report.reporter == own_key_ ? own_report_bonus : 0);
     };
     std::stable_sort(order.begin(), order.end(), [&](const HeldReport* left, const HeldReport* right) {
-        return gravity(left) > gravity(right);
+        return severity(left) > severity(right);
     });
     return order;
 }
@@ -155,8 +162,8 @@
     if (pending_.empty() || receivers == 0) return digest;
     const size_t affordable = affordable_reports(receivers);
     if (affordable < std::min(min_batch, pending_.size())) return digest;
-    auto order = pending_by_gravity();
-    // The others wait until they are too old to be sent.
+    auto order = pending_by_severity();
+    // Reports that do not fit stay pending until they expire.
     if (order.size() > affordable) {
         dropped_ += order.size() - affordable;
         order.resize(affordable);
@@ -175,55 +182,59 @@
 
 // ---- verdicts ----
 
-// What others say counts less the more own answers since then were good.
+// Good responses that this balancer got since the report was made reduce its weight.
 double OutlierGossip::discount(TimePoint now, const OutlierEvidence& own, TimePoint found) const
 {
     const TimePoint last_good = now - own.last_good_response_age - (now - evidence_at_);
     if (own.bad_responses > 0 || own.good_responses == 0 || last_good < found) return 1;
-    return own_answer_weight / (own_answer_weight + own.good_responses);
+    return own_response_weight / (own_response_weight + own.good_responses);
 }
 
-OutlierGossip::Consensus OutlierGossip::consensus_of(TimePoint now, const Reports& reports) const
+OutlierGossip::PeerSummary OutlierGossip::summarize_peers(TimePoint now, const Reports& reports) const
 {
-    Consensus consensus;
+    PeerSummary summary;
     for (const auto& [reporter, held] : reports) {
-        if (reporter == own_ || held.valid_until <= now) continue;
+        if (reporter == own_key_ || held.valid_until <= now) continue;
         const double reduction = reduction_of(held.report);
-        consensus.second = std::max(consensus.second, std::min(consensus.greatest, reduction));
-        consensus.greatest = std::max(consensus.greatest, reduction);
-        if (reduction > 0) consensus.last_found = std::max(consensus.last_found, held.found);
+        summary.second_highest_reduction =
+            std::max(summary.second_highest_reduction, std::min(summary.highest_reduction, reduction));
+        summary.highest_reduction = std::max(summary.highest_reduction, reduction);
+        if (reduction > 0) summary.last_found = std::max(summary.last_found, held.found);
         const uint32_t start = held.report.started_s;
         if (!start) continue;
-        if (!consensus.youngest_start || start < consensus.youngest_start) {
-            consensus.second_start = consensus.youngest_start;
-            consensus.youngest_start = start;
-        } else if (!consensus.second_start || start < consensus.second_start) {
-            consensus.second_start = start;
+        if (!summary.shortest_uptime_s || start < summary.shortest_uptime_s) {
+            summary.second_shortest_uptime_s = summary.shortest_uptime_s;
+            summary.shortest_uptime_s = start;
+        } else if (!summary.second_shortest_uptime_s || start < summary.second_shortest_uptime_s) {
+            summary.second_shortest_uptime_s = start;
         }
     }
-    return consensus;
+    return summary;
 }
 
-// Two reporters agree on the second greatest reduction; the greatest counts alone up to a share. Own good
-// answers since then hold both down: an own path that works says more than others' that may not.
+// Two reporters agree on at least the second-highest reduction; the highest one alone counts up to the
+// `alone` share. Own good responses since then lower both: a path that works from here is stronger evidence
+// than reports from paths that may not work.
 OutlierGossip::Verdict OutlierGossip::verdict(TimePoint now, uint64_t upstream, const Reports& reports) const
 {
-    const Consensus others = consensus_of(now, reports);
+    const PeerSummary others = summarize_peers(now, reports);
     Verdict verdict;
-    verdict.reduction = std::max(others.second, std::min(others.greatest, config_.alone));
+    verdict.reduction =
+        std::max(others.second_highest_reduction, std::min(others.highest_reduction, config_.alone));
     const auto own = evidence_.find(upstream);
     if (own != evidence_.end()) {
         const double discounted = discount(now, own->second, others.last_found);
         if (own->second.reduction >= min_reduction)
-            verdict.reduction = others.greatest;
+            verdict.reduction = others.highest_reduction;
         else if (discounted < 1)
             verdict.reduction = std::min(verdict.reduction, config_.alone) * discounted;
     }
-    // A start is believed where two name one; where one does, the upstream is treated as a suspect.
+    // A start is accepted if two reporters name it. If only one does, the upstream gets at least the `alone`
+    // reduction.
     const bool knows_itself = own != evidence_.end() && own->second.time_since_start;
-    if (knows_itself || !others.youngest_start) return verdict;
-    if (others.second_start)
-        verdict.time_since_start = seconds(others.second_start - 1);
+    if (knows_itself || !others.shortest_uptime_s) return verdict;
+    if (others.second_shortest_uptime_s)
+        verdict.time_since_start = seconds(others.second_shortest_uptime_s - 1);
     else
         verdict.reduction = std::max(verdict.reduction, config_.alone);
     return verdict;
--- a/src/fleet/quota/quota_allocator.cpp
+++ b/src/fleet/quota/quota_allocator.cpp
@@ -7,10 +7,10 @@
 namespace
 {
 
-constexpr Duration retention = seconds(10);  // of a holder that asks for nothing
+constexpr Duration idle_retention = seconds(10);  // after the last request of an idle holder
 constexpr double min_demand = 0.05, max_demand = 1e9;
 constexpr size_t max_pools = 4096;
-constexpr double rounding_margin = 0.999;  // rates go over the wire in single precision
+constexpr double rounding_margin = 0.999;  // rates are sent in single precision, which may round up
 
 }  // namespace
 
@@ -22,56 +22,57 @@
 void QuotaAllocator::on_lease_gained(TimePoint now, Epoch epoch)
 {
     epoch_ = epoch;
-    began_ = now;
+    lease_gained_at_ = now;
     pools_.clear();
 }
 
-// Twice a quota's length, by the slowest clock.
+// Twice the lease length, measured by the slowest clock.
 Duration QuotaAllocator::max_grant_lifetime() const { return config_.length * (2 + 8 * clock_drift_); }
 
 double QuotaAllocator::outstanding(TimePoint now, BudgetName name) const
 {
     const auto found = pools_.find(name);
-    if (found == pools_.end()) return is_first_lifetime(now) ? config_.total_of(name) * allocatable_share : 0;
+    if (found == pools_.end())
+        return may_have_earlier_grants(now) ? config_.total_of(name) * allocatable_share : 0;
     const Pool& pool = found->second;
-    double sum = is_first_lifetime(now) ? pool.unaccounted : 0;
+    double sum = may_have_earlier_grants(now) ? pool.unaccounted : 0;
     for (const auto& [id, holder] : pool.holders) sum += holder.outstanding(now);
     return sum;
 }
 
 double QuotaAllocator::Holder::outstanding(TimePoint now) const
 {
-    double most = 0;
+    double highest_rate = 0;
     for (const OutstandingGrant& grant : grants)
-        if (now < grant.until) most = std::max(most, grant.rate);
-    return most;
+        if (now < grant.expires_at) highest_rate = std::max(highest_rate, grant.rate);
+    return highest_rate;
 }
 
-// Max-min fairness: each gets what it asks for, up to the same level; what is left over is spread evenly on
-// top.
-double QuotaAllocator::wanted_rate(TimePoint now, const Pool& pool, const Holder& holder, double total) const
+// Max-min fairness: each holder gets its demand, up to a common limit; what is left is shared evenly.
+double QuotaAllocator::fair_rate(TimePoint now, const Pool& pool, const Holder& holder, double total) const
 {
     std::vector<double> demands;
     for (const auto& [id, each] : pool.holders)
         if (now - each.last_request < config_.length * 2)
             demands.push_back(std::max(each.demand, min_demand));
     std::sort(demands.begin(), demands.end());
-    double left = total;
+    double remaining = total;
     for (size_t i = 0; i < demands.size(); ++i) {
-        const double level = left / static_cast<double>(demands.size() - i);
+        const double level = remaining / static_cast<double>(demands.size() - i);
         if (demands[i] >= level) return std::min(holder.demand, level);
-        left -= demands[i];
+        remaining -= demands[i];
     }
-    return holder.demand + left / static_cast<double>(std::max<size_t>(1, demands.size()));
+    return holder.demand + remaining / static_cast<double>(std::max<size_t>(1, demands.size()));
 }
 
 QuotaAllocator::Pool& QuotaAllocator::pool_of(TimePoint now, BudgetName name)
 {
     const auto [entry, is_new] = pools_.try_emplace(name);
     Pool& pool = entry->second;
-    if (is_new) pool.unaccounted = is_first_lifetime(now) ? config_.total_of(name) * allocatable_share : 0;
+    if (is_new)
+        pool.unaccounted = may_have_earlier_grants(now) ? config_.total_of(name) * allocatable_share : 0;
     std::erase_if(pool.holders, [&](const auto& each) {
-        return each.second.outstanding(now) <= 0 && now - each.second.last_request > retention;
+        return each.second.outstanding(now) <= 0 && now - each.second.last_request > idle_retention;
     });
     return pool;
 }
@@ -82,7 +83,7 @@
     const auto [entry, is_new] = pool.holders.try_emplace(id);
     Holder& holder = entry->second;
     if (!is_new) return holder;
-    // What an earlier allocator has granted to it is accounted for here from now on.
+    // What an earlier allocator granted to this holder is tracked here from now on.
     const double held_rate = std::clamp<double>(demand.held_rate, 0, pool.unaccounted);
     pool.unaccounted -= held_rate;
     holder.grants.push_back({0, held_rate, now + max_grant_lifetime()});
@@ -96,13 +97,13 @@
     Pool& pool = pool_of(now, name);
     Holder& holder = holder_of(now, pool, id, demand);
     std::erase_if(holder.grants, [&](const OutstandingGrant& grant) {
-        return now >= grant.until || grant.number < request.last_answered;
+        return now >= grant.expires_at || grant.number < request.last_answered;
     });
     holder.demand = std::clamp<double>(demand.demand, min_demand, max_demand);
     holder.last_request = now;
     const double others = outstanding(now, name) - holder.outstanding(now);
     const double available = std::max(0.0, total - others);
-    const double rate = std::clamp(wanted_rate(now, pool, holder, total), 0.0, available);
+    const double rate = std::clamp(fair_rate(now, pool, holder, total), 0.0, available);
     holder.grants.push_back({request.number, rate, now + max_grant_lifetime()});
     return rate;
 }
