--- a/src/balance/balancer.cpp
+++ b/src/balance/balancer.cpp
@@ -1,4 +1,4 @@
-// All decisions of firtide. The interface: balance.h; the mechanism and its exceptions: docs/design.md.
+// The load balancing algorithm; docs/design.md describes it with its exceptions.
 
 #include "balancer.h"
 
@@ -17,85 +17,86 @@
 namespace
 {
 
-constexpr double step = 0.1;                    // one signal of the design
-constexpr double sure_step = 0.34;              // a signal of an exception, which needs no second opinion
-constexpr Duration expiry = seconds(1.5);       // an entry holds this long after its last signal
-constexpr Duration divert_expiry = seconds(5);  // the same for signals that only divert
-constexpr Duration fall_every = seconds(0.5);   // and then lets twice as much through, each time
-constexpr double first_trickle = 0.02;          // what a full reduction lets through when it starts to fall
-constexpr Duration report_age =
-    seconds(0.5);  // a report's distance from the others' mean halves in about this
-constexpr Duration slowness_age = seconds(8);       // what last answers took is half forgotten in this
-constexpr double own_gain = 0.1, kind_gain = 0.01;  // of one answer: in the means of upstream and kind
-constexpr double tells_load = 0.25;                 // a mean of reported loads that says something
-constexpr size_t recent = 16, enough = 5;       // answers an upstream is judged by, about; fewer say nothing
-constexpr double well_above = 1.8;              // times the fellows' median
-constexpr double long_queue = 3;                // and this many more, where the mean is next to none
-constexpr Duration distrust_for = seconds(10);  // idle connections, once they were seen to hang
-constexpr size_t least_width = 8;               // upstreams used at the least, in the own zone and beyond it
-constexpr double meet_within = 1;               // seconds, in which own traffic meets each of them
-constexpr double crossing_weighs = 200;  // in the pick: the own zone is favoured by e to this times the price
-constexpr Duration lately = seconds(10);         // an upstream sent to since then is in use
-constexpr Duration probe_every = seconds(1);     // about, where reports come by probe alone
-constexpr Duration tell_every = seconds(0.1);    // changes of own work out, where messages are allowed
-constexpr Duration tell_all_every = seconds(2);  // about: all of it, and what tenants ask
-constexpr Duration believed = seconds(5);        // what another instance told, after its last message
-constexpr double least_late = 0.02;     // seconds: a pause of this machine, and no sign of an upstream's
-constexpr double overdue_at = 2;        // high quantiles of answer times: no more counted as held
-constexpr size_t most_subjects = 32;    // keys that failed lately, of which something is kept
-constexpr double nearly_late = 0.7;     // of the latency objective
-constexpr double most_spent = 0.02;     // on messages, of what an invocation is worth
-constexpr double most_probed = 0.0005;  // the same on probes
-constexpr size_t least_message = 8;     // bytes, as counted
-constexpr double usual_crowd = 5;       // held by an upstream: more is left to others, where that is known
+constexpr double step = 0.1;                    // of a declined forward, a pair of failures or a long queue
+constexpr double sure_step = 0.34;              // of a signal that is conclusive by itself
+constexpr Duration expiry = seconds(1.5);       // of an entry after its last signal
+constexpr Duration divert_expiry = seconds(5);  // the same for signals that only divert requests
+constexpr Duration fall_every = seconds(0.5);   // an expired entry admits twice as much after each
+constexpr double first_trickle = 0.02;          // of requests, when a full reduction expires
+constexpr Duration report_age = seconds(0.5);   // of a report's deviation from the mean
+constexpr Duration slowness_age = seconds(8);   // of an upstream's deviation from its machine type
+constexpr double own_gain = 0.1, kind_gain = 0.01;  // weight of one response in the mean
+constexpr double tells_load = 0.25;                 // a lower mean of reported loads tells nothing
+constexpr size_t recent = 16, enough = 5;           // responses an upstream is judged by
+constexpr double well_above = 1.8;                  // a queue is long above this multiple of the mean
+constexpr double long_queue = 3;                    // plus this many, for means near zero
+constexpr Duration distrust_for = seconds(10);      // after idle connections were seen to fail
+constexpr size_t least_width = 8;                   // in the own zone, and as many in the others
+constexpr double meet_within = 1;                   // in which own traffic reaches each active upstream
+constexpr double crossing_weighs = 200;             // the own zone's weight is e to this times the price
+constexpr Duration lately = seconds(10);            // an upstream that had requests within it is in use
+constexpr Duration probe_every = seconds(1);        // approximate: jittered
+constexpr Duration tell_every = seconds(0.1);       // between messages about changed requests in flight
+constexpr Duration tell_all_every = seconds(2);     // approximate: jittered
+constexpr Duration believed = seconds(5);           // after a balancer's last message
+constexpr double least_late = 0.02;                 // a shorter pause may be this machine's own
+constexpr double overdue_at = 2;                    // times the high latency quantile: counts as lost
+constexpr size_t most_subjects = 32;                // the most recently failed keys that are tracked
+constexpr double nearly_late = 0.7;                 // a longer response counts as failed for its key
+constexpr double most_spent = 0.02;                 // of the value of the accepted invocations
+constexpr double most_probed = 0.0005;              // of the value of the accepted invocations
+constexpr size_t least_message = 8;                 // a shorter message is charged as this many
+constexpr double usual_crowd = 5;                   // requests at an upstream, where peers report theirs
 constexpr Duration rate_over = seconds(4);
-constexpr Duration may_send_for = seconds(3600);  // a request that is still coming: who reads it ends it
-constexpr double cold_spend = 0.7;                // of the multiple that would push a cold upstream over
+constexpr Duration may_send_for = seconds(3600);  // the host ends a request that never completes
+constexpr double cold_spend = 0.7;                // of the multiple at which an upstream collapses
 constexpr Duration first_backoff = seconds(0.5),
-                   longest_backoff = seconds(2);       // of asking for the list, about
-constexpr double retry_share = 0.1, most_retries = 5;  // second tries: of own traffic, and saved up
-constexpr uint32_t most_redirects = 3;                 // after answers that prove nothing ran
+                   longest_backoff = seconds(2);  // of endpoint list requests, before jitter
+constexpr double retry_share = 0.1,
+                 most_retries = 5;      // retries per accepted invocation, and the most saved up
+constexpr uint32_t most_redirects = 3;  // after results that prove that nothing ran
 
-// Between two looks at the limit of outstanding work: so many answers, or fewer if they took long to come.
+// The concurrency limit is adjusted after this many responses, or with fewer after max_round_duration.
 constexpr double round_of = 60, least_round = 12;
 constexpr Duration long_round = seconds(3);
-constexpr double pressed = 0.2;  // of the way from the calm answer time to the latency objective: the aim
-constexpr double never_pressed = 0.2;  // of the latency objective: a mean answer time under it is well
-constexpr double least_of_good = 0.5;  // the least limit, as a part of what went well
-constexpr double untried = 3;          // times two for each upstream: the limit until more went well
-constexpr double least_able = 0.25;    // of the upstreams, as the limit takes them
-constexpr double over_good = 1.15, for_chance = 1;  // the greatest limit: times what went well, and its root
-constexpr double smooth = 10;                       // asks over which the limit binds the mean
-constexpr double usual_calm = 0.2;                  // of the latency objective, until more is known
-constexpr double most_over_calm = 1.5;  // and never more than this many times the calm answer time
-constexpr double shared_from = 0.6;     // of the limit: below, work beyond a tenant's share is welcome
-constexpr double typical_use = 1.25;    // a middling tenant's share over what it uses of it
-constexpr double saved_up = 4;  // invocations that a tenant under its share may save, where its part is thin
+constexpr double pressed = 0.2;                     // of the range from the baseline to the objective
+constexpr double never_pressed = 0.2;               // a mean below this ratio is never too long
+constexpr double least_of_good = 0.5;               // of best_in_flight
+constexpr double untried = 3;                       // times two_per_upstream(), until more went well
+constexpr double least_able = 0.25;                 // of the capacity in use
+constexpr double over_good = 1.15, for_chance = 1;  // times best_in_flight, and its root
+constexpr double smooth = 10;                       // arrivals, over which requests in flight are averaged
+constexpr double usual_calm = 0.2;                  // until enough responses were seen
+constexpr double most_over_calm = 1.5;              // the target is at most this multiple of the baseline
+constexpr double shared_from = 0.6;                 // of the limit: below, tenant shares are not enforced
+constexpr double typical_use = 1.25;                // the median tenant's share over its use of it
+constexpr double saved_up = 4;                      // invocations, for tenants with a small share here
 
 bool proves_not_run(AttemptResult r)
 {
     return r == AttemptResult::declined || r == AttemptResult::unreachable || r == AttemptResult::not_sent;
 }
 
-// Lives as long as one forward.
+// One attempt of an invocation at an upstream.
 struct Forward {
     UpstreamId upstream_id = 0;
     TimePoint sent;
     bool out = true, overdue = false, proven_not_run = false;
-    bool rested = false;  // sent to an upstream that nothing was out to for longer than an answer takes
-    std::function<void(TimePoint, AttemptResult)> next;  // what to do with its result
+    bool rested = false;  // the upstream had been idle for longer than a mean response takes
+    std::function<void(TimePoint, AttemptResult)> next;  // the next step of the invocation
 };
 
-// Lives from its acceptance until it is answered and nothing is out for it.
+// Kept from its acceptance until it has been answered and none of its forwards is in flight.
 struct Invocation {
-    Operation op;  // as it was when it was accepted
+    Operation op;  // as it was on acceptance, or stricter after new settings
     bool may_overlap = false;
     uint32_t max_forwards = 1;
     uint32_t operation = 0;
     uint64_t key = 0;
-    TimePoint arrived, leaves, useful;  // the client's time is up; an answer later is worth nothing
+    TimePoint arrived, leaves,
+        useful;  // the client waits until deadline; a later response than useful_until is worthless
     bool over = true;
-    bool early = false;  // accepted while little was out
+    bool early = false;
     uint32_t redirects = 0;
     std::vector<Forward> forwards;
 };
@@ -103,42 +104,43 @@
 struct Entry {
     double reduction = 0;
     TimePoint expires;
-    bool hard = false;  // raised by full answers or paired timeouts and resets: refusal is allowed
+    bool hard = false;  // raised by declined forwards, or by pairs of timeouts and resets
 };
 
-// Lives while its key is among the last that failed.
+// Tracked while its key is among the last that failed.
 struct FailingKey {
     uint64_t key = 0;
-    double failed = 0, answered = 0;  // of its last answers: their share, how many
+    double failed = 0, answered = 0;  // of its last responses
     Entry entry;
     TimePoint failed_at;
 };
 
-// Lives as long as the list names the upstream (its past is kept when it leaves).
+// Kept when the upstream leaves the list, until its index is reused for another one.
 struct Upstream {
     EndpointState listing;
     bool known = false;
     Entry entry;
-    std::optional<TimePoint> unpaired;  // a timeout or reset that waits for its fellow
+    std::optional<TimePoint> unpaired;  // a single timeout or reset raises nothing
     std::optional<double> load;
-    double busy = 0;  // its load by the places in use, where a queue is reported
+    double busy = 0;  // by the slots in use, where a queue is reported
     bool load_counts_own = false;
     TimePoint load_at;
     uint32_t out = 0, overdue = 0, out_at_report = 0;
     size_t answered = 0;
-    double errors = 0, slowness = 1;  // of the last answers: their share, the mean
+    double errors = 0,
+           slowness = 1;  // of the last responses: share of errors, mean latency over the operation's mean
     TimePoint slowness_at;
     TimePoint last_end{INT64_MIN / 2};
-    TimePoint waiting_since;  // the later of its last answer and the first send still out
+    TimePoint waiting_since;  // the later of its last response and its first forward still in flight
 
     double cold_tokens = 0;
     TimePoint cold_at;
 
-    uint32_t peers_out = 0;  // the other instances' work out, as they told it
-    uint8_t told_out = 0;    // own work out, as it was told last
+    uint32_t peers_out = 0;  // of the other balancers, as they reported it
+    uint8_t told_out = 0;    // own, as reported last
 };
 
-// What another instance told. Lives until it has been silent for long.
+// The last report of another balancer, forgotten after peer_state_lifetime.
 struct Peer {
     std::vector<uint8_t> out;   // by upstream
     std::vector<double> rates;  // by tenant
@@ -158,22 +160,22 @@
 };
 
 struct Tenant {
-    double quota = 0, came = 0, rate = 0;  // invocations
-    double saved = 1;                      // of its part, by then
+    double quota = 0, came = 0, rate = 0;  // invocations per second
+    double saved = 1;                      // of its share here, as of tokens_at
     TimePoint at;
 };
 
 struct OperationView {
-    double usual = 0, quick = 0;  // seconds: a slow mean of answer times, and a low quantile
+    double usual = 0, quick = 0;  // of response times: a slow moving mean and a low quantile
 };
 
-struct Kind {  // of machine
+struct Kind {
     double slowness = 1, answered = 10;
 };
 
 }  // namespace
 
-// Lives as long as the instance.
+// All state of a Balancer.
 struct Balancer::State {
     State(Settings settings, uint64_t seed, BalancerDelegate& outlet)
         : set(std::move(settings)),
@@ -198,52 +200,52 @@
 
     std::vector<Kind> kinds;
     std::vector<FailingKey> failing_keys;
-    double mean_failed = 0, outcomes = 0;  // of what no entry by key holds back: share, how many
+    double mean_failed = 0, outcomes = 0;  // of invocations whose key has no reduction
 
     double mean_load = 0, mean_errors = 0;
-    // Of the own zone and of the others: mean reported load, and by places in use, where a queue is reported.
+    // Means in the own zone (0) and in the others (1): reported load, and load by the slots in use.
     std::array<double, 2> zone_load{}, zone_busy{};
     TimePoint fellows_at{INT64_MIN / 2};
 
     Rate warm_sends, asked;
 
     double retry_tokens = 1;
-    double late_any = 0;  // seconds, a high quantile of all answer times
+    double late_any = 0;  // seconds, of all response times
 
-    double broke_rested = 0, broke_busy = 0;  // shares of forwards never answered
+    double broke_rested = 0, broke_busy = 0;  // of forwards that were never answered
     TimePoint distrust_idle_until{INT64_MIN / 2};
 
     Duration slowest_objective;
-    double pressure = usual_calm, slow_pressure = 0;  // mean of answer time over latency objective
-    double calm = usual_calm;                         // what it is with next to no load
+    double pressure = usual_calm, slow_pressure = 0;  // moving means of response time over latency objective
+    double calm = usual_calm;                         // the ratio at very low load
     TimePoint round_at, share_at, weighed_at{INT64_MIN / 2}, told_at{INT64_MIN / 2};
     std::vector<double> round_latencies;
     double first_felt = 0, first_n = 0;
-    double capacity = 0;          // upstreams' worth, see weigh_room
-    double listed = 1;            // of what all balancers share
-    double limit = 1e9;           // mean own outstanding work
-    double good_outstanding = 0;  // the most it was while the aim was met, forgotten slowly
+    double capacity = 0;          // in warm upstreams, see update_capacity
+    double listed = 1;            // the listed part of the upstreams that all balancers share
+    double limit = 1e9;           // on the mean number of requests in flight
+    double good_outstanding = 0;  // the highest mean at which the latency target was met; decays slowly
     double outstanding = 0, overdue = 0;
-    double around = 0;          // the mean own work out that the last asks met
-    double met = 0, met_n = 0;  // own outstanding work as asks met it since the last look
+    double around = 0;          // as the last arrivals found it
+    double met = 0, met_n = 0;  // as arrivals in this round found it
     std::vector<Tenant> tenants;
-    double own_part = 0;                           // of all traffic, by what the middling tenant asks here
-    double stuck_out = 0;                          // own work out that stands still
-    bool queues_told = false, times_told = false;  // by the upstreams
+    double own_part = 0;   // part of all traffic that arrives here, by the median tenant's rate
+    double stuck_out = 0;  // own requests in flight at stalled upstreams
+    bool queues_told = false, times_told = false;  // by upstreams
 
     std::vector<Peer> peers;
-    double peers_out = 0;                                     // outstanding work of all of them
-    size_t heard = 0;                                         // of them, lately
-    std::vector<std::pair<uint16_t, UpstreamId>> told_names;  // of upstreams in messages, in order
+    double peers_out = 0;  // of all of them
+    size_t heard = 0;      // number that sent a message within peer_state_lifetime
+    std::vector<std::pair<uint16_t, UpstreamId>> told_names;  // of upstreams in messages, sorted
     bool tell_due = false, telling = false, probing = false;
-    double may_spend = 0;  // bytes delivered to others
-    double may_probe = 0;  // upstreams
+    double may_spend = 0;  // bytes that may be sent to peers
+    double may_probe = 0;  // probes that may be sent
     UpstreamId probe_next = 0;
 
     std::vector<UpstreamId> near,
-        far;  // all that have a place, each in this instance's own order of preference
+        far;  // all registered upstreams, by rank
     std::vector<std::pair<UpstreamId, double>> weights;
-    double near_met = 1, near_told = 1;  // the own zone's favour in the draw
+    double near_met = 1, near_told = 1;  // the own zone's weight in the draw
 
     double uniform_random() { return std::generate_canonical<double, 24>(chance); }
 
@@ -253,16 +255,16 @@
         out.start_timer(at, next_name++);
     }
 
-    // ---- the rules: what every send, throttling reply and answer passes ----
+    // ---- Rules that every forward and every reply obeys ----
 
-    // Its start may have been later than it is told (rule 5).
+    // Rule 5: the upstream may have started later than listed.
     bool is_cold(const Upstream& u) const
     {
         return u.listing.started_at &&
                now - *u.listing.started_at < set.slow_start_duration + set.start_time_margin;
     }
 
-    // The part of its capacity an upstream has at least, by its last start.
+    // The least share of its capacity that an upstream has, by the time since its last start.
     double warm_share(const Upstream& u) const
     {
         if (!is_cold(u)) return 1;
@@ -273,8 +275,9 @@
 
     bool is_far(const Upstream& u) const { return set.cross_zone_price > 0 && u.listing.zone != set.zone; }
 
-    // What it would send each upstream in use a second if none were cold, no more than it sends a warm one
-    // now. Guards against many that each see few warm ones left, and take what these bear for the usual.
+    // Forwards per second to each active upstream if none were warming up, at most the current rate to a warm
+    // one. Without the even rate, many balancers that each see few warm upstreams left would take the load on
+    // these for the usual.
     double even_rate() const
     {
         double warm = 0;
@@ -289,7 +292,8 @@
         return warm > 0 ? std::min(even, warm_sends.rate(now) / warm) : even;
     }
 
-    // Rule 4. Guards against a restarted upstream being pushed over by all: it gets part of its share.
+    // Rule 4: a restarted upstream gets only a part of its share, or all balancers together would overload
+    // it.
     bool cold_budget(Upstream& u)
     {
         if (!is_cold(u)) return true;
@@ -308,7 +312,7 @@
         return true;
     }
 
-    // Rule 2. What earlier forwards allow.
+    // Rule 2: whether the earlier forwards allow another one to this upstream.
     bool effect_allows(const Invocation& inv, UpstreamId upstream_id) const
     {
         for (const Forward& f : inv.forwards) {
@@ -341,7 +345,7 @@
                u.listing.phase == EndpointPhase::ready && effect_allows(inv, upstream_id) && cold_budget(u);
     }
 
-    // The gate: nothing is forwarded but here.
+    // The only place that forwards.
     bool send(InvocationId id, UpstreamId upstream_id, Duration at_most,
               std::function<void(TimePoint, AttemptResult)> next)
     {
@@ -369,7 +373,7 @@
         return true;
     }
 
-    // Guards against answers that are lost in silence: their upstreams would seem to hold them to the end.
+    // A response that was lost silently would otherwise count as held by its upstream until the timeout.
     void overdue_if_out(InvocationId id, size_t nth, TimePoint sent)
     {
         if (nth >= invs[id].forwards.size()) return;
@@ -379,7 +383,7 @@
         tell_soon();
     }
 
-    // Rule 1: an invocation is finished here or by its first success, once.
+    // Rule 1: an invocation is answered once, here or by its first success.
     void finish(InvocationId id, bool throttled, Duration retry_after = {})
     {
         Invocation& inv = invs[id];
@@ -408,7 +412,7 @@
             out.release_invocation(id);
     }
 
-    // ---- what is learnt from answers ----
+    // ---- Signals from responses ----
 
     FailingKey* failing_key(uint64_t key)
     {
@@ -417,7 +421,7 @@
         return key && at != failing_keys.end() ? &*at : nullptr;
     }
 
-    // The entry of a key now: past its expiry it falls one step a second.
+    // The current reduction of a key: an expired entry falls by one step per second.
     double key_reduction(uint64_t key)
     {
         const FailingKey* s = failing_key(key);
@@ -425,10 +429,10 @@
         return std::max(0.0, s->entry.reduction - step * (now - s->entry.expires).seconds());
     }
 
-    // Guards against what all with one key wait for behind the upstreams (a lock, a row): none is quicker,
-    // what waits fills them all, and what is refused there looks like their errors. With nothing to divert
-    // to, an entry throttles. Harm: a key whose work is long by nature, or many that fail by chance, if all
-    // do.
+    // Detects a resource behind the upstreams, such as a lock or a row, that all invocations of one key wait
+    // for. No upstream is quicker, the waiting invocations fill them all, and refusals look like upstream
+    // errors. As there is nothing to divert to, the key's entry throttles. Drawback: it also throttles a key
+    // whose work is slow by nature, or several failing keys by chance if all of them fail.
     void record_key_outcome(uint64_t key, bool failed)
     {
         FailingKey* s = failing_key(key);
@@ -457,7 +461,7 @@
         u.entry.expires = std::max(u.entry.expires, now + (hard ? expiry : divert_expiry));
     }
 
-    // Guards against an upstream that takes work and stands still: seen by the age of what waits there.
+    // Detects an upstream that accepts requests and answers none, by how long the oldest one has waited.
     bool stalled(const Upstream& u) const
     {
         const double late = std::max(late_any, least_late) * (1 + 2.0 / u.out);
@@ -466,7 +470,7 @@
 
     double reduction(const Upstream& u) const { return stalled(u) ? 1 : entry_reduction(u); }
 
-    // The entry now. Past its expiry what it lets through doubles with each step.
+    // The current reduction of an entry: after its expiry, the admitted share doubles with each interval.
     double entry_reduction(const Upstream& u) const
     {
         const Entry& e = u.entry;
@@ -499,7 +503,7 @@
         times_told = times_told || r.mean_latency_ms;
     }
 
-    // What the others look like; often enough to follow, seldom enough to be cheap.
+    // Recomputes the means over all upstreams, at most every 0.2 s to keep it cheap.
     void refresh_fellows()
     {
         if (now - fellows_at < seconds(0.2)) return;
@@ -519,7 +523,7 @@
         mean_errors = judged > 0 ? errors / judged : 0;
     }
 
-    // By the time that an answer took over what its operation's usually take; none: an error.
+    // relative_latency: the response time over the operation's mean; unset for an error.
     void judge(Upstream& u, std::optional<double> time)
     {
         u.answered = std::min(recent, u.answered + 1);
@@ -530,12 +534,12 @@
             k.slowness += std::max(kind_gain, 1 / ++k.answered) * (t - k.slowness);
             u.slowness = slowness(u) + own_gain * (t - slowness(u)), u.slowness_at = now;
         } else if (u.answered >= enough && u.errors > 0.25 + 2 * mean_errors) {
-            // Guards against quick errors: they make an upstream look idle and draw work to it.
+            // Quick errors make an upstream look idle and would attract requests.
             raise(u, sure_step, false);
         }
     }
 
-    // Guards against idle connections that died without a word: forwards after a rest hang or are reset.
+    // Detects idle connections that were dropped silently: the first forward after a pause hangs or is reset.
     void watch_idle(bool rested, bool broke)
     {
         double& share = rested ? broke_rested : broke_busy;
@@ -561,10 +565,10 @@
                 break;
             case AttemptResult::declined:
                 raise(u, step, true);
-                // Guards against a tier that turns most away, and looks well by the times of its answers.
+                // A tier that declines most requests would look healthy by its response times.
                 return record_latency(inv, 1);
             case AttemptResult::unreachable:
-                // Guards against a dead upstream: every forward to it costs a connect timeout.
+                // Every forward to a dead upstream costs a connect timeout.
                 raise(u, 2 * sure_step, false);
                 break;
             case AttemptResult::timed_out:
@@ -576,25 +580,26 @@
                 break;
             default: return;
         }
-        if (stuck) return;  // its own trouble, not load
+        if (stuck) return;  // caused by the upstream or the key, not by load
         if (inv.op.latency_objective > Duration{} &&
             (result == AttemptResult::succeeded || result == AttemptResult::timed_out))
             record_latency(inv, took / inv.op.latency_objective);
     }
 
-    // ---- own outstanding work against the latency objective ----
+    // ---- Concurrency limit ----
 
-    // About two for each upstream from all instances together: less would leave them idle.
+    // About two requests per upstream from all balancers together: fewer would leave upstreams idle.
     double two_per_upstream() const
     {
         return 2 * capacity / (heard > 0 ? 1 : std::max(1.0, set.balancer_count * listed));
     }
 
-    // Own work out; where the others tell theirs, all of it.
+    // Own requests in flight and, where peers report theirs, those of all balancers.
     double held() const { return outstanding - overdue + peers_out; }
 
-    // How many warm upstreams' worth of work the listed ones can take, by those lately used. The limit and
-    // what went well follow at once: answer times tell a thin instance of a zone lost or back many late.
+    // The capacity of the listed upstreams in warm upstreams, estimated from those in use. The limit and
+    // best_in_flight follow at once: with little traffic, response times show a lost or recovered zone many
+    // seconds late.
     void update_capacity()
     {
         if (capacity > 0 && now - weighed_at < seconds(0.02)) return;
@@ -614,8 +619,8 @@
         if (is > 0) capacity = is;
     }
 
-    // Guards against a burst that finds no limit at all, since nothing was pressed before it; what thin
-    // instances have out swings by its root, so that far.
+    // Bounds a burst that arrives before any response was slow enough to set a limit. The root leaves room
+    // for random variation where few requests are in flight.
     double most_limit() const
     {
         const double chance_of_it = for_chance * std::sqrt(good_outstanding);
@@ -624,13 +629,15 @@
 
     double least_limit() const { return std::max(two_per_upstream(), least_of_good * good_outstanding); }
 
-    // The mean answer time that is still well. Guards against a ratchet: throttling makes answers quicker.
+    // The highest acceptable mean of response time over latency objective. Guards against a ratchet:
+    // throttling shortens responses, which lowers the baseline.
     double latency_target() const
     {
         return std::max(never_pressed, std::min(calm * most_over_calm, calm + pressed * (1 - calm)));
     }
 
-    // Of the round. Guards, where instances are small, against a few bad upstreams being taken for pressure.
+    // Where queues are reported or peers report their load, the median: with little traffic per balancer, a
+    // few bad upstreams would pass for overload in the mean.
     double round_latency()
     {
         if (!queues_told && heard == 0)
@@ -641,29 +648,30 @@
         return *half;
     }
 
-    // Each round of answers scales the limit by how far their mean time is from where it should be. A lagging
-    // mean would cut again for what an earlier cut has already mended.
+    // Each round of responses scales the limit by the distance of their mean from the target. A mean that
+    // lags behind would cut the limit again for overload that an earlier cut has already ended.
     void record_latency(const Invocation& inv, double of_objective)
     {
         of_objective = std::min(of_objective, 2.0);
         const Duration since_start = inv.arrived - born;
-        // Those accepted right after the start meet the least load; all of them count, the quick come first.
+        // Invocations accepted right after the start find the lowest load. All of them count, not only the
+        // first to finish, since short responses come first.
         if (inv.early || since_start < inv.op.latency_objective * 0.25) first_felt += of_objective, ++first_n;
         round_latencies.push_back(of_objective);
-        // Guards against a limit cut by chance: answer times scatter so far that a few of them tell nothing.
+        // Response times scatter so widely that a few of them would cut the limit by chance.
         const auto n = static_cast<double>(round_latencies.size());
         if (n < least_round || (n < round_of && now - round_at < long_round)) return;
         round_at = now;
         const double mean = round_latency();
         round_latencies.clear();
         pressure = 0.5 * (pressure + mean);
-        // Guards against instances so seldom asked that they would learn what is calm from a few answers.
+        // With little traffic, the baseline would otherwise be learnt from a few responses.
         if (now - born < slowest_objective * 1.5 || first_n < round_of)
             calm = slow_pressure = (first_felt + round_of * usual_calm) / (first_n + round_of);
         slow_pressure += 0.1 * (mean - slow_pressure);
         calm = slow_pressure < calm ? slow_pressure : calm + 0.0003 * (slow_pressure - calm);
-        // Guards against a start under overload, from which calm is learnt too high: under lasting pressure
-        // it and what counts as good give way, until a limit at its floor shows that this brings no more.
+        // A start under overload teaches too high a baseline. Under lasting overload the baseline and
+        // best_in_flight decay, until a limit at its minimum shows that cutting no longer helps.
         const double mean_out = met / std::max(1.0, met_n);
         met = met_n = 0;
         good_outstanding *= 0.99;
@@ -694,9 +702,10 @@
         own_part += 0.2 * (typical_use * *half - own_part);
     }
 
-    // True for what a tenant asks beyond its share: of all instances, where they tell; else beyond an even
-    // part of it, or a part as great as the middling tenant makes of its own here. Harm: where shares are all
-    // that differs between instances, and only while the limit is near.
+    // Whether an invocation exceeds its tenant's share. Where peers report rates, the share counts over all
+    // balancers; otherwise this balancer's part of it is an even part or, if that is more, what the median
+    // tenant's use suggests. Drawback: where traffic reaches balancers unevenly and tenants are few, this can
+    // hold back invocations within a share, but only near the concurrency limit.
     bool over_tenant_share(uint32_t tenant)
     {
         if (tenant >= tenants.size() || tenants[tenant].quota <= 0) return false;
@@ -717,12 +726,12 @@
         return beyond;
     }
 
-    // Only the first tier turns work away for being busy: deeper, the work done above would be lost with it.
+    // Only the first tier throttles for load: in deeper tiers the work already done above would be lost.
     bool over_concurrency_limit(bool over_share)
     {
         if (set.tier > 0) return false;
         const double moving = held() - stuck_out;
-        // The limit is on the mean; own work swings about it by its root.
+        // The limit bounds the mean; requests in flight vary around it by its root.
         const double most = std::min(limit, most_limit());
         return (moving + uniform_random() >= most && around >= most) ||
                moving + uniform_random() >= most + 2 * std::sqrt(most) ||
@@ -731,10 +740,10 @@
 
     Duration retry_after() { return set.max_retry_after * (0.5 + 0.5 * uniform_random()); }
 
-    // ---- the pick ----
+    // ---- Choice of an upstream ----
 
-    // The last report, drifting to the mean of its zone or the others (a cold one's part), and own sends
-    // since.
+    // The last report, which drifts to the mean of the upstream's zone (scaled while warming up), plus the
+    // change of own requests in flight since.
     double expected_load(const Upstream& u) const
     {
         if (heard > 0) return u.out - u.overdue + u.peers_out;
@@ -745,15 +754,17 @@
         return std::max(own, report + (u.load_counts_own ? own - u.out_at_report : own));
     }
 
-    // Guards against slow upstreams that report no load: what their last answers took, forgotten slowly for
-    // what their kind's took, of which a thin instance sees more. Harm: where a kind is met in trouble alone.
+    // Detects slow upstreams that report no load: the mean latency of their last responses, which drifts to
+    // that of their machine type, for which a balancer with little traffic has more samples. Drawback: a
+    // machine type that was only used while in trouble is avoided for a while.
     double slowness(const Upstream& u) const
     {
         const double usual = kinds[u.listing.machine_type].slowness;
         return usual + (u.slowness - usual) * std::exp2(-((now - u.slowness_at) / slowness_age));
     }
 
-    // Sharp, since what is known is old and seldom the same at two instances; gently where all are told it.
+    // Strongly prefers idle upstreams, as load information is old and differs between balancers; less so
+    // where peers report their load and all would otherwise choose the same few.
     double evenness(double idle, const Upstream& u) const
     {
         idle /= 1 + zone_busy[is_far(u)];
@@ -761,10 +772,11 @@
         return favour * (heard > 0 ? idle * idle * idle : fourth(idle) * fourth(idle));
     }
 
-    // As many as own traffic meets in about a second: evidence of more would be too thin and too old.
+    // As many as own traffic reaches within contact_interval_seconds: load information about more upstreams
+    // would be too sparse and too old.
     size_t width() const { return std::max(least_width, static_cast<size_t>(asked.rate(now) * meet_within)); }
 
-    // Guards against work done for nothing: too late by what is held there, or slowing it down.
+    // Whether a response would come too late because of the upstream's load, or would slow the upstream down.
     bool crowded(const Invocation& inv, const Upstream& u) const
     {
         if (set.tier > 0 || (heard == 0 && !queues_told)) return false;
@@ -774,7 +786,8 @@
         return expected_load(u) > std::max(1.0, in_time - 1.5);
     }
 
-    // Weighted random among the first in the own order that the rules let through, the next beside reduced.
+    // A weighted random choice among the first upstreams in this balancer's order that the rules admit. For
+    // each one that is reduced by half or more, the next in the order is added.
     template <class Keep>
     std::optional<UpstreamId> draw(const Invocation& inv, Keep keep)
     {
@@ -782,13 +795,15 @@
         weights.clear();
         for (const auto* order : {&near, &far}) {
             size_t wanted = width(), reach = wanted;
-            const double turn = set.self_index * 0.6180339887498949;  // spreads any run of numbers evenly
+            const double turn =
+                set.self_index * 0.6180339887498949;  // the golden ratio spreads consecutive numbers evenly
             const auto first =
                 static_cast<size_t>((turn - std::floor(turn)) * static_cast<double>(order->size()));
             for (size_t n = 0; n < order->size(); ++n) {
                 const UpstreamId t = (*order)[(first + n) % order->size()];
                 const Upstream& u = ups[t];
-                // Guards against the budgets of all for one cold upstream, where those before it are crowded.
+                // A warming upstream beyond the active ones is skipped even if these are crowded: otherwise
+                // all balancers would spend their budgets on it.
                 const bool near_enough = (reach > 0 && reach--) || (heard == 0 && !queues_told);
                 if (u.listing.phase != EndpointPhase::ready || !keep(t)) continue;
                 if ((is_cold(u) && !near_enough) || crowded(inv, u) || !may_send(inv, t)) continue;
@@ -813,7 +828,7 @@
                            [&](auto& f) { return f.upstream_id == upstream_id; });
     }
 
-    // The ordinary path of the design: a draw, and diversion by the drawn server's reduction.
+    // Draws an upstream; with a chance equal to its reduction, draws again among those with less.
     std::optional<UpstreamId> pick(const Invocation& inv)
     {
         auto upstream_id = draw(inv, [&](UpstreamId t) { return !tried(inv, t); });
@@ -827,7 +842,8 @@
         return upstream_id;
     }
 
-    // Refusal of the design: every ready server's entry was raised by full answers or pairs.
+    // Refuses with a chance equal to the smallest reduction, if every ready upstream's entry was raised by
+    // declined forwards or by pairs of timeouts and resets.
     bool refused()
     {
         double smallest = 2;
@@ -840,7 +856,7 @@
         return smallest <= 1 && uniform_random() < smallest;
     }
 
-    // ---- the steps of an invocation ----
+    // ---- Life of an invocation ----
 
     void accept(InvocationId id, const InvocationRequest& ask)
     {
@@ -873,8 +889,9 @@
         route(id);
     }
 
-    // Rule 5: the client may wait for longer than it is told, its client timeout at most. Guards against
-    // invocations given up for time that only a clock says is gone; the true end cuts their forwards.
+    // Rule 5: the client may wait for longer than its stated time left, up to its client timeout. Otherwise a
+    // wrong clock would give invocations up too early. When the client does leave, its forwards are
+    // cancelled.
     void count_time(Invocation& inv, Duration left, bool by_objective)
     {
         inv.arrived = now;
@@ -884,7 +901,8 @@
             inv.useful = std::min(inv.leaves, now + inv.op.latency_objective);
     }
 
-    // Work that could still run is waited for to the end; work whose answer is worthless is given up.
+    // A non-idempotent request may still take effect and is waited for until the deadline; others are given
+    // up once their response is worthless.
     Duration attempt_timeout(const Invocation& inv) const
     {
         return (inv.op.idempotency == Idempotency::non_idempotent ? inv.leaves : inv.useful) - now;
@@ -957,28 +975,28 @@
             next(now, result);
     }
 
-    // ---- the list ----
+    // ---- Endpoint list ----
 
     void list(const EndpointState& l)
     {
         if (l.upstream_id >= ups.size()) ups.resize(l.upstream_id + 1);
         Upstream& u = ups[l.upstream_id];
         if (u.known && u.listing.global_id != l.global_id) {
-            // Another one in the place of one that has gone. Guards against growing with all that ever were.
+            // The index of a removed upstream is reused, so that memory does not grow with every replacement.
             std::erase(near, l.upstream_id), std::erase(far, l.upstream_id);
             std::erase_if(told_names, [&](const auto& n) { return n.second == l.upstream_id; });
             for (Peer& p : peers) hold(p, l.upstream_id, 0);
             u = Upstream{};
         }
         if (l.started_at && l.started_at != u.listing.started_at) {
-            // A new life: what the last one showed says nothing of it.
+            // The upstream has restarted: earlier signals say nothing about it.
             Upstream next;
             next.known = u.known;
             next.out = u.out, next.overdue = u.overdue, next.peers_out = u.peers_out,
             next.told_out = u.told_out;
             u = next;
             u.cold_at = now;
-            u.cold_tokens = uniform_random();  // so that instances told together do not all send at once
+            u.cold_tokens = uniform_random();  // so that balancers notified together do not all send at once
         }
         u.listing = l;
         if (kinds.size() <= l.machine_type) kinds.resize(l.machine_type + 1);
@@ -1030,7 +1048,8 @@
             schedule(now + tell_all_every * uniform_random(), [this] { tell_all(); });
     }
 
-    // What is learnt follows operations and tenants; what is open keeps the stricter rules, for rule 2.
+    // Moves statistics to the new indices of operations and tenants. For rule 2, open invocations keep the
+    // stricter of the old and the new settings.
     void take_over(const IndexMapping& operations, const IndexMapping& tenants_were)
     {
         const auto ops_were = std::exchange(ops, std::vector<OperationView>(set.operations.size() + 1));
@@ -1063,7 +1082,7 @@
         set = std::move(settings);
         take_over(operations, tenants_were);
         queues_told = times_told = false;
-        // Tenants have other places, and the others may have other settings yet: what they tell comes anew.
+        // Tenant indices changed, and peers may still have the old settings: their reports are dropped.
         for (Peer& p : peers) forget(p), p.heard = TimePoint{INT64_MIN / 2};
         heard = 0;
         near.clear(), far.clear(), told_names.clear();
@@ -1077,8 +1096,8 @@
     {
         schedule(now + probe_every * (0.75 + 0.5 * uniform_random()), [this] {
             if (!(probing = probes())) return;
-            // Guards against hundreds of instances that probe what they do not use, or for more than it is
-            // worth: where that is little, each has its turn.
+            // Only upstreams in use are probed, in turn as far as the budget allows: hundreds of balancers
+            // that probed every upstream would cost more than the reports are worth.
             for (size_t n = 0; n < ups.size() && may_probe >= 1; ++n) {
                 const UpstreamId t = probe_next++ % static_cast<UpstreamId>(ups.size());
                 const Upstream& u = ups[t];
@@ -1089,8 +1108,8 @@
         });
     }
 
-    // ---- what the instances tell each other, where messages are allowed ----
-    // What is lost is mended by the next that tells all; a name that is not on the own list says nothing.
+    // ---- Messages between balancers, where the settings allow them ----
+    // The next snapshot makes up for a lost message. Upstream names that are not on the own list are ignored.
 
     void tell_soon()
     {
@@ -1107,7 +1126,7 @@
         if (!all && set.peer_message_price > 0 && may_spend < 0) return;
         PeerMessage message{all, {}, {}};
         if (all) {
-            // The others forget what does not fit in here: it follows as changes.
+            // Peers reset what a snapshot does not name; entries that do not fit follow as changes.
             for (Upstream& u : ups) u.told_out = 0;
             for (const Tenant& t : tenants) message.rates.push_back(t.rate);
         }
--- a/src/balance/balancer.h
+++ b/src/balance/balancer.h
@@ -1,9 +1,9 @@
-// The interface of the decision module: calls in, an Outlet for what it decides.
+// The load balancing decisions of one balancer instance, without any I/O.
 //
-// One Balancer decides for one instance. The host calls it with what happened, in order, each time with the
-// clock; the Balancer answers through the Outlet before the call returns. Invocations and upstreams are small
-// indices chosen by the host: an invocation's index may be used again after released(), an upstream's once it
-// is gone and no invocation that was forwarded to it is left.
+// The host reports events to a Balancer in order, each with the current time; the Balancer calls its
+// BalancerDelegate before the event call returns. Invocations and upstreams are small indices chosen by the
+// host. An invocation's index may be reused after release_invocation(), an upstream's once it is gone and no
+// invocation that was forwarded to it is left.
 #pragma once
 
 #include <cstdint>
@@ -23,7 +23,8 @@
 using InvocationId = uint32_t;
 using UpstreamId = uint32_t;
 
-// Unusable: the upstream found fault with the invocation itself, which says nothing of the upstream.
+// declined: the upstream refused for lack of capacity, before any work ran.
+// invalid_request: the upstream rejected the invocation itself, which says nothing about the upstream.
 enum class AttemptResult {
     succeeded,
     errored,
@@ -39,13 +40,13 @@
 
 struct EndpointState {
     UpstreamId upstream_id = 0;
-    uint64_t global_id = 0;  // the same at every instance
+    uint64_t global_id = 0;  // the same at every balancer
     EndpointPhase phase = EndpointPhase::gone;
     uint32_t zone = 0;
     uint32_t cell = 0;
     double capacity = 1;
-    std::optional<TimePoint> started_at;  // absent: long ago
-    uint32_t machine_type = 0;            // of machine
+    std::optional<TimePoint> started_at;  // unset: long ago
+    uint32_t machine_type = 0;
 };
 
 struct LoadReport {
@@ -59,58 +60,64 @@
 struct InvocationRequest {
     uint32_t operation = 0;
     uint32_t tenant = 0;
-    Duration time_left;          // from its last byte
-    bool is_incomplete = false;  // that has not come yet: sent() will tell of it
-    uint64_t subject_key = 0;    // of its subject: those with the same go together; 0: none
+    Duration time_left;          // counted from the request's last byte
+    bool is_incomplete = false;  // on_request_complete() follows with the last byte
+    // Of the invocation's subject: invocations with one key may wait for the same resource, such as a lock or
+    // a row. 0: none.
+    uint64_t subject_key = 0;
 };
 
-// Where each of some things was before; none: it is new.
+// For each new index, the index it had before; unset for an item that is new.
 using IndexMapping = std::vector<std::optional<uint32_t>>;
 
 class BalancerDelegate
 {
   public:
     virtual ~BalancerDelegate() = default;
-    virtual void forward(InvocationId inv, UpstreamId upstream_id, Duration limit) = 0;
-    virtual void throttle(InvocationId inv, Duration retry_after) = 0;
-    virtual void fail(InvocationId inv) = 0;
-    virtual void cancel_forward(InvocationId inv, uint32_t forward) = 0;
-    virtual void set_forward_timeout(InvocationId inv, uint32_t forward,
-                                     Duration limit) = 0;  // of one that is out, anew
-    virtual void release_invocation(InvocationId inv) = 0;
-    virtual void start_timer(TimePoint at, uint64_t name) = 0;
+    virtual void forward(InvocationId invocation, UpstreamId upstream_id, Duration timeout) = 0;
+    virtual void throttle(InvocationId invocation, Duration retry_after) = 0;
+    virtual void fail(InvocationId invocation) = 0;
+    virtual void cancel_forward(InvocationId invocation, uint32_t forward) = 0;
+    // Replaces the timeout of a forward in flight.
+    virtual void set_forward_timeout(InvocationId invocation, uint32_t forward, Duration timeout) = 0;
+    virtual void release_invocation(InvocationId invocation) = 0;
+    virtual void start_timer(TimePoint at, uint64_t timer_id) = 0;
     virtual void probe(UpstreamId upstream_id) = 0;
-    virtual void close_idle_connections(UpstreamId upstream_id) = 0;  // connections
+    virtual void close_idle_connections(UpstreamId upstream_id) = 0;
     virtual void watch_endpoint_list() = 0;
-    virtual void broadcast(const std::string& message) = 0;  // every other instance; it may be lost
+    // Sends a message to every other balancer; delivery is not guaranteed.
+    virtual void broadcast(const std::string& message) = 0;
 };
 
 class Balancer
 {
   public:
-    Balancer(Settings settings, uint64_t seed, BalancerDelegate& outlet);
+    Balancer(Settings settings, uint64_t seed, BalancerDelegate& delegate);
     ~Balancer();
 
     void start(TimePoint now);
-    // New settings, from now on. What is open finishes under its operation as it was when accepted, and under
-    // the stricter of both settings where these differ.
+    // Applies new settings. An open invocation keeps its operation as accepted, tightened to the stricter of
+    // the old and the new settings where they differ.
     void update_settings(TimePoint now, Settings settings, const IndexMapping& operations,
                          const IndexMapping& tenants);
     void set_endpoints(TimePoint now, const std::vector<EndpointState>& all);
     void update_endpoints(TimePoint now, const std::vector<EndpointState>& changes);
-    void on_endpoint_list_fetched(TimePoint now, bool well);
-    void accept(TimePoint now, InvocationId inv, const InvocationRequest& ask);
-    void on_request_complete(TimePoint now, InvocationId inv,
-                             Duration time_left);  // the last byte of a request has come
-    void on_forward_ended(TimePoint now, InvocationId inv, uint32_t forward, AttemptResult result,
-                          Duration took, bool over, const LoadReport& report);
-    void on_client_disconnected(TimePoint now, InvocationId inv);
+    void on_endpoint_list_fetched(TimePoint now, bool succeeded);
+    void accept(TimePoint now, InvocationId invocation, const InvocationRequest& request);
+    // The last byte of the request has arrived.
+    void on_request_complete(TimePoint now, InvocationId invocation, Duration time_left);
+    // answered: the invocation has been answered and needs no further reply.
+    void on_forward_ended(TimePoint now, InvocationId invocation, uint32_t forward, AttemptResult result,
+                          Duration duration, bool answered, const LoadReport& report);
+    void on_client_disconnected(TimePoint now, InvocationId invocation);
     void on_probe_completed(TimePoint now, UpstreamId upstream_id, AttemptResult result,
                             const LoadReport& report);
-    void on_timer_fired(TimePoint now, uint64_t name);
-    void on_peer_message(TimePoint now, uint32_t peer, std::string_view message);  // by another instance
-    double reduction(TimePoint now, UpstreamId upstream_id);  // of its entry, 1 where it stands still
-    void set_subset_fraction(double part);  // what is listed is so much of what all balancers share
+    void on_timer_fired(TimePoint now, uint64_t timer_id);
+    void on_peer_message(TimePoint now, uint32_t peer, std::string_view message);
+    // The reduction of the upstream's entry, 0 to 1; 1 while it is stalled.
+    double reduction(TimePoint now, UpstreamId upstream_id);
+    // Sets the part of the upstreams shared by all balancers that this one's list holds.
+    void set_subset_fraction(double fraction);
 
   private:
     struct State;
--- a/src/balance/decode_settings.h
+++ b/src/balance/decode_settings.h
@@ -1,5 +1,5 @@
-// The settings of an instance, decoded once: what the module reads, how load reports are laid out, and what
-// the service on sockets needs besides. Both hosts come through here with the same flat keys.
+// Decodes the settings of a balancer: those of the Balancer itself, the layout of load reports, and those
+// that only the service on sockets needs. The service and the simulator adapter use the same flat keys.
 #pragma once
 
 #include <map>
@@ -19,24 +19,21 @@
 };
 
 using FlatSettings = std::map<std::string, std::string, std::less<>>;
-using LoadReportField = std::optional<double> LoadReport::*;  // null: a figure nobody reads
+using LoadReportField = std::optional<double> LoadReport::*;  // null: an ignored figure
 
 struct ServiceConfig {
     Settings settings;
-    uint32_t config_version = 0;  // counts what was loaded since the start
-    std::vector<std::string>
-        load_report_fields;  // of the figures of a load report, in the order in which they come
-    std::vector<LoadReportField> load_report_members;  // and where each goes
+    uint32_t config_version = 0;                       // counts the configurations loaded since the start
+    std::vector<std::string> load_report_fields;       // names of a load report's figures, in their order
+    std::vector<LoadReportField> load_report_members;  // the member for each of them
     bool capacities_listed = false;
 
-    std::vector<std::string> operation_names, tenant_names,
-        zone_names;  // names; a number stands for the place in these
+    std::vector<std::string> operation_names, tenant_names, zone_names;  // by index
     Duration connect_timeout = seconds(1);
-    Duration upstream_idle_timeout =
-        seconds(5);  // an upstream closes a connection that has stood idle this long
+    Duration upstream_idle_timeout = seconds(5);  // after which an upstream closes an idle connection
 };
 
-// Lines of key=value.
+// Parses lines of key=value.
 FlatSettings parse_flat_settings(std::string_view text);
 
 ServiceConfig decode_settings(const FlatSettings& values);
--- a/src/balance/settings.h
+++ b/src/balance/settings.h
@@ -1,5 +1,4 @@
-// What the decision module is told at its start. Decoded once by whoever hosts it; only what it reads is
-// here.
+// The settings that the Balancer reads. The host decodes them.
 #pragma once
 
 #include <cstdint>
@@ -10,47 +9,45 @@
 namespace firtide
 {
 
-// Each from the least strict to the strictest.
+// The values of each are ordered from the least strict to the strictest.
 enum class Idempotency { idempotent, deduplicated, non_idempotent };
 enum class DeduplicationScope { all, zone, cell };
 
 struct Operation {
     Idempotency idempotency = Idempotency::non_idempotent;
     DeduplicationScope deduplication_scope = DeduplicationScope::cell;
-    Duration deduplication_window;  // deduplicated: how long a repeat is recognised
+    Duration deduplication_window;  // how long a deduplicated repeat is recognised
     Duration latency_objective;     // zero: none
     double late_response_value = 0;
-    Duration client_timeout = seconds(10);  // of all of a client's tries together
+    Duration client_timeout = seconds(10);  // over all attempts of a client
 };
 
 struct Settings {
     std::vector<Operation> operations;
-    std::vector<double>
-        tenant_quotas;  // a tenant's share in invocations a second, over all balancers; zero: none
+    std::vector<double> tenant_quotas;  // invocations per second over all balancers; zero: none
     uint32_t balancer_count = 1;
-    uint32_t self_index = 0;  // the number of this one among them
+    uint32_t self_index = 0;  // this balancer's number among them
     uint32_t tier = 0;
     uint32_t zone = 0;
-    double cross_zone_price = 0;  // of a forward to another zone, as a part of what an invocation is worth
+    double cross_zone_price = 0;  // per forward, relative to the value of an invocation
     bool load_reports_by_probe = false;
     bool must_watch_endpoint_list = false;
     bool may_cancel = false;
     bool may_overlap_forwards = false;
     bool may_probe = false;
-    double probe_price = 0;          // of one probe, as a part of what an invocation is worth
-    double peer_message_price = 0;   // of 256 bytes to one of them, as a part of what an invocation is worth
-    bool may_message_peers = false;  // messages to the other balancers
+    double probe_price = 0;         // per probe, relative to the value of an invocation
+    double peer_message_price = 0;  // per 256 bytes to one balancer, relative to the value of an invocation
+    bool may_message_peers = false;
     uint32_t max_forwards = 1;
-    Duration max_retry_after;  // zero: clients are not told
+    Duration max_retry_after;  // zero: clients get no retry time
     Duration max_watch_retry_interval = seconds(10);
     double slow_start_min_share = 0.1;
     Duration slow_start_duration = seconds(30);
     double collapse_multiple = 2;
     Duration collapse_window = seconds(1);
-    Duration time_left_margin;   // how far the time left that an invocation comes with can be off, either way
-    Duration start_time_margin;  // how far a listed start can be off, either way
-    uint32_t reply_slots =
-        0;  // answers that can wait for callers that are still reading; zero: no such limit
+    Duration time_left_margin;   // error bound of an invocation's stated time left, in either direction
+    Duration start_time_margin;  // error bound of a listed start time, in either direction
+    uint32_t reply_slots = 0;    // responses that may wait for callers that are still reading; zero: no limit
 };
 
 }  // namespace firtide
