--- a/simulator_adapter/frames.h
+++ b/simulator_adapter/frames.h
@@ -1,4 +1,4 @@
-// Little-endian frames with every read checked against the end of what was received.
+// Reads and writes the simulator's little-endian records. Every read is checked against the end of the input.
 #pragma once
 
 #include <cstdint>
--- a/simulator_adapter/instance.cpp
+++ b/simulator_adapter/instance.cpp
@@ -47,8 +47,8 @@
 
 void Instance::roster(TimePoint now, uint8_t scope, const std::vector<Entry>& entries)
 {
-    if (scope == 3) return balancer_.on_endpoint_list_fetched(now, false);
-    if (scope > 3) throw Malformed("unknown scope of a list");
+    if (scope == ListScope::fetch_failed) return balancer_.on_endpoint_list_fetched(now, false);
+    if (scope > ListScope::fetch_failed) throw Malformed("unknown scope of a list");
     listings_.clear();
     for (const Entry& e : entries) {
         if (e.state > 2) throw Malformed("unknown state of an upstream");
@@ -59,11 +59,11 @@
         if (e.ready_at) l.started_at = TimePoint{static_cast<int64_t>(e.ready_at)};
         listings_.push_back(l);
     }
-    if (scope == 0)
+    if (scope == ListScope::changes)
         balancer_.update_endpoints(now, listings_);
     else
         balancer_.set_endpoints(now, listings_);
-    if (scope != 2) balancer_.on_endpoint_list_fetched(now, true);
+    if (scope != ListScope::full_unrequested) balancer_.on_endpoint_list_fetched(now, true);
 }
 
 LoadReport Instance::report(Reader& in) const
@@ -86,15 +86,16 @@
     ask.tenant = in.get<uint32_t>();
     ask.subject_key = in.get<uint64_t>();
     ask.time_left = Duration{in.get<uint32_t>()};
-    in.get<uint32_t>();  // the expected work
-    in.get<uint16_t>();  // marks
+    in.get<uint32_t>();  // expected work: unused
+    in.get<uint16_t>();  // marks: unused
     if (ask.operation >= setup_.settings.operations.size()) throw Malformed("unknown operation");
     if (free_.empty()) {
         free_.push_back(static_cast<InvocationId>(invocations_.size()));
         invocations_.emplace_back();
     }
     const auto inv = free_.back();
-    if (!invocation_of_.try_emplace(id, inv).second) throw Malformed("an invocation came twice");
+    if (!invocation_of_.try_emplace(id, inv).second)
+        throw Malformed("duplicate invocation id " + std::to_string(id));
     free_.pop_back();
     invocations_[inv] = {id, 0};
     balancer_.accept(now, inv, ask);
@@ -104,14 +105,14 @@
 {
     const auto id = in.get<uint32_t>();
     const auto forward = in.get<uint16_t>();
-    in.get<uint32_t>();  // the upstream is known from the forward
+    in.get<uint32_t>();  // upstream id: known from the forward
     const auto result = result_of(in.get<uint16_t>());
     const Duration took{in.get<uint32_t>()};
     const bool over = in.get<uint8_t>();
     const auto load = report(in);
     const auto at = invocation_of_.find(id);
     if (at == invocation_of_.end() || forward >= invocations_[at->second].forwards)
-        throw Malformed("an outcome of a forward that was never sent");
+        throw Malformed("a result for a forward that was never sent");
     balancer_.on_forward_ended(now, at->second, forward, result, took, over, load);
 }
 
@@ -123,31 +124,31 @@
 
 void Instance::probed(TimePoint now, Reader& in)
 {
-    in.get<uint32_t>();  // time taken
+    in.get<uint32_t>();  // time taken: unused
     const auto id = in.get<uint32_t>();
     const auto result = result_of(in.get<uint16_t>());
     const auto load = report(in);
     const auto at = upstream_of_.find(id);
-    if (at == upstream_of_.end()) throw Malformed("a probe's result from an unknown upstream");
+    if (at == upstream_of_.end()) throw Malformed("a probe result for an unknown upstream");
     balancer_.on_probe_completed(now, at->second, result, load);
 }
 
 void Instance::forward(InvocationId inv, UpstreamId upstream_id, Duration limit)
 {
     ++invocations_[inv].forwards;
-    act(91).put(invocations_[inv].id).put(wire_span(limit)).put(upstreams_[upstream_id]);
+    act(ActionCode::forward).put(invocations_[inv].id).put(wire_span(limit)).put(upstreams_[upstream_id]);
 }
 
 void Instance::throttle(InvocationId inv, Duration retry_after)
 {
-    act(81).put(invocations_[inv].id).put(wire_span(retry_after));
+    act(ActionCode::throttle).put(invocations_[inv].id).put(wire_span(retry_after));
 }
 
-void Instance::fail(InvocationId inv) { act(83).put(invocations_[inv].id); }
+void Instance::fail(InvocationId inv) { act(ActionCode::fail).put(invocations_[inv].id); }
 
 void Instance::cancel_forward(InvocationId inv, uint32_t forward)
 {
-    act(80).put(invocations_[inv].id).put(static_cast<uint16_t>(forward));
+    act(ActionCode::cancel_forward).put(invocations_[inv].id).put(static_cast<uint16_t>(forward));
 }
 
 void Instance::release_invocation(InvocationId inv)
@@ -158,14 +159,17 @@
 
 void Instance::start_timer(TimePoint at, uint64_t name)
 {
-    act(84).put(name).put(static_cast<uint64_t>(at.us));
+    act(ActionCode::start_timer).put(name).put(static_cast<uint64_t>(at.us));
 }
 
-void Instance::probe(UpstreamId upstream_id) { act(87).put(upstreams_[upstream_id]); }
+void Instance::probe(UpstreamId upstream_id) { act(ActionCode::probe).put(upstreams_[upstream_id]); }
 
-void Instance::close_idle_connections(UpstreamId upstream_id) { act(86).put(upstreams_[upstream_id]); }
+void Instance::close_idle_connections(UpstreamId upstream_id)
+{
+    act(ActionCode::close_idle_connections).put(upstreams_[upstream_id]);
+}
 
-void Instance::watch_endpoint_list() { act(85).put(uint8_t{1}); }
+void Instance::watch_endpoint_list() { act(ActionCode::watch_endpoint_list).put(uint8_t{1}); }
 
 void Instance::told(TimePoint now, Reader& in)
 {
@@ -176,7 +180,7 @@
 
 void Instance::broadcast(const std::string& message)
 {
-    Writer& w = act(89).put(uint16_t{0xffff}).put(static_cast<uint16_t>(message.size()));
+    Writer& w = act(ActionCode::broadcast).put(uint16_t{0xffff}).put(static_cast<uint16_t>(message.size()));
     for (const char c : message) w.put(c);
 }
 
--- a/simulator_adapter/instance.h
+++ b/simulator_adapter/instance.h
@@ -1,4 +1,4 @@
-// One instance of the module behind the wire: ids to small indices, events into calls, decisions into
+// One Balancer behind the simulator's protocol: maps ids to small indices, events to calls and decisions to
 // actions.
 #pragma once
 
@@ -13,6 +13,21 @@
 namespace firtide::simulator_adapter
 {
 
+enum ListScope : uint8_t { changes = 0, full = 1, full_unrequested = 2, fetch_failed = 3 };
+
+enum class ActionCode : uint8_t {
+    cancel_forward = 80,
+    throttle = 81,
+    fail = 83,
+    start_timer = 84,
+    watch_endpoint_list = 85,
+    close_idle_connections = 86,
+    probe = 87,
+    broadcast = 89,
+    forward = 91
+};
+
+// An upstream in a list of the simulator.
 struct Entry {
     uint32_t upstream;
     uint8_t zone;
@@ -47,7 +62,8 @@
     void throttle(InvocationId inv, Duration retry_after) override;
     void fail(InvocationId inv) override;
     void cancel_forward(InvocationId inv, uint32_t forward) override;
-    void set_forward_timeout(InvocationId, uint32_t, Duration) override {}  // requests come whole here
+    void set_forward_timeout(InvocationId, uint32_t, Duration) override {
+    }  // the simulator sends whole requests
     void release_invocation(InvocationId inv) override;
     void start_timer(TimePoint at, uint64_t name) override;
     void probe(UpstreamId upstream_id) override;
@@ -55,7 +71,7 @@
     void watch_endpoint_list() override;
     void broadcast(const std::string& message) override;
 
-    Writer& act(uint8_t code) { return out_.record(code).put(name_); }
+    Writer& act(ActionCode code) { return out_.record(static_cast<uint8_t>(code)).put(name_); }
     UpstreamId upstream(uint32_t id);
     LoadReport report(Reader& in) const;
 
--- a/simulator_adapter/main.cpp
+++ b/simulator_adapter/main.cpp
@@ -1,5 +1,6 @@
-// firtide-simulator-adapter: many independent instances of the decision module on the simulator's wire.
-// Reads batches from standard input, writes one reply for each to standard output, exits at the end of input.
+// firtide-simulator-adapter: runs many independent Balancers behind the simulator's protocol. Reads batches
+// of events from standard input, writes one batch of actions for each to standard output, and exits at the
+// end of the input.
 #include <cstdio>
 #include <memory>
 #include <string>
@@ -15,6 +16,20 @@
 constexpr size_t header_bytes = 16;
 constexpr uint32_t most_bytes = 1u << 30;
 
+enum class EventCode : uint8_t {
+    instance_started = 16,
+    instance_stopped = 17,
+    invocation_arrived = 18,
+    probe_completed = 19,
+    stream_started = 20,
+    timer_fired = 21,
+    list_defined = 22,
+    client_disconnected = 23,
+    list_delivered = 24,
+    forward_ended = 25,
+    peer_message_received = 26
+};
+
 class Host
 {
   public:
@@ -30,10 +45,10 @@
   private:
     void event(TimePoint now, Reader& in)
     {
-        const auto code = in.get<uint8_t>();
-        if (code == 22) return ledger(in);
+        const EventCode code{in.get<uint8_t>()};
+        if (code == EventCode::list_defined) return ledger(in);
         const auto name = in.get<uint16_t>();
-        if (code == 16) {
+        if (code == EventCode::instance_started) {
             const auto seed = in.get<uint64_t>();
             const auto setup = in.take(in.get<uint32_t>());
             if (name >= instances_.size()) instances_.resize(name + size_t{1});
@@ -45,17 +60,19 @@
             throw Malformed("an event for an unknown instance");
         Instance& instance = *instances_[name];
         switch (code) {
-            case 17: instances_[name].reset(); return;
-            case 18: instance.demand(now, in); return;
-            case 19: instance.probed(now, in); return;
-            case 20: in.take(14); return;  // the start of a stream: nothing hangs on it yet
-            case 21: instance.wakeup(now, in); return;
-            case 23: instance.gone(now, in); return;
-            case 24: return roster(now, in, instance);
-            case 25: instance.reply(now, in); return;
-            case 26: instance.told(now, in); return;
+            case EventCode::instance_stopped: instances_[name].reset(); return;
+            case EventCode::invocation_arrived: instance.demand(now, in); return;
+            case EventCode::probe_completed: instance.probed(now, in); return;
+            case EventCode::stream_started: in.take(14); return;  // unused
+            case EventCode::timer_fired: instance.wakeup(now, in); return;
+            case EventCode::client_disconnected: instance.gone(now, in); return;
+            case EventCode::list_delivered: return roster(now, in, instance);
+            case EventCode::forward_ended: instance.reply(now, in); return;
+            case EventCode::peer_message_received: instance.told(now, in); return;
+            case EventCode::instance_started:
+            case EventCode::list_defined: break;  // handled above
         }
-        throw Malformed("unknown event code " + std::to_string(code));
+        throw Malformed("unknown event code " + std::to_string(static_cast<unsigned>(code)));
     }
 
     void ledger(Reader& in)
@@ -81,15 +98,16 @@
     void roster(TimePoint now, Reader& in, Instance& instance)
     {
         const auto scope = in.get<uint8_t>();
-        in.get<uint32_t>();  // version
+        in.get<uint32_t>();  // version: unused
         const auto number = in.get<uint32_t>();
-        if (scope != 3 && number >= ledgers_.size()) throw Malformed("a list's number is too high");
-        instance.roster(now, scope, scope == 3 ? ledgers_[0] : ledgers_[number]);
+        if (scope != ListScope::fetch_failed && number >= ledgers_.size())
+            throw Malformed("a list's number is too high");
+        instance.roster(now, scope, scope == ListScope::fetch_failed ? ledgers_[0] : ledgers_[number]);
     }
 
     Writer out_;
     std::vector<std::vector<Entry>> ledgers_{16};
-    std::vector<std::unique_ptr<Instance>> instances_;  // by the simulator's name
+    std::vector<std::unique_ptr<Instance>> instances_;  // by the simulator's instance id
 };
 
 int run()
