--- a/tests/clocks.cpp
+++ b/tests/clocks.cpp
@@ -1,4 +1,4 @@
-// Times told by other machines that are off, within the stated margins.
+// Clock differences between machines, within the configured margins.
 #include <gtest/gtest.h>
 
 #include "balancer_host.h"
@@ -10,27 +10,28 @@
 
 using namespace decision;
 
-Settings margins(Duration left, Duration ready, Idempotency repeat = Idempotency::non_idempotent)
+Settings settings_with_margins(Duration time_left, Duration start_time,
+                               Idempotency repeat = Idempotency::non_idempotent)
 {
     auto settings = BalancerHost::make_settings(BalancerHost::make_operation(repeat));
-    settings.time_left_margin = left;
-    settings.start_time_margin = ready;
+    settings.time_left_margin = time_left;
+    settings.start_time_margin = start_time;
     settings.slow_start_duration = seconds(10);
     return settings;
 }
 
-// Guards against invocations given up at a time that only another machine's clock says has come.
-TEST(LeftMargin, NothingLeftWithoutMarginIsThrottled)
+// An invocation must not be given up at a time that only another machine's clock says has come.
+TEST(TimeLeftMargin, NothingLeftWithoutMarginIsThrottled)
 {
-    BalancerHost host(margins({}, {}));
+    BalancerHost host(settings_with_margins({}, {}));
     host.set_endpoints(2);
     host.accept(0, {});
     EXPECT_EQ(host.take_decisions(), Decisions({Throttled{0, true}, Released{0}}));
 }
 
-TEST(LeftMargin, NonIdempotentIsAnsweredOnceOutOfTime)
+TEST(TimeLeftMargin, NonIdempotentIsAnsweredOnceOutOfTime)
 {
-    BalancerHost host(margins(seconds(1.5), {}, Idempotency::non_idempotent));
+    BalancerHost host(settings_with_margins(seconds(1.5), {}, Idempotency::non_idempotent));
     host.set_endpoints(2);
     // Nothing left by the clock: forwarded within the margin.
     host.accept(0, {});
@@ -47,9 +48,9 @@
     EXPECT_EQ(host.take_decisions(), Decisions({Throttled{1, true}, Released{1}}));
 }
 
-TEST(LeftMargin, IdempotentIsSentAgainOnceOutOfTime)
+TEST(TimeLeftMargin, IdempotentIsSentAgainOnceOutOfTime)
 {
-    BalancerHost host(margins(seconds(1.5), {}, Idempotency::idempotent));
+    BalancerHost host(settings_with_margins(seconds(1.5), {}, Idempotency::idempotent));
     host.set_endpoints(2);
     // Nothing left by the clock: forwarded within the margin.
     host.accept(0, {});
@@ -69,45 +70,48 @@
     EXPECT_EQ(host.take_decisions(), Decisions({Cancelled{0, 1}, Released{0}}));
 }
 
-TEST(LeftMargin, ComesAndGoesWithNewSettings)
+TEST(TimeLeftMargin, ComesAndGoesWithNewSettings)
 {
-    BalancerHost host(margins({}, {}));
+    BalancerHost host(settings_with_margins({}, {}));
     host.set_endpoints(2);
-    host.balancer.update_settings(host.now, margins(seconds(1.5), {}), {0}, {});
+    host.balancer.update_settings(host.now, settings_with_margins(seconds(1.5), {}), {0}, {});
     host.accept(0, {});
     host.end_attempt(0, AttemptResult::succeeded);
     EXPECT_EQ(host.take_decisions(), Decisions({Forwarded{0, 1, seconds(1.5)}, Released{0}}));
-    host.balancer.update_settings(host.now, margins({}, {}), {0}, {});
+    host.balancer.update_settings(host.now, settings_with_margins({}, {}), {0}, {});
     host.accept(0, {});
     EXPECT_EQ(host.take_decisions(), Decisions({Throttled{0, true}, Released{0}}));
 }
 
-// Of 200 invocations, 0.01 s apart, those that went to an upstream just listed as started.
-int sent_to_restarted(Duration margin, Duration started_ago)
+// Returns how many of 200 invocations, 0.01 s apart, go to an upstream that was just listed as restarted.
+int forwards_to_restarted(Duration margin, Duration started_ago)
 {
-    BalancerHost host(margins({}, margin, Idempotency::idempotent));
+    BalancerHost host(settings_with_margins({}, margin, Idempotency::idempotent));
     host.set_endpoints(4);
     host.send_many(200);
     host.change_endpoint(0, EndpointPhase::ready, host.now - started_ago);
     return host.send_many(200)[0];
 }
 
-// These guard against pushing over an upstream that started later than it is told.
-TEST(ReadyMargin, WarmUpstreamGetsItsPartWithoutMargin) { EXPECT_EQ(sent_to_restarted({}, seconds(10)), 45); }
+// An upstream that started later than listed must not be overloaded.
+TEST(StartTimeMargin, WarmUpstreamGetsItsPartWithoutMargin)
+{
+    EXPECT_EQ(forwards_to_restarted({}, seconds(10)), 45);
+}
 
-TEST(ReadyMargin, UpstreamThatMayBeColdGetsLess)
+TEST(StartTimeMargin, UpstreamThatMayBeColdGetsLess)
 {
-    EXPECT_EQ(sent_to_restarted(seconds(5), seconds(10)), 22);
+    EXPECT_EQ(forwards_to_restarted(seconds(5), seconds(10)), 22);
 }
 
-TEST(ReadyMargin, UpstreamWarmBeyondTheMarginGetsItsPart)
+TEST(StartTimeMargin, UpstreamWarmBeyondTheMarginGetsItsPart)
 {
-    EXPECT_EQ(sent_to_restarted(seconds(5), seconds(15)), 45);
+    EXPECT_EQ(forwards_to_restarted(seconds(5), seconds(15)), 45);
 }
 
-TEST(ReadyMargin, UpstreamThatStartsInTheFutureGetsAlmostNothing)
+TEST(StartTimeMargin, UpstreamThatStartsInTheFutureGetsAlmostNothing)
 {
-    EXPECT_EQ(sent_to_restarted({}, seconds(-5)), 3);
+    EXPECT_EQ(forwards_to_restarted({}, seconds(-5)), 3);
 }
 
 }  // namespace
--- a/tests/effects.cpp
+++ b/tests/effects.cpp
@@ -1,58 +1,65 @@
-// Rule 1 and 2: one answer in time, no effect twice.
+// Rules 1 and 2: one response in time, and no effect twice.
 #include "trace.h"
 
 using namespace firtide;
 
-static void play(const char* what, Operation op, AttemptResult first, bool may_overlap = true,
-                 Duration after = seconds(0.1))
+static void run_scenario(const char* title, Operation operation, AttemptResult first_result,
+                         bool may_overlap = true, Duration duration = seconds(0.1))
 {
-    auto settings = TracingHost::make_settings(op);
+    auto settings = TracingHost::make_settings(operation);
     settings.may_overlap_forwards = may_overlap;
-    TracingHost s(settings);
-    s.print_heading(what);
-    s.set_endpoints(4);
-    s.accept(0);
-    s.advance_clock(after);
-    s.end_attempt(0, first, after);
-    if (first != AttemptResult::succeeded) s.disconnect_client(0);
+    TracingHost host(settings);
+    host.print_heading(title);
+    host.set_endpoints(4);
+    host.accept(0);
+    host.advance_clock(duration);
+    host.end_attempt(0, first_result, duration);
+    if (first_result != AttemptResult::succeeded) host.disconnect_client(0);
 }
 
 int main()
 {
-    const auto idem = TracingHost::make_operation(Idempotency::idempotent),
-               once = TracingHost::make_operation(Idempotency::non_idempotent);
-    const auto dedup = TracingHost::make_operation(Idempotency::deduplicated);
-    play("a success is the answer", idem, AttemptResult::succeeded);
-    play("idempotent, errored: forwarded again elsewhere", idem, AttemptResult::errored);
-    play("non-idempotent, errored: may have run, so an error and nothing more", once, AttemptResult::errored);
-    play("non-idempotent, reset: likewise", once, AttemptResult::reset);
-    play("non-idempotent, full: proven not run, forwarded again", once, AttemptResult::declined);
-    play("non-idempotent, unreachable: likewise", once, AttemptResult::unreachable);
-    play("deduplicated to all, errored: forwarded again within the window", dedup, AttemptResult::errored);
-    play("deduplicated to a zone, errored: only to the same zone",
-         TracingHost::make_operation(Idempotency::deduplicated, DeduplicationScope::zone),
-         AttemptResult::errored);
-    play("deduplicated to a cell, errored: only to the same cell",
-         TracingHost::make_operation(Idempotency::deduplicated, DeduplicationScope::cell),
-         AttemptResult::errored);
-    auto brief = dedup;
-    brief.deduplication_window = seconds(0.05);
-    play("deduplicated, past its window: throttled, as all would drop a repeat", brief,
-         AttemptResult::errored);
-    brief.deduplication_scope = DeduplicationScope::zone;
-    play("deduplicated to a zone, past its window: an error, which promises nothing", brief,
-         AttemptResult::errored);
-    play("timed out at the latency objective: given up at once", idem, AttemptResult::timed_out, true,
-         seconds(1));
+    const auto idempotent = TracingHost::make_operation(Idempotency::idempotent),
+               non_idempotent = TracingHost::make_operation(Idempotency::non_idempotent);
+    const auto deduplicated = TracingHost::make_operation(Idempotency::deduplicated);
+    run_scenario("a success is the response", idempotent, AttemptResult::succeeded);
+    run_scenario("idempotent, errored: forwarded again to another upstream", idempotent,
+                 AttemptResult::errored);
+    run_scenario("non-idempotent, errored: may have run, so only an error is returned", non_idempotent,
+                 AttemptResult::errored);
+    run_scenario("non-idempotent, reset: may have run, so only an error is returned", non_idempotent,
+                 AttemptResult::reset);
+    run_scenario("non-idempotent, declined: proven not run, forwarded again", non_idempotent,
+                 AttemptResult::declined);
+    run_scenario("non-idempotent, unreachable: proven not run, forwarded again", non_idempotent,
+                 AttemptResult::unreachable);
+    run_scenario("deduplicated by all upstreams, errored: forwarded again within the window", deduplicated,
+                 AttemptResult::errored);
+    run_scenario("deduplicated within a zone, errored: forwarded again to the same zone only",
+                 TracingHost::make_operation(Idempotency::deduplicated, DeduplicationScope::zone),
+                 AttemptResult::errored);
+    run_scenario("deduplicated within a cell, errored: forwarded again to the same cell only",
+                 TracingHost::make_operation(Idempotency::deduplicated, DeduplicationScope::cell),
+                 AttemptResult::errored);
+    auto short_window = deduplicated;
+    short_window.deduplication_window = seconds(0.05);
+    run_scenario("deduplicated by all upstreams, past its window: throttled, as all would drop a repeat",
+                 short_window, AttemptResult::errored);
+    short_window.deduplication_scope = DeduplicationScope::zone;
+    run_scenario(
+        "deduplicated within a zone, past its window: an error, which promises nothing about what ran",
+        short_window, AttemptResult::errored);
+    run_scenario("timed out at the latency objective: given up at once", idempotent, AttemptResult::timed_out,
+                 true, seconds(1));
 
-    TracingHost s(TracingHost::make_settings(idem));
-    s.print_heading("nobody listed: throttled at once");
-    s.accept(0);
-    s.print_heading("the client leaves: the forward is cancelled, nothing is answered");
-    s.set_endpoints(2);
-    s.accept(0);
-    s.disconnect_client(0);
-    s.end_attempt(0, AttemptResult::cancelled);
-    s.print_heading("no time left: nothing is sent");
-    s.accept(0, Duration{});
+    TracingHost host(TracingHost::make_settings(idempotent));
+    host.print_heading("no upstream is listed: throttled at once");
+    host.accept(0);
+    host.print_heading("the client disconnects: the forward is cancelled and no reply is sent");
+    host.set_endpoints(2);
+    host.accept(0);
+    host.disconnect_client(0);
+    host.end_attempt(0, AttemptResult::cancelled);
+    host.print_heading("no time left: nothing is forwarded");
+    host.accept(0, Duration{});
 }
--- a/tests/peer_messages.cpp
+++ b/tests/peer_messages.cpp
@@ -1,11 +1,10 @@
-// What instances tell each other, where messages are allowed; and what waits at upstreams, where they report
-// it.
+// Load known from messages between balancers, and from queues that upstreams report.
 #include "src/balance/peer_message.h"
 #include "trace.h"
 
 using namespace firtide;
 
-static Settings one_of_two(uint32_t self)
+static Settings settings_of_two(uint32_t self)
 {
     auto settings = TracingHost::make_settings(TracingHost::make_operation(Idempotency::idempotent));
     settings.balancer_count = 2;
@@ -14,118 +13,125 @@
     return settings;
 }
 
-// Hands on what one has told since the last time.
-static void pass(TracingHost& from, TracingHost& to, uint32_t self)
+// Delivers the messages that one balancer has sent since the last call to the other.
+static void deliver_messages(TracingHost& from, TracingHost& to, uint32_t self)
 {
     for (const auto& bytes : std::exchange(from.peer_messages, {}))
         to.balancer.on_peer_message(to.now, self, bytes);
 }
 
-static void wire()
+static void test_wire_format()
 {
-    std::printf("-- on the wire\n");
+    std::printf("-- wire format\n");
     const PeerMessage all{true, {2.5, 1e9}, {{0x1234, 7}}};
     const auto bytes = encode_peer_message(all);
     for (const unsigned char c : bytes) std::printf("%02x ", c);
     std::printf("\n");
     for (size_t n = 0; n <= bytes.size(); ++n)
         std::printf("%zu bytes of it: %s\n", n, decode_peer_message(bytes.substr(0, n)) ? "read" : "nothing");
-    std::printf("another kind: %s\n", decode_peer_message("\x02") ? "read" : "nothing");
+    std::printf("another message type: %s\n", decode_peer_message("\x02") ? "read" : "nothing");
     std::printf("too long: %s\n", decode_peer_message(std::string(257, '\0')) ? "read" : "nothing");
 }
 
-static void loads()
+static void test_peer_load()
 {
-    TracingHost a(one_of_two(0)), b(one_of_two(1));
+    TracingHost a(settings_of_two(0)), b(settings_of_two(1));
     a.set_endpoints(4), b.set_endpoints(5);
     a.print_heading(
-        "another holds much at one upstream: less is sent there, and none to one that it alone knows");
+        "a peer has many requests at one upstream: less is sent there, and none to one that only the peer "
+        "knows");
     b.recording_paused = true;
-    // Eight at u1, and one at u4, which the first instance does not know.
-    std::map<UpstreamId, InvocationId> held;
+    // Four requests at u1 and one at u4, which the first balancer does not know.
+    std::map<UpstreamId, InvocationId> held_at_upstream;
     int at_one = 0, at_four = 0;
-    for (InvocationId inv = 0; at_one < 4 || at_four < 1; ++inv) {
-        b.accept(inv, seconds(60));
+    for (InvocationId invocation = 0; at_one < 4 || at_four < 1; ++invocation) {
+        b.accept(invocation, seconds(60));
         int* count = b.last_upstream == 1 ? &at_one : b.last_upstream == 4 ? &at_four : nullptr;
         if (count && ++*count <= (count == &at_one ? 4 : 1)) continue;
-        b.end_attempt(inv, AttemptResult::succeeded);
+        b.end_attempt(invocation, AttemptResult::succeeded);
     }
     TracingHost::print_counts("before", a.send_many(200));
     b.wake();
-    pass(b, a, 1);
-    TracingHost::print_counts("told", a.send_many(200));
-    a.print_heading("what cannot be read, or names nobody, changes nothing");
+    deliver_messages(b, a, 1);
+    TracingHost::print_counts("after the message", a.send_many(200));
+    a.print_heading("malformed messages and those of unknown peers change nothing");
     for (const char* bytes : {"", "\x05", "\x01", "\x01\x40"}) a.balancer.on_peer_message(a.now, 1, bytes);
     a.balancer.on_peer_message(a.now, 7, encode_peer_message({true, {}, {{1, 200}, {2, 200}}}));
     a.balancer.on_peer_message(a.now, 0, encode_peer_message({true, {}, {{1, 200}, {2, 200}}}));
-    TracingHost::print_counts("the same", a.send_many(200));
-    a.print_heading("silent for long: what it told is forgotten");
+    TracingHost::print_counts("unchanged", a.send_many(200));
+    a.print_heading("a peer that is silent for long is forgotten");
     a.advance_clock(seconds(6));
     a.recording_paused = true, a.wake();
     TracingHost::print_counts("after", a.send_many(200));
 }
 
-static void lost()
+static void test_lost_responses()
 {
-    TracingHost a(one_of_two(0));
+    TracingHost a(settings_of_two(0));
     a.set_endpoints(2);
     a.send_many(40);
-    a.print_heading("twenty answers that are long overdue do not count as held: the next still goes out");
+    a.print_heading(
+        "twenty responses are long overdue and do not count as in flight: the next invocation is still "
+        "forwarded");
     a.recording_paused = true;
-    int out = 0;
-    for (InvocationId inv = 0; inv < 20; ++inv) {
+    int in_flight = 0;
+    for (InvocationId invocation = 0; invocation < 20; ++invocation) {
         a.balancer.on_peer_message(a.now, 1, encode_peer_message({true, {}, {}}));
-        a.accept(inv, seconds(60));
-        out += a.is_in_flight(inv);
+        a.accept(invocation, seconds(60));
+        in_flight += a.is_in_flight(invocation);
         a.advance_clock(seconds(0.5)), a.wake();
     }
-    std::printf("%d of 20 went out\n", out);
+    std::printf("%d of 20 were forwarded\n", in_flight);
 }
 
-// Of n invocations, `every` apart, of tenants in turn as `who` says, each answered after `took`: how many of
-// each were not let in.
-template <class Who>
-static std::vector<int> crowd(TracingHost& a, int n, Duration every, Duration took, Who who)
+// Starts n invocations, `every` apart, for the tenants that tenant_of(i) gives, and ends each after
+// `duration`. Returns by tenant how many were not forwarded.
+template <class TenantOf>
+static std::vector<int> run_load(TracingHost& a, int n, Duration every, Duration duration, TenantOf tenant_of)
 {
-    std::vector<int> away(4);
-    std::vector<std::pair<TimePoint, InvocationId>> out;
+    std::vector<int> not_forwarded(4);
+    std::vector<std::pair<TimePoint, InvocationId>> in_flight;
     a.recording_paused = true;
     for (int i = 0; i < n; ++i) {
         a.advance_clock(every);
-        while (!out.empty() && a.now - out.front().first >= took)
-            a.end_attempt(out.front().second, AttemptResult::succeeded, took), out.erase(out.begin());
-        const auto inv = static_cast<InvocationId>(i % 100);
-        const uint32_t tenant = who(i);
-        a.accept(inv, seconds(2), tenant);
-        if (a.is_in_flight(inv))
-            out.emplace_back(a.now, inv);
+        while (!in_flight.empty() && a.now - in_flight.front().first >= duration)
+            a.end_attempt(in_flight.front().second, AttemptResult::succeeded, duration),
+                in_flight.erase(in_flight.begin());
+        const auto invocation = static_cast<InvocationId>(i % 100);
+        const uint32_t tenant = tenant_of(i);
+        a.accept(invocation, seconds(2), tenant);
+        if (a.is_in_flight(invocation))
+            in_flight.emplace_back(a.now, invocation);
         else
-            ++away[tenant];
+            ++not_forwarded[tenant];
     }
-    a.advance_clock(took);
-    for (const auto& [at, inv] : out) a.end_attempt(inv, AttemptResult::succeeded, took);
-    return away;
+    a.advance_clock(duration);
+    for (const auto& [at, invocation] : in_flight)
+        a.end_attempt(invocation, AttemptResult::succeeded, duration);
+    return not_forwarded;
 }
 
-static void shares()
+static void test_tenant_shares()
 {
-    auto settings = one_of_two(0);
+    auto settings = settings_of_two(0);
     settings.tenant_quotas = {80, 80};
     TracingHost a(settings);
     a.set_endpoints(8);
-    a.print_heading("a tenant asks for half its share here, near the limit: how many of 400 are throttled");
-    const auto ask = [&] { return crowd(a, 400, seconds(0.025), seconds(0.35), [](int) { return 0u; })[0]; };
-    const auto tell = [&](double rate) {
+    a.print_heading("a tenant uses half its share here, near the limit: number throttled of 400");
+    const auto run_tenant = [&] {
+        return run_load(a, 400, seconds(0.025), seconds(0.35), [](int) { return 0u; })[0];
+    };
+    const auto report_rate = [&](double rate) {
         a.balancer.on_peer_message(a.now, 1, encode_peer_message({true, {rate, 0}, {}}));
     };
-    tell(0);
-    std::printf("nothing elsewhere: %d\n", ask());
-    tell(20);
-    std::printf("a quarter of it elsewhere: %d\n", ask());
-    tell(120);
-    std::printf("half as much again elsewhere: %s\n", ask() > 20 ? "some" : "next to none");
+    report_rate(0);
+    std::printf("nothing at the peer: %d\n", run_tenant());
+    report_rate(20);
+    std::printf("a quarter of it at the peer: %d\n", run_tenant());
+    report_rate(120);
+    std::printf("half as much again at the peer: %s\n", run_tenant() > 20 ? "some" : "next to none");
 
-    // Guards against one tenant that crowds out the others, where the instances do not talk.
+    // One tenant must not crowd out the others where balancers exchange no messages.
     settings.may_message_peers = false;
     settings.balancer_count = 10;
     settings.tenant_quotas = {40, 40, 40, 40};
@@ -133,65 +139,69 @@
     for (const double rate : {8.0, 32.0}) {
         TracingHost b(settings);
         b.set_endpoints(20);
-        for (int i = 0; i < 4; ++i) crowd(b, 100, seconds(1 / rate), seconds(0.29), five_in_eight);
-        const auto away = crowd(b, 1000, seconds(1 / rate), seconds(0.29), five_in_eight);
-        std::printf("%2.0f a second, five in eight of one tenant, not let in: %d, and of the others %d\n",
-                    rate, away[0], away[1] + away[2] + away[3]);
+        for (int i = 0; i < 4; ++i) run_load(b, 100, seconds(1 / rate), seconds(0.29), five_in_eight);
+        const auto not_forwarded = run_load(b, 1000, seconds(1 / rate), seconds(0.29), five_in_eight);
+        std::printf(
+            "%2.0f per second, five in eight of one tenant, not forwarded: %d, and of the others %d\n", rate,
+            not_forwarded[0], not_forwarded[1] + not_forwarded[2] + not_forwarded[3]);
     }
 }
 
-static void queues()
+static void test_reported_queues()
 {
-    TracingHost s(TracingHost::make_settings(TracingHost::make_operation(Idempotency::idempotent)));
-    s.set_endpoints(3);
-    s.print_heading("answers take 0.3 s of an objective of 1 s: an upstream where three wait gets nothing");
-    s.recording_paused = true;
-    std::map<UpstreamId, int> got;
+    TracingHost host(TracingHost::make_settings(TracingHost::make_operation(Idempotency::idempotent)));
+    host.set_endpoints(3);
+    host.print_heading(
+        "responses take 0.3 s of an objective of 1 s: an upstream where three wait gets nothing");
+    host.recording_paused = true;
+    std::map<UpstreamId, int> forwards;
     for (int i = 0; i < 300; ++i) {
-        s.advance_clock(seconds(0.02));
-        s.last_upstream = ~0u;
-        s.accept(0);
-        if (s.last_upstream == ~0u) continue;
-        ++got[s.last_upstream];
-        LoadReport r;
-        r.queue_length = s.last_upstream == 0 ? 3 : 0;
-        s.end_attempt(0, AttemptResult::succeeded, seconds(0.3), r);
+        host.advance_clock(seconds(0.02));
+        host.last_upstream = ~0u;
+        host.accept(0);
+        if (host.last_upstream == ~0u) continue;
+        ++forwards[host.last_upstream];
+        LoadReport report;
+        report.queue_length = host.last_upstream == 0 ? 3 : 0;
+        host.end_attempt(0, AttemptResult::succeeded, seconds(0.3), report);
     }
-    TracingHost::print_counts("got", got);
-    TracingHost late(TracingHost::make_settings(TracingHost::make_operation(Idempotency::idempotent)));
-    late.set_endpoints(3);
-    late.print_heading(
-        "the first answer of all took long, and one waits at each: nobody is throttled for it");
-    late.throttled_count = 0;
-    late.recording_paused = true;
+    TracingHost::print_counts("forwards", forwards);
+    TracingHost first_slow_host(
+        TracingHost::make_settings(TracingHost::make_operation(Idempotency::idempotent)));
+    first_slow_host.set_endpoints(3);
+    first_slow_host.print_heading(
+        "the very first response took long, and one waits at each: nothing is throttled");
+    first_slow_host.throttled_count = 0;
+    first_slow_host.recording_paused = true;
     for (int i = 0; i < 100; ++i) {
-        late.advance_clock(seconds(0.5));
-        late.accept(0);
-        LoadReport r;
-        r.queue_length = 0.5;
-        if (late.is_in_flight(0)) late.end_attempt(0, AttemptResult::succeeded, seconds(i ? 0.3 : 0.95), r);
+        first_slow_host.advance_clock(seconds(0.5));
+        first_slow_host.accept(0);
+        LoadReport report;
+        report.queue_length = 0.5;
+        if (first_slow_host.is_in_flight(0))
+            first_slow_host.end_attempt(0, AttemptResult::succeeded, seconds(i ? 0.3 : 0.95), report);
     }
-    std::printf("throttled: %d of 100\n", late.throttled_count);
-    s.print_heading("three wait at each: throttled now, not when it is too late");
-    s.throttled_count = 0;
-    s.recording_paused = true;
+    std::printf("throttled: %d of 100\n", first_slow_host.throttled_count);
+    host.print_heading("three wait at each: throttled at once, not when it is too late");
+    host.throttled_count = 0;
+    host.recording_paused = true;
     for (int i = 0; i < 300; ++i) {
-        s.advance_clock(seconds(0.02));
-        s.last_upstream = ~0u;
-        s.accept(0);
-        if (s.last_upstream == ~0u) continue;
-        LoadReport r;
-        r.queue_length = 6;
-        s.end_attempt(0, AttemptResult::succeeded, seconds(0.3), r);
+        host.advance_clock(seconds(0.02));
+        host.last_upstream = ~0u;
+        host.accept(0);
+        if (host.last_upstream == ~0u) continue;
+        LoadReport report;
+        report.queue_length = 6;
+        host.end_attempt(0, AttemptResult::succeeded, seconds(0.3), report);
     }
-    std::printf("throttled: %s\n", s.throttled_count > 150 ? "most" : "few");
+    std::printf("throttled: %s\n", host.throttled_count > 150 ? "most" : "few");
 }
 
 int main()
 {
-    wire();
-    loads();
-    lost();
-    shares();
-    queues();
+    test_wire_format();
+    test_peer_load();
+    test_lost_responses();
+    test_tenant_shares();
+    test_reported_queues();
 }
--- a/tests/upstreams.cpp
+++ b/tests/upstreams.cpp
@@ -1,4 +1,4 @@
-// Rules 3 and 4, and the list.
+// Rules 3 and 4 (draining and restarted upstreams), the endpoint list and probes.
 #include "trace.h"
 
 using namespace firtide;
@@ -6,64 +6,66 @@
 int main()
 {
     auto settings = TracingHost::make_settings(TracingHost::make_operation(Idempotency::idempotent));
-    TracingHost s(settings);
-    s.set_endpoints(3);
-    s.print_heading("a draining or gone upstream gets nothing from the moment it is told");
-    TracingHost::print_counts("before", s.send_many(60));
-    s.change_endpoint(0, EndpointPhase::draining);
-    s.change_endpoint(1, EndpointPhase::gone);
-    TracingHost::print_counts("after", s.send_many(60));
-    s.print_heading("all draining: throttled at once");
-    s.change_endpoint(2, EndpointPhase::draining);
-    s.accept(0);
+    TracingHost draining_host(settings);
+    draining_host.set_endpoints(3);
+    draining_host.print_heading("a draining or gone upstream gets nothing once it is listed as such");
+    TracingHost::print_counts("before", draining_host.send_many(60));
+    draining_host.change_endpoint(0, EndpointPhase::draining);
+    draining_host.change_endpoint(1, EndpointPhase::gone);
+    TracingHost::print_counts("after", draining_host.send_many(60));
+    draining_host.print_heading("all upstreams draining: throttled at once");
+    draining_host.change_endpoint(2, EndpointPhase::draining);
+    draining_host.accept(0);
 
-    TracingHost c(settings);
-    c.print_heading("a cold upstream gets a part of its share, growing as it warms");
-    c.set_endpoints(4);
-    c.send_many(400);
-    c.change_endpoint(3, EndpointPhase::ready, c.now);
-    TracingHost::print_counts("first second", c.send_many(100));
-    c.advance_clock(seconds(15));
-    TracingHost::print_counts("half warm", c.send_many(100));
-    c.advance_clock(seconds(16));
-    TracingHost::print_counts("warm", c.send_many(100));
+    TracingHost restart_host(settings);
+    restart_host.print_heading("a restarted upstream gets a part of its share, which grows as it warms up");
+    restart_host.set_endpoints(4);
+    restart_host.send_many(400);
+    restart_host.change_endpoint(3, EndpointPhase::ready, restart_host.now);
+    TracingHost::print_counts("first second", restart_host.send_many(100));
+    restart_host.advance_clock(seconds(15));
+    TracingHost::print_counts("half warm", restart_host.send_many(100));
+    restart_host.advance_clock(seconds(16));
+    TracingHost::print_counts("warm", restart_host.send_many(100));
 
-    TracingHost fresh(settings);
-    fresh.print_heading("a fresh instance that knows only cold upstreams sends next to nothing");
-    fresh.balancer.set_endpoints(fresh.now, {{0, 0, EndpointPhase::ready, 0, 0, 1, fresh.now}});
-    TracingHost::print_counts("first second", fresh.send_many(100));
-    for (int i = 0; i < 9; ++i) fresh.send_many(100);
-    TracingHost::print_counts("eleventh second", fresh.send_many(100));
+    TracingHost new_host(settings);
+    new_host.print_heading("a new balancer that knows only restarted upstreams forwards next to nothing");
+    new_host.balancer.set_endpoints(new_host.now, {{0, 0, EndpointPhase::ready, 0, 0, 1, new_host.now}});
+    TracingHost::print_counts("first second", new_host.send_many(100));
+    for (int i = 0; i < 9; ++i) new_host.send_many(100);
+    TracingHost::print_counts("eleventh second", new_host.send_many(100));
 
     settings.must_watch_endpoint_list = true;
-    TracingHost asked(settings);
-    asked.print_heading("a list that must be asked: asked at the start, again after each failure");
-    asked.wake();
-    asked.balancer.on_endpoint_list_fetched(asked.now, false);
-    asked.wake();
-    asked.balancer.on_endpoint_list_fetched(asked.now, true);
-    // A change counts as told 6 s after discovery could be reached again: no wait may come near to that.
+    TracingHost watching_host(settings);
+    watching_host.print_heading(
+        "a list that must be watched: requested at the start, and again after each failure");
+    watching_host.wake();
+    watching_host.balancer.on_endpoint_list_fetched(watching_host.now, false);
+    watching_host.wake();
+    watching_host.balancer.on_endpoint_list_fetched(watching_host.now, true);
+    // A change counts as known 6 s after discovery can be reached again: the wait must stay well below that.
     Duration longest;
-    asked.recording_paused = true;
+    watching_host.recording_paused = true;
     for (int i = 0; i < 40; ++i) {
-        asked.balancer.on_endpoint_list_fetched(asked.now, false);
-        const TimePoint since = asked.now;
-        asked.wake();
-        longest = std::max(longest, asked.now - since);
+        watching_host.balancer.on_endpoint_list_fetched(watching_host.now, false);
+        const TimePoint requested_at = watching_host.now;
+        watching_host.wake();
+        longest = std::max(longest, watching_host.now - requested_at);
     }
-    asked.recording_paused = false;
-    std::printf("after 40 failures it is asked for again %s\n",
+    watching_host.recording_paused = false;
+    std::printf("after 40 failures it is requested again %s\n",
                 longest <= seconds(3) ? "within 3 s" : "later than 3 s");
-    asked.wake();
+    watching_host.wake();
 
     settings.must_watch_endpoint_list = false;
     settings.load_reports_by_probe = true;
-    TracingHost probing(settings);
-    probing.print_heading("reports come by probe alone: upstreams in use are probed, others are not");
-    probing.set_endpoints(40);
-    probing.wake();
-    TracingHost::print_counts("in use", probing.send_many(6, AttemptResult::succeeded, ~0u, seconds(0.02)));
-    probing.wake();
-    probing.wake();
-    probing.wake();
+    TracingHost probing_host(settings);
+    probing_host.print_heading("load reports by probe only: upstreams in use are probed, others are not");
+    probing_host.set_endpoints(40);
+    probing_host.wake();
+    TracingHost::print_counts("in use",
+                              probing_host.send_many(6, AttemptResult::succeeded, ~0u, seconds(0.02)));
+    probing_host.wake();
+    probing_host.wake();
+    probing_host.wake();
 }
--- a/tests/zones.cpp
+++ b/tests/zones.cpp
@@ -1,4 +1,4 @@
-// The own zone, and when its upstreams give way to those of the other zones.
+// Preference for the own zone, and when load moves to upstreams of other zones.
 #include <gtest/gtest.h>
 
 #include "balancer_host.h"
@@ -8,8 +8,8 @@
 namespace
 {
 
-constexpr uint32_t upstreams = 8;  // by turns of the own zone and of another
-constexpr Duration probed_every = seconds(6);
+constexpr uint32_t upstream_count = 8;  // alternately of the own zone and of another
+constexpr Duration probe_interval = seconds(6);
 
 Settings two_zones()
 {
@@ -19,7 +19,7 @@
     return settings;
 }
 
-LoadReport places(double queue, double utilisation)
+LoadReport queue_report(double queue, double utilisation)
 {
     LoadReport report;
     report.queue_length = queue;
@@ -27,35 +27,38 @@
     return report;
 }
 
-// The part of the forwards that crosses zones, while each upstream tells this of itself now and then.
-double crossing_part(const LoadReport& own_zone, const LoadReport& other_zone)
+// Returns the share of cross-zone forwards while upstreams of each zone repeatedly send the given report.
+double cross_zone_share(const LoadReport& own_zone, const LoadReport& other_zone)
 {
     BalancerHost host(two_zones());
-    host.set_endpoints(upstreams);
-    int own = 0;
-    int crossing = 0;
+    host.set_endpoints(upstream_count);
+    int in_own_zone = 0;
+    int cross_zone = 0;
     for (int round = 0; round < 10; ++round) {
-        for (UpstreamId each = 0; each < upstreams; ++each)
-            host.balancer.on_probe_completed(host.now, each, AttemptResult::succeeded,
-                                             each % 2 == 0 ? own_zone : other_zone);
-        const auto sent = host.send_many(100, AttemptResult::succeeded, ~0u, probed_every * 0.01);
-        for (const auto& [upstream, count] : sent) (upstream % 2 == 0 ? own : crossing) += count;
+        for (UpstreamId upstream_id = 0; upstream_id < upstream_count; ++upstream_id)
+            host.balancer.on_probe_completed(host.now, upstream_id, AttemptResult::succeeded,
+                                             upstream_id % 2 == 0 ? own_zone : other_zone);
+        const auto sent = host.send_many(100, AttemptResult::succeeded, ~0u, probe_interval * 0.01);
+        for (const auto& [upstream, count] : sent) (upstream % 2 == 0 ? in_own_zone : cross_zone) += count;
     }
-    return crossing / static_cast<double>(own + crossing);
+    return cross_zone / static_cast<double>(in_own_zone + cross_zone);
 }
 
-TEST(OwnZone, IsKeptWhileAllAreAlike) { EXPECT_LT(crossing_part(places(0, 0.5), places(0, 0.5)), 0.1); }
+TEST(OwnZone, IsKeptWhileAllAreAlike)
+{
+    EXPECT_LT(cross_zone_share(queue_report(0, 0.5), queue_report(0, 0.5)), 0.1);
+}
 
-// Reports that are seconds old say little of one upstream, and still tell one zone from the others.
+// Reports that are seconds old say little about one upstream, but still show a difference between zones.
 TEST(OwnZone, GivesWayWhereItsQueuesAreLongByOldReports)
 {
-    EXPECT_GT(crossing_part(places(2, 0.5), places(0, 0.5)), 0.3);
+    EXPECT_GT(cross_zone_share(queue_report(2, 0.5), queue_report(0, 0.5)), 0.3);
 }
 
-// A queue is empty until all places are in use.
+// A queue is empty until all slots are in use.
 TEST(OwnZone, GivesWayToIdleZoneBeforeItsQueuesFill)
 {
-    EXPECT_GT(crossing_part(places(0.3, 1), places(0, 0.2)), 0.2);
+    EXPECT_GT(cross_zone_share(queue_report(0.3, 1), queue_report(0, 0.2)), 0.2);
 }
 
 }  // namespace
