--- a/simulator_adapter/frames.h
+++ b/simulator_adapter/frames.h
@@ -11,7 +11,7 @@
 namespace firtide::simulator_adapter
 {
 
-struct Malformed : std::runtime_error {
+struct MalformedInput : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
@@ -21,17 +21,17 @@
     explicit Reader(std::string_view bytes) : rest_(bytes) {}
 
     template <class T>
-    T get()
+    T read()
     {
         static_assert(std::is_arithmetic_v<T>);
         T value;
-        std::memcpy(&value, take(sizeof value).data(), sizeof value);
+        std::memcpy(&value, read_bytes(sizeof value).data(), sizeof value);
         return value;
     }
 
-    std::string_view take(size_t n)
+    std::string_view read_bytes(size_t n)
     {
-        if (n > rest_.size()) throw Malformed("a record ends before its fields do");
+        if (n > rest_.size()) throw MalformedInput("a record ends before its fields do");
         const auto part = rest_.substr(0, n);
         rest_.remove_prefix(n);
         return part;
@@ -49,12 +49,12 @@
     void clear()
     {
         bytes_.clear();
-        records_ = 0;
+        record_count_ = 0;
     }
 
-    Writer& record(uint8_t code)
+    Writer& begin_record(uint8_t code)
     {
-        ++records_;
+        ++record_count_;
         return put(code);
     }
 
@@ -66,12 +66,12 @@
         return *this;
     }
 
-    uint32_t records() const { return records_; }
+    uint32_t record_count() const { return record_count_; }
     const std::string& bytes() const { return bytes_; }
 
   private:
     std::string bytes_;
-    uint32_t records_ = 0;
+    uint32_t record_count_ = 0;
 };
 
 }  // namespace firtide::simulator_adapter
--- a/simulator_adapter/instance.h
+++ b/simulator_adapter/instance.h
@@ -28,29 +28,29 @@
 };
 
 // An upstream in a list of the simulator.
-struct Entry {
-    uint32_t upstream;
+struct EndpointEntry {
+    uint32_t upstream_id;
     uint8_t zone;
-    uint16_t kind;
+    uint16_t machine_type;
     uint16_t cell;
-    uint8_t state;
-    float nominal;
-    uint64_t ready_at;
+    uint8_t phase;
+    float nominal_capacity;
+    uint64_t started_at;
 };
 
 class Instance : private BalancerDelegate
 {
   public:
-    Instance(uint16_t name, uint64_t seed, std::string_view setup, Writer& out);
+    Instance(uint16_t instance_id, uint64_t seed, std::string_view settings, Writer& out);
 
-    void begin(TimePoint now) { balancer_.start(now); }
-    void roster(TimePoint now, uint8_t scope, const std::vector<Entry>& entries);
-    void demand(TimePoint now, Reader& in);
-    void reply(TimePoint now, Reader& in);
-    void gone(TimePoint now, Reader& in);
-    void probed(TimePoint now, Reader& in);
-    void told(TimePoint now, Reader& in);
-    void wakeup(TimePoint now, Reader& in) { balancer_.on_timer_fired(now, in.get<uint64_t>()); }
+    void start(TimePoint now) { balancer_.start(now); }
+    void on_endpoint_list(TimePoint now, uint8_t scope, const std::vector<EndpointEntry>& entries);
+    void on_invocation(TimePoint now, Reader& in);
+    void on_forward_ended(TimePoint now, Reader& in);
+    void on_client_disconnected(TimePoint now, Reader& in);
+    void on_probe_completed(TimePoint now, Reader& in);
+    void on_peer_message(TimePoint now, Reader& in);
+    void on_timer_fired(TimePoint now, Reader& in) { balancer_.on_timer_fired(now, in.read<uint64_t>()); }
 
   private:
     struct Invocation {
@@ -58,32 +58,35 @@
         uint32_t forwards = 0;
     };
 
-    void forward(InvocationId inv, UpstreamId upstream_id, Duration limit) override;
-    void throttle(InvocationId inv, Duration retry_after) override;
-    void fail(InvocationId inv) override;
-    void cancel_forward(InvocationId inv, uint32_t forward) override;
-    void set_forward_timeout(InvocationId, uint32_t, Duration) override {
-    }  // the simulator sends whole requests
-    void release_invocation(InvocationId inv) override;
-    void start_timer(TimePoint at, uint64_t name) override;
+    void forward(InvocationId invocation, UpstreamId upstream_id, Duration timeout) override;
+    void throttle(InvocationId invocation, Duration retry_after) override;
+    void fail(InvocationId invocation) override;
+    void cancel_forward(InvocationId invocation, uint32_t forward) override;
+    // The simulator sends whole requests, so that timeouts do not change.
+    void set_forward_timeout(InvocationId, uint32_t, Duration) override {}
+    void release_invocation(InvocationId invocation) override;
+    void start_timer(TimePoint at, uint64_t timer_id) override;
     void probe(UpstreamId upstream_id) override;
     void close_idle_connections(UpstreamId upstream_id) override;
     void watch_endpoint_list() override;
     void broadcast(const std::string& message) override;
 
-    Writer& act(ActionCode code) { return out_.record(static_cast<uint8_t>(code)).put(name_); }
-    UpstreamId upstream(uint32_t id);
-    LoadReport report(Reader& in) const;
+    Writer& begin_action(ActionCode code)
+    {
+        return out_.begin_record(static_cast<uint8_t>(code)).put(instance_id_);
+    }
+    UpstreamId upstream_index(uint32_t id);
+    LoadReport read_load_report(Reader& in) const;
 
-    uint16_t name_;
+    uint16_t instance_id_;
     Writer& out_;
-    ServiceConfig setup_;
-    std::unordered_map<uint32_t, InvocationId> invocation_of_;
+    ServiceConfig config_;
+    std::unordered_map<uint32_t, InvocationId> invocation_by_id_;
     std::vector<Invocation> invocations_;
-    std::vector<InvocationId> free_;
-    std::unordered_map<uint32_t, UpstreamId> upstream_of_;
-    std::vector<uint32_t> upstreams_;
-    std::vector<EndpointState> listings_;
+    std::vector<InvocationId> free_invocations_;
+    std::unordered_map<uint32_t, UpstreamId> upstream_by_id_;
+    std::vector<uint32_t> upstream_ids_;
+    std::vector<EndpointState> endpoints_;
     Balancer balancer_;
 };
 
--- a/simulator_adapter/main.cpp
+++ b/simulator_adapter/main.cpp
@@ -14,7 +14,7 @@
 {
 
 constexpr size_t header_bytes = 16;
-constexpr uint32_t most_bytes = 1u << 30;
+constexpr uint32_t max_batch_bytes = 1u << 30;
 
 enum class EventCode : uint8_t {
     instance_started = 16,
@@ -33,80 +33,82 @@
 class Host
 {
   public:
-    const Writer& batch(TimePoint now, uint32_t records, std::string_view body)
+    const Writer& process_batch(TimePoint now, uint32_t records, std::string_view body)
     {
         out_.clear();
         Reader in(body);
-        for (uint32_t i = 0; i < records; ++i) event(now, in);
-        if (!in.at_end()) throw Malformed("a batch is longer than its records");
+        for (uint32_t i = 0; i < records; ++i) process_event(now, in);
+        if (!in.at_end()) throw MalformedInput("a batch is longer than its records");
         return out_;
     }
 
   private:
-    void event(TimePoint now, Reader& in)
+    void process_event(TimePoint now, Reader& in)
     {
-        const EventCode code{in.get<uint8_t>()};
-        if (code == EventCode::list_defined) return ledger(in);
-        const auto name = in.get<uint16_t>();
+        const EventCode code{in.read<uint8_t>()};
+        if (code == EventCode::list_defined) return read_endpoint_list(in);
+        const auto instance_id = in.read<uint16_t>();
         if (code == EventCode::instance_started) {
-            const auto seed = in.get<uint64_t>();
-            const auto setup = in.take(in.get<uint32_t>());
-            if (name >= instances_.size()) instances_.resize(name + size_t{1});
-            auto& at = instances_[name];
-            at = std::make_unique<Instance>(name, seed, setup, out_);
-            return at->begin(now);
+            const auto seed = in.read<uint64_t>();
+            const auto settings = in.read_bytes(in.read<uint32_t>());
+            if (instance_id >= instances_.size()) instances_.resize(instance_id + size_t{1});
+            auto& slot = instances_[instance_id];
+            slot = std::make_unique<Instance>(instance_id, seed, settings, out_);
+            return slot->start(now);
         }
-        if (name >= instances_.size() || !instances_[name])
-            throw Malformed("an event for an unknown instance");
-        Instance& instance = *instances_[name];
+        if (instance_id >= instances_.size() || !instances_[instance_id])
+            throw MalformedInput("an event for an unknown instance");
+        Instance& instance = *instances_[instance_id];
         switch (code) {
-            case EventCode::instance_stopped: instances_[name].reset(); return;
-            case EventCode::invocation_arrived: instance.demand(now, in); return;
-            case EventCode::probe_completed: instance.probed(now, in); return;
-            case EventCode::stream_started: in.take(14); return;  // unused
-            case EventCode::timer_fired: instance.wakeup(now, in); return;
-            case EventCode::client_disconnected: instance.gone(now, in); return;
-            case EventCode::list_delivered: return roster(now, in, instance);
-            case EventCode::forward_ended: instance.reply(now, in); return;
-            case EventCode::peer_message_received: instance.told(now, in); return;
+            case EventCode::instance_stopped: instances_[instance_id].reset(); return;
+            case EventCode::invocation_arrived: instance.on_invocation(now, in); return;
+            case EventCode::probe_completed: instance.on_probe_completed(now, in); return;
+            case EventCode::stream_started: in.read_bytes(14); return;  // unused
+            case EventCode::timer_fired: instance.on_timer_fired(now, in); return;
+            case EventCode::client_disconnected: instance.on_client_disconnected(now, in); return;
+            case EventCode::list_delivered: return deliver_endpoint_list(now, in, instance);
+            case EventCode::forward_ended: instance.on_forward_ended(now, in); return;
+            case EventCode::peer_message_received: instance.on_peer_message(now, in); return;
             case EventCode::instance_started:
             case EventCode::list_defined: break;  // handled above
         }
-        throw Malformed("unknown event code " + std::to_string(static_cast<unsigned>(code)));
+        throw MalformedInput("unknown event code " + std::to_string(static_cast<unsigned>(code)));
     }
 
-    void ledger(Reader& in)
+    void read_endpoint_list(Reader& in)
     {
-        const auto number = in.get<uint32_t>();
-        const auto n = in.get<uint32_t>();
-        auto& list =
-            ledgers_.at(number < ledgers_.size() ? number : throw Malformed("a list's number is too high"));
+        const auto list_number = in.read<uint32_t>();
+        const auto count = in.read<uint32_t>();
+        auto& list = endpoint_lists_.at(list_number < endpoint_lists_.size()
+                                            ? list_number
+                                            : throw MalformedInput("a list's number is too high"));
         list.clear();
-        for (uint32_t i = 0; i < n; ++i) {
-            Entry e{};
-            e.upstream = in.get<uint32_t>();
-            e.zone = in.get<uint8_t>();
-            e.kind = in.get<uint16_t>();
-            e.cell = in.get<uint16_t>();
-            e.state = in.get<uint8_t>();
-            e.nominal = in.get<float>();
-            e.ready_at = in.get<uint64_t>();
-            list.push_back(e);
+        for (uint32_t i = 0; i < count; ++i) {
+            EndpointEntry entry{};
+            entry.upstream_id = in.read<uint32_t>();
+            entry.zone = in.read<uint8_t>();
+            entry.machine_type = in.read<uint16_t>();
+            entry.cell = in.read<uint16_t>();
+            entry.phase = in.read<uint8_t>();
+            entry.nominal_capacity = in.read<float>();
+            entry.started_at = in.read<uint64_t>();
+            list.push_back(entry);
         }
     }
 
-    void roster(TimePoint now, Reader& in, Instance& instance)
+    void deliver_endpoint_list(TimePoint now, Reader& in, Instance& instance)
     {
-        const auto scope = in.get<uint8_t>();
-        in.get<uint32_t>();  // version: unused
-        const auto number = in.get<uint32_t>();
-        if (scope != ListScope::fetch_failed && number >= ledgers_.size())
-            throw Malformed("a list's number is too high");
-        instance.roster(now, scope, scope == ListScope::fetch_failed ? ledgers_[0] : ledgers_[number]);
+        const auto scope = in.read<uint8_t>();
+        in.read<uint32_t>();  // version: unused
+        const auto list_number = in.read<uint32_t>();
+        if (scope != ListScope::fetch_failed && list_number >= endpoint_lists_.size())
+            throw MalformedInput("a list's number is too high");
+        instance.on_endpoint_list(
+            now, scope, scope == ListScope::fetch_failed ? endpoint_lists_[0] : endpoint_lists_[list_number]);
     }
 
     Writer out_;
-    std::vector<std::vector<Entry>> ledgers_{16};
+    std::vector<std::vector<EndpointEntry>> endpoint_lists_{16};
     std::vector<std::unique_ptr<Instance>> instances_;  // by the simulator's instance id
 };
 
@@ -118,17 +120,17 @@
         char header[header_bytes];
         const auto got = std::fread(header, 1, header_bytes, stdin);
         if (got == 0) return 0;
-        if (got < header_bytes) throw Malformed("the input ends within a header");
+        if (got < header_bytes) throw MalformedInput("the input ends within a header");
         Reader in({header, header_bytes});
-        const auto records = in.get<uint32_t>();
-        const auto length = in.get<uint32_t>();
-        const TimePoint now{static_cast<int64_t>(in.get<uint64_t>())};
-        if (length > most_bytes) throw Malformed("a batch is too long");
+        const auto records = in.read<uint32_t>();
+        const auto length = in.read<uint32_t>();
+        const TimePoint now{static_cast<int64_t>(in.read<uint64_t>())};
+        if (length > max_batch_bytes) throw MalformedInput("a batch is too long");
         body.resize(length);
         if (std::fread(body.data(), 1, length, stdin) < length)
-            throw Malformed("the input ends within a batch");
-        const Writer& out = host.batch(now, records, body);
-        const uint32_t head[2] = {out.records(), static_cast<uint32_t>(out.bytes().size())};
+            throw MalformedInput("the input ends within a batch");
+        const Writer& out = host.process_batch(now, records, body);
+        const uint32_t head[2] = {out.record_count(), static_cast<uint32_t>(out.bytes().size())};
         if (std::fwrite(head, 1, sizeof head, stdout) < sizeof head ||
             std::fwrite(out.bytes().data(), 1, out.bytes().size(), stdout) < out.bytes().size() ||
             std::fflush(stdout) != 0)
--- a/src/balance/balancer.cpp
+++ b/src/balance/balancer.cpp
@@ -17,416 +17,465 @@
 namespace
 {
 
-constexpr double step = 0.1;                    // of a declined forward, a pair of failures or a long queue
-constexpr double sure_step = 0.34;              // of a signal that is conclusive by itself
-constexpr Duration expiry = seconds(1.5);       // of an entry after its last signal
-constexpr Duration divert_expiry = seconds(5);  // the same for signals that only divert requests
-constexpr Duration fall_every = seconds(0.5);   // an expired entry admits twice as much after each
-constexpr double first_trickle = 0.02;          // of requests, when a full reduction expires
-constexpr Duration report_age = seconds(0.5);   // of a report's deviation from the mean
-constexpr Duration slowness_age = seconds(8);   // of an upstream's deviation from its machine type
-constexpr double own_gain = 0.1, kind_gain = 0.01;  // weight of one response in the mean
-constexpr double tells_load = 0.25;                 // a lower mean of reported loads tells nothing
-constexpr size_t recent = 16, enough = 5;           // responses an upstream is judged by
-constexpr double well_above = 1.8;                  // a queue is long above this multiple of the mean
-constexpr double long_queue = 3;                    // plus this many, for means near zero
-constexpr Duration distrust_for = seconds(10);      // after idle connections were seen to fail
-constexpr size_t least_width = 8;                   // in the own zone, and as many in the others
-constexpr double meet_within = 1;                   // in which own traffic reaches each active upstream
-constexpr double crossing_weighs = 200;             // the own zone's weight is e to this times the price
-constexpr Duration lately = seconds(10);            // an upstream that had requests within it is in use
-constexpr Duration probe_every = seconds(1);        // approximate: jittered
-constexpr Duration tell_every = seconds(0.1);       // between messages about changed requests in flight
-constexpr Duration tell_all_every = seconds(2);     // approximate: jittered
-constexpr Duration believed = seconds(5);           // after a balancer's last message
-constexpr double least_late = 0.02;                 // a shorter pause may be this machine's own
-constexpr double overdue_at = 2;                    // times the high latency quantile: counts as lost
-constexpr size_t most_subjects = 32;                // the most recently failed keys that are tracked
-constexpr double nearly_late = 0.7;                 // a longer response counts as failed for its key
-constexpr double most_spent = 0.02;                 // of the value of the accepted invocations
-constexpr double most_probed = 0.0005;              // of the value of the accepted invocations
-constexpr size_t least_message = 8;                 // a shorter message is charged as this many
-constexpr double usual_crowd = 5;                   // requests at an upstream, where peers report theirs
-constexpr Duration rate_over = seconds(4);
-constexpr Duration may_send_for = seconds(3600);  // the host ends a request that never completes
-constexpr double cold_spend = 0.7;                // of the multiple at which an upstream collapses
-constexpr Duration first_backoff = seconds(0.5),
-                   longest_backoff = seconds(2);  // of endpoint list requests, before jitter
-constexpr double retry_share = 0.1,
-                 most_retries = 5;      // retries per accepted invocation, and the most saved up
-constexpr uint32_t most_redirects = 3;  // after results that prove that nothing ran
-
-// The concurrency limit is adjusted after this many responses, or with fewer after max_round_duration.
-constexpr double round_of = 60, least_round = 12;
-constexpr Duration long_round = seconds(3);
-constexpr double pressed = 0.2;                     // of the range from the baseline to the objective
-constexpr double never_pressed = 0.2;               // a mean below this ratio is never too long
-constexpr double least_of_good = 0.5;               // of best_in_flight
-constexpr double untried = 3;                       // times two_per_upstream(), until more went well
-constexpr double least_able = 0.25;                 // of the capacity in use
-constexpr double over_good = 1.15, for_chance = 1;  // times best_in_flight, and its root
-constexpr double smooth = 10;                       // arrivals, over which requests in flight are averaged
-constexpr double usual_calm = 0.2;                  // until enough responses were seen
-constexpr double most_over_calm = 1.5;              // the target is at most this multiple of the baseline
-constexpr double shared_from = 0.6;                 // of the limit: below, tenant shares are not enforced
-constexpr double typical_use = 1.25;                // the median tenant's share over its use of it
-constexpr double saved_up = 4;                      // invocations, for tenants with a small share here
-
-bool proves_not_run(AttemptResult r)
+// Reductions of upstreams and keys.
+constexpr double reduction_step = 0.1;          // for a declined forward, a pair of failures or a long queue
+constexpr double strong_reduction_step = 0.34;  // for a signal that is conclusive by itself
+// An entry stays in force this long after its last signal; the latter applies to signals that only divert.
+constexpr Duration reduction_validity = seconds(1.5);
+constexpr Duration diversion_validity = seconds(5);
+// An expired entry admits twice as much after each interval; a full reduction begins with this share.
+constexpr Duration recovery_doubling_interval = seconds(0.5);
+constexpr double initial_recovery_share = 0.02;
+
+// Load and health of upstreams.
+constexpr Duration load_report_half_life = seconds(0.5);  // of a report's deviation from the mean
+constexpr Duration slowness_half_life = seconds(8);       // of an upstream's deviation from its machine type
+// The weight of one response in the mean slowness.
+constexpr double upstream_slowness_gain = 0.1, machine_type_slowness_gain = 0.01;
+constexpr double min_informative_load = 0.25;  // a lower mean of reported loads tells nothing
+constexpr size_t response_sample_size = 16;    // responses by which an upstream is judged, approximately
+constexpr size_t min_response_sample = 5;      // fewer tell nothing
+// A queue is long above long_queue_factor times the mean plus long_queue_margin, for means near zero.
+constexpr double long_queue_factor = 1.8, long_queue_margin = 3;
+constexpr Duration idle_distrust_duration = seconds(10);  // after idle connections were seen to fail
+constexpr double min_stall_seconds = 0.02;                // a shorter pause may be this machine's own
+constexpr double overdue_factor = 2;         // times latency_high_quantile: a response counts as lost
+constexpr size_t max_failing_keys = 32;      // the most recently failed ones are kept
+constexpr double slow_response_share = 0.7;  // of the latency objective: counts as failed for its key
+
+// Choice of an upstream.
+constexpr size_t min_active_upstreams = 8;           // in the own zone, and as many in the others
+constexpr double contact_interval_seconds = 1;       // in which own traffic reaches each active upstream
+constexpr double cross_zone_price_weight = 200;      // the own zone's weight is e to this times the price
+constexpr Duration recent_use_window = seconds(10);  // an upstream that had requests within it is in use
+constexpr double max_upstream_load = 5;              // requests at an upstream, where peers report theirs
+constexpr Duration rate_window = seconds(4);
+constexpr double slow_start_budget_share = 0.7;  // of the multiple at which an upstream collapses
+
+// Probes and messages to peers.
+constexpr Duration probe_interval = seconds(1);          // approximate: jittered
+constexpr Duration peer_update_interval = seconds(0.1);  // of changed requests in flight, at least
+constexpr Duration peer_snapshot_interval = seconds(2);  // approximate: jittered
+constexpr Duration peer_state_lifetime = seconds(5);     // after a peer's last message
+// Of the value of the accepted invocations.
+constexpr double max_message_cost_share = 0.02, max_probe_cost_share = 0.0005;
+constexpr size_t min_charged_message_bytes = 8;  // a shorter message is charged as this many
+
+// Requests and retries.
+// Practically unlimited: the host ends a request that stays incomplete.
+constexpr Duration incomplete_request_timeout = seconds(3600);
+// Of endpoint list requests, before jitter.
+constexpr Duration initial_backoff = seconds(0.5), max_backoff = seconds(2);
+constexpr double retry_budget_share = 0.1;  // retries per accepted invocation
+constexpr double max_retry_tokens = 5;
+constexpr uint32_t max_redirects = 3;  // after results that prove that nothing ran
+
+// The concurrency limit is adjusted after round_size responses, or after max_round_duration with at least
+// min_round_size of them.
+constexpr double round_size = 60, min_round_size = 12;
+constexpr Duration max_round_duration = seconds(3);
+// The latency target: a ratio of response time to latency objective.
+constexpr double target_headroom_share = 0.2;   // of the range from the baseline to the objective
+constexpr double min_latency_target = 0.2;      // a mean below this ratio is never too long
+constexpr double max_over_baseline = 1.5;       // the target is at most this multiple of the baseline
+constexpr double default_baseline_ratio = 0.2;  // until enough responses were seen
+// The bounds of the concurrency limit.
+constexpr double min_limit_share = 0.5;     // of best_in_flight
+constexpr double untried_limit_factor = 3;  // times two_per_upstream(), until more went well
+constexpr double max_limit_factor = 1.15, max_limit_root_factor = 1;  // times best_in_flight, and its root
+constexpr double min_able_share = 0.25;     // of the upstreams, when the capacity is estimated
+constexpr double in_flight_smoothing = 10;  // arrivals over which requests in flight are averaged
+
+constexpr double tenant_share_threshold = 0.6;   // of the limit: below, tenant shares are not enforced
+constexpr double median_tenant_headroom = 1.25;  // the median tenant's share over its use of it
+constexpr double min_tenant_burst = 4;           // invocations, for tenants with a small share here
+
+bool proves_not_run(AttemptResult result)
 {
-    return r == AttemptResult::declined || r == AttemptResult::unreachable || r == AttemptResult::not_sent;
+    return result == AttemptResult::declined || result == AttemptResult::unreachable ||
+           result == AttemptResult::not_sent;
 }
 
 // One attempt of an invocation at an upstream.
 struct Forward {
     UpstreamId upstream_id = 0;
-    TimePoint sent;
-    bool out = true, overdue = false, proven_not_run = false;
-    bool rested = false;  // the upstream had been idle for longer than a mean response takes
-    std::function<void(TimePoint, AttemptResult)> next;  // the next step of the invocation
+    TimePoint sent_at;
+    bool in_flight = true, overdue = false, proven_not_run = false;
+    bool after_idle = false;  // the upstream had been idle for longer than a mean response takes
+    std::function<void(TimePoint, AttemptResult)> on_result;  // the next step of the invocation
 };
 
 // Kept from its acceptance until it has been answered and none of its forwards is in flight.
 struct Invocation {
-    Operation op;  // as it was on acceptance, or stricter after new settings
-    bool may_overlap = false;
+    Operation operation;  // as it was on acceptance, or stricter after new settings
+    bool may_overlap_forwards = false;
     uint32_t max_forwards = 1;
-    uint32_t operation = 0;
-    uint64_t key = 0;
-    TimePoint arrived, leaves,
-        useful;  // the client waits until deadline; a later response than useful_until is worthless
-    bool over = true;
-    bool early = false;
+    uint32_t operation_index = 0;
+    uint64_t subject_key = 0;
+    TimePoint arrived_at;
+    TimePoint deadline;      // until which the client waits
+    TimePoint useful_until;  // a later response is worthless
+    bool finished = true;
+    bool accepted_at_low_load = false;
     uint32_t redirects = 0;
     std::vector<Forward> forwards;
 };
 
+// A reduction of the requests to an upstream, or of those with one key.
 struct Entry {
     double reduction = 0;
-    TimePoint expires;
-    bool hard = false;  // raised by declined forwards, or by pairs of timeouts and resets
+    TimePoint expires_at;
+    bool allows_refusal = false;  // raised by declined forwards, or by pairs of timeouts and resets
 };
 
 // Tracked while its key is among the last that failed.
 struct FailingKey {
     uint64_t key = 0;
-    double failed = 0, answered = 0;  // of its last responses
+    double failure_share = 0, sample_size = 0;  // of its last responses
     Entry entry;
-    TimePoint failed_at;
+    TimePoint last_failed_at;
 };
 
 // Kept when the upstream leaves the list, until its index is reused for another one.
 struct Upstream {
-    EndpointState listing;
-    bool known = false;
+    EndpointState endpoint;
+    bool is_registered = false;
     Entry entry;
-    std::optional<TimePoint> unpaired;  // a single timeout or reset raises nothing
-    std::optional<double> load;
-    double busy = 0;  // by the slots in use, where a queue is reported
-    bool load_counts_own = false;
-    TimePoint load_at;
-    uint32_t out = 0, overdue = 0, out_at_report = 0;
-    size_t answered = 0;
-    double errors = 0,
-           slowness = 1;  // of the last responses: share of errors, mean latency over the operation's mean
-    TimePoint slowness_at;
-    TimePoint last_end{INT64_MIN / 2};
+    std::optional<TimePoint> unpaired_failure_at;  // a single timeout or reset raises nothing
+    std::optional<double> reported_load;
+    double utilisation_load = 0;  // by the slots in use, where a queue is reported
+    bool load_includes_own = false;
+    TimePoint reported_at;
+    uint32_t in_flight = 0, overdue = 0, in_flight_at_report = 0;
+    size_t sample_size = 0;
+    double error_share = 0;  // of the last responses
+    double slowness = 1;     // mean response time of the last responses over that of their operations
+    TimePoint slowness_updated_at;
+    TimePoint last_ended_at{INT64_MIN / 2};
     TimePoint waiting_since;  // the later of its last response and its first forward still in flight
 
-    double cold_tokens = 0;
-    TimePoint cold_at;
+    double slow_start_tokens = 0;
+    TimePoint slow_start_tokens_at;
 
-    uint32_t peers_out = 0;  // of the other balancers, as they reported it
-    uint8_t told_out = 0;    // own, as reported last
+    uint32_t peer_in_flight = 0;      // of the other balancers, as they reported it
+    uint8_t broadcast_in_flight = 0;  // own, as reported last
 };
 
-// The last report of another balancer, forgotten after peer_state_lifetime.
+// What another balancer reported last; forgotten after peer_state_lifetime.
 struct Peer {
-    std::vector<uint8_t> out;   // by upstream
-    std::vector<double> rates;  // by tenant
-    TimePoint heard{INT64_MIN / 2};
+    std::vector<uint8_t> in_flight;    // by upstream
+    std::vector<double> tenant_rates;  // by tenant
+    TimePoint heard_at{INT64_MIN / 2};
 };
 
-class Rate
+class DecayingRate
 {
   public:
-    void count(TimePoint now) { sum_ = decayed(now) + 1, at_ = now; }
-    double rate(TimePoint now) const { return decayed(now) / rate_over.seconds(); }
+    void record(TimePoint now) { sum_ = decayed(now) + 1, updated_at_ = now; }
+    double rate(TimePoint now) const { return decayed(now) / rate_window.seconds(); }
 
   private:
-    double decayed(TimePoint now) const { return sum_ > 0 ? sum_ * std::exp(-((now - at_) / rate_over)) : 0; }
+    double decayed(TimePoint now) const
+    {
+        return sum_ > 0 ? sum_ * std::exp(-((now - updated_at_) / rate_window)) : 0;
+    }
     double sum_ = 0;
-    TimePoint at_;
+    TimePoint updated_at_;
 };
 
 struct Tenant {
-    double quota = 0, came = 0, rate = 0;  // invocations per second
-    double saved = 1;                      // of its share here, as of tokens_at
-    TimePoint at;
+    double quota = 0;     // invocations per second
+    double arrivals = 0;  // invocations since the rates were updated
+    double rate = 0;      // invocations per second
+    double tokens = 1;    // invocations within its share here, as of tokens_at
+    TimePoint tokens_at;
 };
 
-struct OperationView {
-    double usual = 0, quick = 0;  // of response times: a slow moving mean and a low quantile
+struct OperationStatistics {
+    // Of response times: a slowly moving mean and a low quantile.
+    double mean_seconds = 0, low_quantile_seconds = 0;
 };
 
-struct Kind {
-    double slowness = 1, answered = 10;
+// The mean slowness of the upstreams of one machine type.
+struct MachineType {
+    double slowness = 1, sample_size = 10;
 };
 
 }  // namespace
 
 // All state of a Balancer.
 struct Balancer::State {
-    State(Settings settings, uint64_t seed, BalancerDelegate& outlet)
-        : set(std::move(settings)),
-          out(outlet),
-          chance(static_cast<std::ranlux24_base::result_type>(seed ^ (seed >> 32)))
+    State(Settings initial_settings, uint64_t seed, BalancerDelegate& balancer_delegate)
+        : settings(std::move(initial_settings)),
+          delegate(balancer_delegate),
+          random_engine(static_cast<std::ranlux24_base::result_type>(seed ^ (seed >> 32)))
     {
-        take_over({}, {});
-        chance.discard(32);
+        carry_over({}, {});
+        random_engine.discard(32);
     }
 
-    Settings set;
-    BalancerDelegate& out;
-    std::ranlux24_base chance;
-    TimePoint now, born;
+    Settings settings;
+    BalancerDelegate& delegate;
+    std::ranlux24_base random_engine;
+    TimePoint now, started_at;
 
-    std::vector<Invocation> invs;
-    std::vector<Upstream> ups;
-    std::vector<OperationView> ops;
+    std::vector<Invocation> invocations;
+    std::vector<Upstream> upstreams;
+    std::vector<OperationStatistics> operation_statistics;
 
     std::unordered_map<uint64_t, std::function<void()>> timers;
-    uint64_t next_name = 0;
+    uint64_t next_timer_id = 0;
 
-    std::vector<Kind> kinds;
+    std::vector<MachineType> machine_types;
     std::vector<FailingKey> failing_keys;
-    double mean_failed = 0, outcomes = 0;  // of invocations whose key has no reduction
+    double mean_failure_share = 0, outcome_count = 0;  // of invocations whose key has no reduction
 
-    double mean_load = 0, mean_errors = 0;
+    double mean_reported_load = 0, mean_error_share = 0;
     // Means in the own zone (0) and in the others (1): reported load, and load by the slots in use.
-    std::array<double, 2> zone_load{}, zone_busy{};
-    TimePoint fellows_at{INT64_MIN / 2};
+    std::array<double, 2> zone_load{}, zone_utilisation_load{};
+    TimePoint means_updated_at{INT64_MIN / 2};
 
-    Rate warm_sends, asked;
+    DecayingRate warm_forward_rate, arrival_rate;
 
     double retry_tokens = 1;
-    double late_any = 0;  // seconds, of all response times
+    double latency_high_quantile = 0;  // seconds, of all response times
 
-    double broke_rested = 0, broke_busy = 0;  // of forwards that were never answered
+    double idle_failure_share = 0, busy_failure_share = 0;  // of forwards that were never answered
     TimePoint distrust_idle_until{INT64_MIN / 2};
 
-    Duration slowest_objective;
-    double pressure = usual_calm, slow_pressure = 0;  // moving means of response time over latency objective
-    double calm = usual_calm;                         // the ratio at very low load
-    TimePoint round_at, share_at, weighed_at{INT64_MIN / 2}, told_at{INT64_MIN / 2};
-    std::vector<double> round_latencies;
-    double first_felt = 0, first_n = 0;
-    double capacity = 0;          // in warm upstreams, see update_capacity
-    double listed = 1;            // the listed part of the upstreams that all balancers share
-    double limit = 1e9;           // on the mean number of requests in flight
-    double good_outstanding = 0;  // the highest mean at which the latency target was met; decays slowly
-    double outstanding = 0, overdue = 0;
-    double around = 0;          // as the last arrivals found it
-    double met = 0, met_n = 0;  // as arrivals in this round found it
+    Duration longest_objective;
+    // Moving means of response time over latency objective.
+    double latency_ratio = default_baseline_ratio, long_term_ratio = 0;
+    double baseline_ratio = default_baseline_ratio;  // the ratio at very low load
+    TimePoint round_started_at, tenant_rates_updated_at, capacity_updated_at{INT64_MIN / 2},
+        last_broadcast_at{INT64_MIN / 2};
+    std::vector<double> round_ratios;
+    double baseline_sum = 0, baseline_count = 0;  // of ratios at low load
+    double capacity = 0;                          // in warm upstreams, see update_capacity
+    double subset_fraction = 1;                   // the listed part of the upstreams that all balancers share
+    double concurrency_limit = 1e9;               // on the mean number of requests in flight
+    double best_in_flight = 0;  // the highest mean at which the latency target was met; decays slowly
+    double in_flight = 0, overdue = 0;
+    double smoothed_in_flight = 0;                        // as the last arrivals found it
+    double arrival_in_flight_sum = 0, arrival_count = 0;  // as arrivals in this round found it
     std::vector<Tenant> tenants;
-    double own_part = 0;   // part of all traffic that arrives here, by the median tenant's rate
-    double stuck_out = 0;  // own requests in flight at stalled upstreams
-    bool queues_told = false, times_told = false;  // by upstreams
+    double own_traffic_share = 0;  // part of all traffic that arrives here, by the median tenant's rate
+    double stalled_in_flight = 0;  // own requests in flight at stalled upstreams
+    bool queues_reported = false, latencies_reported = false;  // by upstreams
 
     std::vector<Peer> peers;
-    double peers_out = 0;  // of all of them
-    size_t heard = 0;      // number that sent a message within peer_state_lifetime
-    std::vector<std::pair<uint16_t, UpstreamId>> told_names;  // of upstreams in messages, sorted
-    bool tell_due = false, telling = false, probing = false;
-    double may_spend = 0;  // bytes that may be sent to peers
-    double may_probe = 0;  // probes that may be sent
-    UpstreamId probe_next = 0;
+    double peer_in_flight = 0;  // of all of them
+    size_t live_peers = 0;      // number that sent a message within peer_state_lifetime
+    std::vector<std::pair<uint16_t, UpstreamId>> wire_names;  // of upstreams in messages, sorted
+    bool broadcast_due = false, snapshots_scheduled = false, probes_scheduled = false;
+    double message_budget = 0;  // bytes that may be sent to peers
+    double probe_budget = 0;    // probes that may be sent
+    UpstreamId next_probe = 0;
 
-    std::vector<UpstreamId> near,
-        far;  // all registered upstreams, by rank
-    std::vector<std::pair<UpstreamId, double>> weights;
-    double near_met = 1, near_told = 1;  // the own zone's weight in the draw
+    std::vector<UpstreamId> own_zone, other_zones;  // all registered upstreams, by rank
+    std::vector<std::pair<UpstreamId, double>> candidates;
+    double own_zone_preference = 1, own_zone_preference_with_peers = 1;  // the own zone's weight in the draw
 
-    double uniform_random() { return std::generate_canonical<double, 24>(chance); }
+    double uniform_random() { return std::generate_canonical<double, 24>(random_engine); }
 
-    void schedule(TimePoint at, std::function<void()> what)
+    void schedule(TimePoint at, std::function<void()> callback)
     {
-        timers.emplace(next_name, std::move(what));
-        out.start_timer(at, next_name++);
+        timers.emplace(next_timer_id, std::move(callback));
+        delegate.start_timer(at, next_timer_id++);
     }
 
     // ---- Rules that every forward and every reply obeys ----
 
     // Rule 5: the upstream may have started later than listed.
-    bool is_cold(const Upstream& u) const
+    bool is_warming(const Upstream& upstream) const
     {
-        return u.listing.started_at &&
-               now - *u.listing.started_at < set.slow_start_duration + set.start_time_margin;
+        return upstream.endpoint.started_at && now - *upstream.endpoint.started_at <
+                                                   settings.slow_start_duration + settings.start_time_margin;
     }
 
     // The least share of its capacity that an upstream has, by the time since its last start.
-    double warm_share(const Upstream& u) const
+    double warm_capacity_share(const Upstream& upstream) const
     {
-        if (!is_cold(u)) return 1;
-        const double age =
-            std::max(0.0, (now - *u.listing.started_at - set.start_time_margin) / set.slow_start_duration);
-        return set.slow_start_min_share + (1 - set.slow_start_min_share) * age;
+        if (!is_warming(upstream)) return 1;
+        const double age = std::max(0.0, (now - *upstream.endpoint.started_at - settings.start_time_margin) /
+                                             settings.slow_start_duration);
+        return settings.slow_start_min_share + (1 - settings.slow_start_min_share) * age;
     }
 
-    bool is_far(const Upstream& u) const { return set.cross_zone_price > 0 && u.listing.zone != set.zone; }
+    bool is_in_other_zone(const Upstream& upstream) const
+    {
+        return settings.cross_zone_price > 0 && upstream.endpoint.zone != settings.zone;
+    }
 
     // Forwards per second to each active upstream if none were warming up, at most the current rate to a warm
     // one. Without the even rate, many balancers that each see few warm upstreams left would take the load on
     // these for the usual.
-    double even_rate() const
-    {
-        double warm = 0;
-        size_t in_own_zone = 0, beyond = 0;
-        for (const Upstream& u : ups) {
-            if (u.listing.phase != EndpointPhase::ready) continue;
-            ++(is_far(u) ? beyond : in_own_zone);
-            warm += !is_cold(u) && (u.out > 0 || now - u.last_end < lately);
+    double even_forward_rate() const
+    {
+        double warm_count = 0;
+        size_t in_own_zone = 0, in_other_zones = 0;
+        for (const Upstream& upstream : upstreams) {
+            if (upstream.endpoint.phase != EndpointPhase::ready) continue;
+            ++(is_in_other_zone(upstream) ? in_other_zones : in_own_zone);
+            warm_count += !is_warming(upstream) &&
+                          (upstream.in_flight > 0 || now - upstream.last_ended_at < recent_use_window);
         }
-        const auto used = std::min(width(), in_own_zone) + std::min(width(), beyond);
-        const double even = asked.rate(now) / static_cast<double>(std::max<size_t>(1, used));
-        return warm > 0 ? std::min(even, warm_sends.rate(now) / warm) : even;
+        const auto active_count = std::min(active_upstream_count(), in_own_zone) +
+                                  std::min(active_upstream_count(), in_other_zones);
+        const double even = arrival_rate.rate(now) / static_cast<double>(std::max<size_t>(1, active_count));
+        return warm_count > 0 ? std::min(even, warm_forward_rate.rate(now) / warm_count) : even;
     }
 
-    // Rule 4: a restarted upstream gets only a part of its share, or all balancers together would overload
-    // it.
-    bool cold_budget(Upstream& u)
+    // Rule 4: a restarted upstream gets a part of its share, as all balancers together would overload it.
+    bool has_slow_start_budget(Upstream& upstream)
     {
-        if (!is_cold(u)) return true;
-        const double a_second = even_rate() * warm_share(u) * set.collapse_multiple * cold_spend;
-        u.cold_tokens += (now - u.cold_at).seconds() * a_second;
-        u.cold_tokens = std::min(u.cold_tokens, std::max(1.0, a_second * set.collapse_window.seconds()));
-        u.cold_at = now;
-        return u.cold_tokens >= 1;
+        if (!is_warming(upstream)) return true;
+        const double tokens_per_second = even_forward_rate() * warm_capacity_share(upstream) *
+                                         settings.collapse_multiple * slow_start_budget_share;
+        upstream.slow_start_tokens += (now - upstream.slow_start_tokens_at).seconds() * tokens_per_second;
+        upstream.slow_start_tokens =
+            std::min(upstream.slow_start_tokens,
+                     std::max(1.0, tokens_per_second * settings.collapse_window.seconds()));
+        upstream.slow_start_tokens_at = now;
+        return upstream.slow_start_tokens >= 1;
     }
 
-    bool in_group(const Invocation& inv, UpstreamId a, UpstreamId b) const
+    bool shares_deduplication_scope(const Invocation& invocation, UpstreamId a, UpstreamId b) const
     {
-        const auto &x = ups[a].listing, &y = ups[b].listing;
-        if (inv.op.deduplication_scope == DeduplicationScope::zone) return x.zone == y.zone;
-        if (inv.op.deduplication_scope == DeduplicationScope::cell) return x.cell == y.cell;
+        const auto &x = upstreams[a].endpoint, &y = upstreams[b].endpoint;
+        if (invocation.operation.deduplication_scope == DeduplicationScope::zone) return x.zone == y.zone;
+        if (invocation.operation.deduplication_scope == DeduplicationScope::cell) return x.cell == y.cell;
         return true;
     }
 
     // Rule 2: whether the earlier forwards allow another one to this upstream.
-    bool effect_allows(const Invocation& inv, UpstreamId upstream_id) const
-    {
-        for (const Forward& f : inv.forwards) {
-            if (f.proven_not_run) continue;
-            if (f.out && !(inv.may_overlap && set.may_overlap_forwards)) return false;
-            if (inv.op.idempotency == Idempotency::idempotent) continue;
-            if (inv.op.idempotency == Idempotency::non_idempotent) return false;
-            if (!in_group(inv, f.upstream_id, upstream_id) || now - f.sent >= inv.op.deduplication_window)
+    bool may_run_again(const Invocation& invocation, UpstreamId upstream_id) const
+    {
+        for (const Forward& forward : invocation.forwards) {
+            if (forward.proven_not_run) continue;
+            if (forward.in_flight && !(invocation.may_overlap_forwards && settings.may_overlap_forwards))
+                return false;
+            if (invocation.operation.idempotency == Idempotency::idempotent) continue;
+            if (invocation.operation.idempotency == Idempotency::non_idempotent) return false;
+            if (!shares_deduplication_scope(invocation, forward.upstream_id, upstream_id) ||
+                now - forward.sent_at >= invocation.operation.deduplication_window)
                 return false;
         }
         return true;
     }
 
-    bool may_throttle(const Invocation& inv) const
+    bool may_throttle(const Invocation& invocation) const
     {
-        for (const Forward& f : inv.forwards) {
-            if (f.proven_not_run || inv.op.idempotency == Idempotency::idempotent) continue;
-            if (inv.op.idempotency == Idempotency::non_idempotent ||
-                inv.op.deduplication_scope != DeduplicationScope::all)
+        for (const Forward& forward : invocation.forwards) {
+            if (forward.proven_not_run || invocation.operation.idempotency == Idempotency::idempotent)
+                continue;
+            if (invocation.operation.idempotency == Idempotency::non_idempotent ||
+                invocation.operation.deduplication_scope != DeduplicationScope::all)
                 return false;
         }
         return true;
     }
 
-    bool may_send(const Invocation& inv, UpstreamId upstream_id)
+    bool may_send(const Invocation& invocation, UpstreamId upstream_id)
     {
-        Upstream& u = ups[upstream_id];
-        return !inv.over && now < inv.leaves &&
-               inv.forwards.size() < std::min(inv.max_forwards, set.max_forwards) &&
-               u.listing.phase == EndpointPhase::ready && effect_allows(inv, upstream_id) && cold_budget(u);
+        Upstream& upstream = upstreams[upstream_id];
+        return !invocation.finished && now < invocation.deadline &&
+               invocation.forwards.size() < std::min(invocation.max_forwards, settings.max_forwards) &&
+               upstream.endpoint.phase == EndpointPhase::ready && may_run_again(invocation, upstream_id) &&
+               has_slow_start_budget(upstream);
     }
 
     // The only place that forwards.
-    bool send(InvocationId id, UpstreamId upstream_id, Duration at_most,
-              std::function<void(TimePoint, AttemptResult)> next)
-    {
-        Invocation& inv = invs[id];
-        if (!may_send(inv, upstream_id)) return false;
-        Upstream& u = ups[upstream_id];
-        if (is_cold(u))
-            u.cold_tokens -= 1;
+    bool send(InvocationId id, UpstreamId upstream_id, Duration timeout,
+              std::function<void(TimePoint, AttemptResult)> on_result)
+    {
+        Invocation& invocation = invocations[id];
+        if (!may_send(invocation, upstream_id)) return false;
+        Upstream& upstream = upstreams[upstream_id];
+        if (is_warming(upstream))
+            upstream.slow_start_tokens -= 1;
         else
-            warm_sends.count(now);
-        bool rested = u.out == 0 && (now - u.last_end).seconds() > ops[inv.operation].usual;
-        if (rested && now < distrust_idle_until) {
-            out.close_idle_connections(upstream_id);
-            rested = false;
+            warm_forward_rate.record(now);
+        bool after_idle =
+            upstream.in_flight == 0 && (now - upstream.last_ended_at).seconds() >
+                                           operation_statistics[invocation.operation_index].mean_seconds;
+        if (after_idle && now < distrust_idle_until) {
+            delegate.close_idle_connections(upstream_id);
+            after_idle = false;
         }
-        if (u.out++ == 0) u.waiting_since = now;
-        ++outstanding;
-        tell_soon();
-        inv.forwards.push_back(
-            {.upstream_id = upstream_id, .sent = now, .rested = rested, .next = std::move(next)});
-        if (set.may_message_peers && late_any > 0)
-            schedule(now + seconds(late_any * overdue_at), [this, id, nth = inv.forwards.size() - 1,
-                                                            sent = now] { overdue_if_out(id, nth, sent); });
-        out.forward(id, upstream_id, std::min(at_most, inv.leaves - now));
+        if (upstream.in_flight++ == 0) upstream.waiting_since = now;
+        ++in_flight;
+        schedule_broadcast();
+        invocation.forwards.push_back({.upstream_id = upstream_id,
+                                       .sent_at = now,
+                                       .after_idle = after_idle,
+                                       .on_result = std::move(on_result)});
+        if (settings.may_message_peers && latency_high_quantile > 0)
+            schedule(now + seconds(latency_high_quantile * overdue_factor),
+                     [this, id, forward_index = invocation.forwards.size() - 1, sent_at = now] {
+                         mark_overdue(id, forward_index, sent_at);
+                     });
+        delegate.forward(id, upstream_id, std::min(timeout, invocation.deadline - now));
         return true;
     }
 
     // A response that was lost silently would otherwise count as held by its upstream until the timeout.
-    void overdue_if_out(InvocationId id, size_t nth, TimePoint sent)
+    void mark_overdue(InvocationId id, size_t forward_index, TimePoint sent_at)
     {
-        if (nth >= invs[id].forwards.size()) return;
-        Forward& f = invs[id].forwards[nth];
-        if (!f.out || f.sent != sent) return;
-        f.overdue = true, ++ups[f.upstream_id].overdue, ++overdue;
-        tell_soon();
+        if (forward_index >= invocations[id].forwards.size()) return;
+        Forward& forward = invocations[id].forwards[forward_index];
+        if (!forward.in_flight || forward.sent_at != sent_at) return;
+        forward.overdue = true, ++upstreams[forward.upstream_id].overdue, ++overdue;
+        schedule_broadcast();
     }
 
     // Rule 1: an invocation is answered once, here or by its first success.
     void finish(InvocationId id, bool throttled, Duration retry_after = {})
     {
-        Invocation& inv = invs[id];
-        if (inv.over) return;
-        if (throttled && may_throttle(inv))
-            out.throttle(id, std::min(retry_after, set.max_retry_after));
+        Invocation& invocation = invocations[id];
+        if (invocation.finished) return;
+        if (throttled && may_throttle(invocation))
+            delegate.throttle(id, std::min(retry_after, settings.max_retry_after));
         else
-            out.fail(id);
+            delegate.fail(id);
         close(id);
     }
 
     void close(InvocationId id)
     {
-        Invocation& inv = invs[id];
-        inv.over = true;
-        for (uint32_t i = 0; i < inv.forwards.size(); ++i)
-            if (inv.forwards[i].out && set.may_cancel) out.cancel_forward(id, i);
-        release(id);
+        Invocation& invocation = invocations[id];
+        invocation.finished = true;
+        for (uint32_t i = 0; i < invocation.forwards.size(); ++i)
+            if (invocation.forwards[i].in_flight && settings.may_cancel) delegate.cancel_forward(id, i);
+        release_if_done(id);
     }
 
-    void release(InvocationId id)
+    void release_if_done(InvocationId id)
     {
-        Invocation& inv = invs[id];
-        if (!inv.over) return;
-        if (std::none_of(inv.forwards.begin(), inv.forwards.end(), [](auto& f) { return f.out; }))
-            out.release_invocation(id);
+        Invocation& invocation = invocations[id];
+        if (!invocation.finished) return;
+        if (std::none_of(invocation.forwards.begin(), invocation.forwards.end(),
+                         [](auto& each) { return each.in_flight; }))
+            delegate.release_invocation(id);
     }
 
     // ---- Signals from responses ----
 
-    FailingKey* failing_key(uint64_t key)
+    FailingKey* find_failing_key(uint64_t key)
     {
-        const auto at =
-            std::find_if(failing_keys.begin(), failing_keys.end(), [&](auto& s) { return s.key == key; });
-        return key && at != failing_keys.end() ? &*at : nullptr;
+        const auto found = std::find_if(failing_keys.begin(), failing_keys.end(),
+                                        [&](auto& each) { return each.key == key; });
+        return key && found != failing_keys.end() ? &*found : nullptr;
     }
 
     // The current reduction of a key: an expired entry falls by one step per second.
     double key_reduction(uint64_t key)
     {
-        const FailingKey* s = failing_key(key);
-        if (!s || now < s->entry.expires) return s ? s->entry.reduction : 0;
-        return std::max(0.0, s->entry.reduction - step * (now - s->entry.expires).seconds());
+        const FailingKey* failing_key = find_failing_key(key);
+        if (!failing_key || now < failing_key->entry.expires_at)
+            return failing_key ? failing_key->entry.reduction : 0;
+        return std::max(0.0, failing_key->entry.reduction -
+                                 reduction_step * (now - failing_key->entry.expires_at).seconds());
     }
 
     // Detects a resource behind the upstreams, such as a lock or a row, that all invocations of one key wait
@@ -435,155 +484,192 @@
     // whose work is slow by nature, or several failing keys by chance if all of them fail.
     void record_key_outcome(uint64_t key, bool failed)
     {
-        FailingKey* s = failing_key(key);
-        const double standing = key_reduction(key);
-        if (standing <= 0) mean_failed += std::max(0.02, 1 / ++outcomes) * (failed - mean_failed);
-        if (!key || (!s && !failed)) return;
-        if (!s && failing_keys.size() < most_subjects) s = &failing_keys.emplace_back();
-        if (!s)
-            s = &*std::min_element(failing_keys.begin(), failing_keys.end(),
-                                   [](auto& a, auto& b) { return a.failed_at < b.failed_at; });
-        if (s->key != key) *s = FailingKey{}, s->key = key;
-        s->answered = std::min(s->answered + 1, recent / 2.0);
-        s->failed += (failed - s->failed) / s->answered;
-        s->entry.reduction = standing;
+        FailingKey* failing_key = find_failing_key(key);
+        const double current = key_reduction(key);
+        if (current <= 0)
+            mean_failure_share += std::max(0.02, 1 / ++outcome_count) * (failed - mean_failure_share);
+        if (!key || (!failing_key && !failed)) return;
+        if (!failing_key && failing_keys.size() < max_failing_keys)
+            failing_key = &failing_keys.emplace_back();
+        if (!failing_key)
+            failing_key = &*std::min_element(failing_keys.begin(), failing_keys.end(), [](auto& a, auto& b) {
+                return a.last_failed_at < b.last_failed_at;
+            });
+        if (failing_key->key != key) *failing_key = FailingKey{}, failing_key->key = key;
+        failing_key->sample_size = std::min(failing_key->sample_size + 1, response_sample_size / 2.0);
+        failing_key->failure_share += (failed - failing_key->failure_share) / failing_key->sample_size;
+        failing_key->entry.reduction = current;
         if (!failed) return;
-        s->failed_at = now;
-        if (s->answered < 2 || s->failed < 0.25 + 2 * mean_failed) return;
-        s->entry = {std::min(1.0, standing + sure_step), now + divert_expiry};
+        failing_key->last_failed_at = now;
+        if (failing_key->sample_size < 2 || failing_key->failure_share < 0.25 + 2 * mean_failure_share)
+            return;
+        failing_key->entry = {std::min(1.0, current + strong_reduction_step), now + diversion_validity};
     }
 
-    void raise(Upstream& u, double by, bool hard)
+    void raise_reduction(Upstream& upstream, double step, bool allows_refusal)
     {
-        const double standing = entry_reduction(u);
-        u.entry.hard = hard || (u.entry.hard && standing > 0);
-        u.entry.reduction = std::min(1.0, standing + by);
-        u.entry.expires = std::max(u.entry.expires, now + (hard ? expiry : divert_expiry));
+        const double current = entry_reduction(upstream);
+        upstream.entry.allows_refusal = allows_refusal || (upstream.entry.allows_refusal && current > 0);
+        upstream.entry.reduction = std::min(1.0, current + step);
+        upstream.entry.expires_at = std::max(
+            upstream.entry.expires_at, now + (allows_refusal ? reduction_validity : diversion_validity));
     }
 
     // Detects an upstream that accepts requests and answers none, by how long the oldest one has waited.
-    bool stalled(const Upstream& u) const
+    bool is_stalled(const Upstream& upstream) const
     {
-        const double late = std::max(late_any, least_late) * (1 + 2.0 / u.out);
-        return u.out > 0 && late_any > 0 && (now - u.waiting_since).seconds() > late;
+        const double stall_seconds =
+            std::max(latency_high_quantile, min_stall_seconds) * (1 + 2.0 / upstream.in_flight);
+        return upstream.in_flight > 0 && latency_high_quantile > 0 &&
+               (now - upstream.waiting_since).seconds() > stall_seconds;
     }
 
-    double reduction(const Upstream& u) const { return stalled(u) ? 1 : entry_reduction(u); }
+    double reduction(const Upstream& upstream) const
+    {
+        return is_stalled(upstream) ? 1 : entry_reduction(upstream);
+    }
 
     // The current reduction of an entry: after its expiry, the admitted share doubles with each interval.
-    double entry_reduction(const Upstream& u) const
+    double entry_reduction(const Upstream& upstream) const
     {
-        const Entry& e = u.entry;
-        if (e.reduction <= 0 || now < e.expires) return e.reduction;
-        const double falls = 1 + std::floor((now - e.expires) / fall_every);
-        const double through = std::max(first_trickle, 1 - e.reduction) * std::exp2(std::min(falls, 60.0));
-        return through >= 1 ? 0 : 1 - through;
+        const Entry& entry = upstream.entry;
+        if (entry.reduction <= 0 || now < entry.expires_at) return entry.reduction;
+        const double doublings = 1 + std::floor((now - entry.expires_at) / recovery_doubling_interval);
+        const double admitted =
+            std::max(initial_recovery_share, 1 - entry.reduction) * std::exp2(std::min(doublings, 60.0));
+        return admitted >= 1 ? 0 : 1 - admitted;
     }
 
-    static double fourth(double x) { return x * x * x * x; }
+    static double fourth_power(double x) { return x * x * x * x; }
 
-    static double busy(double used) { return used / std::max(0.05, 1.05 - used); }
+    static double load_from_utilisation(double used) { return used / std::max(0.05, 1.05 - used); }
 
-    static std::optional<double> load_of(const LoadReport& r)
+    static std::optional<double> load_from_report(const LoadReport& report)
     {
-        if (r.queue_length || r.in_flight) return r.queue_length ? r.queue_length : r.in_flight;
-        return r.utilisation ? std::optional(busy(*r.utilisation)) : std::nullopt;
+        if (report.queue_length || report.in_flight)
+            return report.queue_length ? report.queue_length : report.in_flight;
+        return report.utilisation ? std::optional(load_from_utilisation(*report.utilisation)) : std::nullopt;
     }
 
-    void reported(Upstream& u, const LoadReport& r)
+    void record_load_report(Upstream& upstream, const LoadReport& report)
     {
-        refresh_fellows();
-        if (const auto load = load_of(r)) {
-            u.load = load, u.load_at = now, u.load_counts_own = !r.queue_length, u.out_at_report = u.out;
-            u.busy = r.queue_length ? busy(r.utilisation.value_or(0)) : 0;
-            queues_told = queues_told || r.queue_length;
-            if (r.queue_length && *r.queue_length > long_queue + well_above * mean_load)
-                raise(u, step, false);
+        refresh_means();
+        if (const auto load = load_from_report(report)) {
+            upstream.reported_load = load, upstream.reported_at = now,
+            upstream.load_includes_own = !report.queue_length,
+            upstream.in_flight_at_report = upstream.in_flight;
+            upstream.utilisation_load =
+                report.queue_length ? load_from_utilisation(report.utilisation.value_or(0)) : 0;
+            queues_reported = queues_reported || report.queue_length;
+            if (report.queue_length &&
+                *report.queue_length > long_queue_margin + long_queue_factor * mean_reported_load)
+                raise_reduction(upstream, reduction_step, false);
         }
-        times_told = times_told || r.mean_latency_ms;
+        latencies_reported = latencies_reported || report.mean_latency_ms;
     }
 
     // Recomputes the means over all upstreams, at most every 0.2 s to keep it cheap.
-    void refresh_fellows()
-    {
-        if (now - fellows_at < seconds(0.2)) return;
-        fellows_at = now;
-        double errors = 0, judged = 0;
-        std::array<double, 2> load{}, used{}, loads{};
-        for (const Upstream& u : ups) {
-            if (u.listing.phase != EndpointPhase::ready) continue;
-            if (u.load) load[is_far(u)] += *u.load, used[is_far(u)] += u.busy, ++loads[is_far(u)];
-            if (u.answered >= enough) errors += u.errors, ++judged;
+    void refresh_means()
+    {
+        if (now - means_updated_at < seconds(0.2)) return;
+        means_updated_at = now;
+        double error_sum = 0, error_samples = 0;
+        std::array<double, 2> load_sum{}, utilisation_sum{}, load_count{};
+        for (const Upstream& upstream : upstreams) {
+            if (upstream.endpoint.phase != EndpointPhase::ready) continue;
+            if (upstream.reported_load)
+                load_sum[is_in_other_zone(upstream)] += *upstream.reported_load,
+                    utilisation_sum[is_in_other_zone(upstream)] += upstream.utilisation_load,
+                    ++load_count[is_in_other_zone(upstream)];
+            if (upstream.sample_size >= min_response_sample)
+                error_sum += upstream.error_share, ++error_samples;
         }
-        mean_load = (load[0] + load[1]) / std::max(1.0, loads[0] + loads[1]);
-        for (size_t z = 0; z < 2; ++z) {
-            zone_load[z] = loads[z] > 0 ? load[z] / loads[z] : mean_load;
-            zone_busy[z] = loads[z] > 0 ? used[z] / loads[z] : used[1 - z] / std::max(1.0, loads[1 - z]);
+        mean_reported_load = (load_sum[0] + load_sum[1]) / std::max(1.0, load_count[0] + load_count[1]);
+        for (size_t zone = 0; zone < 2; ++zone) {
+            zone_load[zone] = load_count[zone] > 0 ? load_sum[zone] / load_count[zone] : mean_reported_load;
+            zone_utilisation_load[zone] =
+                load_count[zone] > 0 ? utilisation_sum[zone] / load_count[zone]
+                                     : utilisation_sum[1 - zone] / std::max(1.0, load_count[1 - zone]);
         }
-        mean_errors = judged > 0 ? errors / judged : 0;
+        mean_error_share = error_samples > 0 ? error_sum / error_samples : 0;
     }
 
     // relative_latency: the response time over the operation's mean; unset for an error.
-    void judge(Upstream& u, std::optional<double> time)
-    {
-        u.answered = std::min(recent, u.answered + 1);
-        u.errors += ((time ? 0 : 1) - u.errors) / static_cast<double>(u.answered);
-        if (time) {
-            Kind& k = kinds[u.listing.machine_type];
-            const double t = std::min(*time, 5.0);
-            k.slowness += std::max(kind_gain, 1 / ++k.answered) * (t - k.slowness);
-            u.slowness = slowness(u) + own_gain * (t - slowness(u)), u.slowness_at = now;
-        } else if (u.answered >= enough && u.errors > 0.25 + 2 * mean_errors) {
+    void record_response(Upstream& upstream, std::optional<double> relative_latency)
+    {
+        upstream.sample_size = std::min(response_sample_size, upstream.sample_size + 1);
+        upstream.error_share +=
+            ((relative_latency ? 0 : 1) - upstream.error_share) / static_cast<double>(upstream.sample_size);
+        if (relative_latency) {
+            MachineType& machine_type = machine_types[upstream.endpoint.machine_type];
+            const double latency = std::min(*relative_latency, 5.0);
+            machine_type.slowness += std::max(machine_type_slowness_gain, 1 / ++machine_type.sample_size) *
+                                     (latency - machine_type.slowness);
+            upstream.slowness = slowness(upstream) + upstream_slowness_gain * (latency - slowness(upstream)),
+            upstream.slowness_updated_at = now;
+        } else if (upstream.sample_size >= min_response_sample &&
+                   upstream.error_share > 0.25 + 2 * mean_error_share) {
             // Quick errors make an upstream look idle and would attract requests.
-            raise(u, sure_step, false);
+            raise_reduction(upstream, strong_reduction_step, false);
         }
     }
 
     // Detects idle connections that were dropped silently: the first forward after a pause hangs or is reset.
-    void watch_idle(bool rested, bool broke)
+    void record_idle_outcome(bool after_idle, bool failed)
     {
-        double& share = rested ? broke_rested : broke_busy;
-        share += 0.1 * (broke - share);
-        if (broke_rested > 0.2 && broke_rested > 3 * broke_busy) distrust_idle_until = now + distrust_for;
+        double& share = after_idle ? idle_failure_share : busy_failure_share;
+        share += 0.1 * (failed - share);
+        if (idle_failure_share > 0.2 && idle_failure_share > 3 * busy_failure_share)
+            distrust_idle_until = now + idle_distrust_duration;
     }
 
-    void learn(const Invocation& inv, Upstream& u, AttemptResult result, Duration took, bool stuck)
+    void record_result(const Invocation& invocation, Upstream& upstream, AttemptResult result,
+                       Duration duration, bool is_blocked)
     {
-        OperationView& op = ops[inv.operation];
-        const double t = took.seconds();
+        OperationStatistics& statistics = operation_statistics[invocation.operation_index];
+        const double latency_seconds = duration.seconds();
         switch (result) {
             case AttemptResult::succeeded:
-                if (op.usual <= 0) op.usual = t;
-                op.usual += 0.03 * (t - op.usual);
-                if (op.quick <= 0) op.quick = std::min(t, usual_calm * inv.op.latency_objective.seconds());
-                op.quick *= t < op.quick ? 0.97 : 1.013;
-                late_any = late_any <= 0 ? t : late_any * (t > late_any ? 1.095 : 0.995);
-                judge(u, t / std::max(1e-6, op.usual));
+                if (statistics.mean_seconds <= 0) statistics.mean_seconds = latency_seconds;
+                statistics.mean_seconds += 0.03 * (latency_seconds - statistics.mean_seconds);
+                if (statistics.low_quantile_seconds <= 0)
+                    statistics.low_quantile_seconds =
+                        std::min(latency_seconds,
+                                 default_baseline_ratio * invocation.operation.latency_objective.seconds());
+                statistics.low_quantile_seconds *=
+                    latency_seconds < statistics.low_quantile_seconds ? 0.97 : 1.013;
+                latency_high_quantile =
+                    latency_high_quantile <= 0
+                        ? latency_seconds
+                        : latency_high_quantile * (latency_seconds > latency_high_quantile ? 1.095 : 0.995);
+                record_response(upstream, latency_seconds / std::max(1e-6, statistics.mean_seconds));
                 break;
             case AttemptResult::errored:
-                if (!stuck) judge(u, {});
+                if (!is_blocked) record_response(upstream, {});
                 break;
             case AttemptResult::declined:
-                raise(u, step, true);
+                raise_reduction(upstream, reduction_step, true);
                 // A tier that declines most requests would look healthy by its response times.
-                return record_latency(inv, 1);
+                return record_latency(invocation, 1);
             case AttemptResult::unreachable:
                 // Every forward to a dead upstream costs a connect timeout.
-                raise(u, 2 * sure_step, false);
+                raise_reduction(upstream, 2 * strong_reduction_step, false);
                 break;
             case AttemptResult::timed_out:
-                if (op.usual > 0) judge(u, t / op.usual);
+                if (statistics.mean_seconds > 0)
+                    record_response(upstream, latency_seconds / statistics.mean_seconds);
                 [[fallthrough]];
             case AttemptResult::reset:
-                if (u.unpaired && now - *u.unpaired < expiry) raise(u, step, true);
-                u.unpaired = now;
+                if (upstream.unpaired_failure_at && now - *upstream.unpaired_failure_at < reduction_validity)
+                    raise_reduction(upstream, reduction_step, true);
+                upstream.unpaired_failure_at = now;
                 break;
             default: return;
         }
-        if (stuck) return;  // caused by the upstream or the key, not by load
-        if (inv.op.latency_objective > Duration{} &&
+        if (is_blocked) return;  // caused by the upstream or the key, not by load
+        if (invocation.operation.latency_objective > Duration{} &&
             (result == AttemptResult::succeeded || result == AttemptResult::timed_out))
-            record_latency(inv, took / inv.op.latency_objective);
+            record_latency(invocation, duration / invocation.operation.latency_objective);
     }
 
     // ---- Concurrency limit ----
@@ -591,685 +677,773 @@
     // About two requests per upstream from all balancers together: fewer would leave upstreams idle.
     double two_per_upstream() const
     {
-        return 2 * capacity / (heard > 0 ? 1 : std::max(1.0, set.balancer_count * listed));
+        return 2 * capacity / (live_peers > 0 ? 1 : std::max(1.0, settings.balancer_count * subset_fraction));
     }
 
     // Own requests in flight and, where peers report theirs, those of all balancers.
-    double held() const { return outstanding - overdue + peers_out; }
+    double total_in_flight() const { return in_flight - overdue + peer_in_flight; }
 
     // The capacity of the listed upstreams in warm upstreams, estimated from those in use. The limit and
     // best_in_flight follow at once: with little traffic, response times show a lost or recovered zone many
     // seconds late.
     void update_capacity()
     {
-        if (capacity > 0 && now - weighed_at < seconds(0.02)) return;
-        weighed_at = now;
-        double ready = 0, used = 0, able = 0;
-        stuck_out = 0;
-        for (const Upstream& u : ups) {
-            if (stalled(u)) stuck_out += u.out;
-            if (u.listing.phase != EndpointPhase::ready) continue;
+        if (capacity > 0 && now - capacity_updated_at < seconds(0.02)) return;
+        capacity_updated_at = now;
+        double ready = 0, in_use = 0, able = 0;
+        stalled_in_flight = 0;
+        for (const Upstream& upstream : upstreams) {
+            if (is_stalled(upstream)) stalled_in_flight += upstream.in_flight;
+            if (upstream.endpoint.phase != EndpointPhase::ready) continue;
             ++ready;
-            if (u.out == 0 && now - u.last_end >= lately && !is_cold(u)) continue;
-            ++used;
-            if (reduction(u) < 0.5) able += warm_share(u);
+            if (upstream.in_flight == 0 && now - upstream.last_ended_at >= recent_use_window &&
+                !is_warming(upstream))
+                continue;
+            ++in_use;
+            if (reduction(upstream) < 0.5) able += warm_capacity_share(upstream);
         }
-        const double is = ready * (used > 0 ? std::max(least_able, able / used) : 1);
-        if (capacity > 0 && is > 0) limit *= is / capacity, good_outstanding *= is / capacity;
-        if (is > 0) capacity = is;
+        const double new_capacity = ready * (in_use > 0 ? std::max(min_able_share, able / in_use) : 1);
+        if (capacity > 0 && new_capacity > 0)
+            concurrency_limit *= new_capacity / capacity, best_in_flight *= new_capacity / capacity;
+        if (new_capacity > 0) capacity = new_capacity;
     }
 
     // Bounds a burst that arrives before any response was slow enough to set a limit. The root leaves room
     // for random variation where few requests are in flight.
-    double most_limit() const
+    double max_limit() const
     {
-        const double chance_of_it = for_chance * std::sqrt(good_outstanding);
-        return std::max(untried * two_per_upstream(), over_good * good_outstanding + chance_of_it);
+        const double random_variation = max_limit_root_factor * std::sqrt(best_in_flight);
+        return std::max(untried_limit_factor * two_per_upstream(),
+                        max_limit_factor * best_in_flight + random_variation);
     }
 
-    double least_limit() const { return std::max(two_per_upstream(), least_of_good * good_outstanding); }
+    double min_limit() const { return std::max(two_per_upstream(), min_limit_share * best_in_flight); }
 
     // The highest acceptable mean of response time over latency objective. Guards against a ratchet:
     // throttling shortens responses, which lowers the baseline.
     double latency_target() const
     {
-        return std::max(never_pressed, std::min(calm * most_over_calm, calm + pressed * (1 - calm)));
+        return std::max(min_latency_target,
+                        std::min(baseline_ratio * max_over_baseline,
+                                 baseline_ratio + target_headroom_share * (1 - baseline_ratio)));
     }
 
     // Where queues are reported or peers report their load, the median: with little traffic per balancer, a
     // few bad upstreams would pass for overload in the mean.
-    double round_latency()
+    double round_latency_ratio()
     {
-        if (!queues_told && heard == 0)
-            return std::accumulate(round_latencies.begin(), round_latencies.end(), 0.0) /
-                   static_cast<double>(round_latencies.size());
-        const auto half = round_latencies.begin() + static_cast<std::ptrdiff_t>(round_latencies.size() / 2);
-        std::nth_element(round_latencies.begin(), half, round_latencies.end());
-        return *half;
+        if (!queues_reported && live_peers == 0)
+            return std::accumulate(round_ratios.begin(), round_ratios.end(), 0.0) /
+                   static_cast<double>(round_ratios.size());
+        const auto median = round_ratios.begin() + static_cast<std::ptrdiff_t>(round_ratios.size() / 2);
+        std::nth_element(round_ratios.begin(), median, round_ratios.end());
+        return *median;
     }
 
     // Each round of responses scales the limit by the distance of their mean from the target. A mean that
     // lags behind would cut the limit again for overload that an earlier cut has already ended.
-    void record_latency(const Invocation& inv, double of_objective)
+    void record_latency(const Invocation& invocation, double ratio)
     {
-        of_objective = std::min(of_objective, 2.0);
-        const Duration since_start = inv.arrived - born;
+        ratio = std::min(ratio, 2.0);
+        const Duration since_start = invocation.arrived_at - started_at;
         // Invocations accepted right after the start find the lowest load. All of them count, not only the
         // first to finish, since short responses come first.
-        if (inv.early || since_start < inv.op.latency_objective * 0.25) first_felt += of_objective, ++first_n;
-        round_latencies.push_back(of_objective);
+        if (invocation.accepted_at_low_load || since_start < invocation.operation.latency_objective * 0.25)
+            baseline_sum += ratio, ++baseline_count;
+        round_ratios.push_back(ratio);
         // Response times scatter so widely that a few of them would cut the limit by chance.
-        const auto n = static_cast<double>(round_latencies.size());
-        if (n < least_round || (n < round_of && now - round_at < long_round)) return;
-        round_at = now;
-        const double mean = round_latency();
-        round_latencies.clear();
-        pressure = 0.5 * (pressure + mean);
+        const auto response_count = static_cast<double>(round_ratios.size());
+        if (response_count < min_round_size ||
+            (response_count < round_size && now - round_started_at < max_round_duration))
+            return;
+        round_started_at = now;
+        const double mean = round_latency_ratio();
+        round_ratios.clear();
+        latency_ratio = 0.5 * (latency_ratio + mean);
         // With little traffic, the baseline would otherwise be learnt from a few responses.
-        if (now - born < slowest_objective * 1.5 || first_n < round_of)
-            calm = slow_pressure = (first_felt + round_of * usual_calm) / (first_n + round_of);
-        slow_pressure += 0.1 * (mean - slow_pressure);
-        calm = slow_pressure < calm ? slow_pressure : calm + 0.0003 * (slow_pressure - calm);
+        if (now - started_at < longest_objective * 1.5 || baseline_count < round_size)
+            baseline_ratio = long_term_ratio =
+                (baseline_sum + round_size * default_baseline_ratio) / (baseline_count + round_size);
+        long_term_ratio += 0.1 * (mean - long_term_ratio);
+        baseline_ratio = long_term_ratio < baseline_ratio
+                             ? long_term_ratio
+                             : baseline_ratio + 0.0003 * (long_term_ratio - baseline_ratio);
         // A start under overload teaches too high a baseline. Under lasting overload the baseline and
         // best_in_flight decay, until a limit at its minimum shows that cutting no longer helps.
-        const double mean_out = met / std::max(1.0, met_n);
-        met = met_n = 0;
-        good_outstanding *= 0.99;
-        if (pressure <= latency_target())
-            good_outstanding = std::max(good_outstanding, mean_out);
+        const double mean_in_flight = arrival_in_flight_sum / std::max(1.0, arrival_count);
+        arrival_in_flight_sum = arrival_count = 0;
+        best_in_flight *= 0.99;
+        if (latency_ratio <= latency_target())
+            best_in_flight = std::max(best_in_flight, mean_in_flight);
         else
-            calm *= limit > least_limit() ? 0.997 : 1.003;
-        if (pressure > latency_target() && mean > latency_target())
-            limit = std::max(least_limit(), limit * std::max(0.75, latency_target() / pressure));
-        else if (pressure <= latency_target() && mean_out > 0.7 * limit)
-            limit *= std::min(1.3, latency_target() / pressure);
-        limit = std::min(limit, most_limit());
+            baseline_ratio *= concurrency_limit > min_limit() ? 0.997 : 1.003;
+        if (latency_ratio > latency_target() && mean > latency_target())
+            concurrency_limit =
+                std::max(min_limit(), concurrency_limit * std::max(0.75, latency_target() / latency_ratio));
+        else if (latency_ratio <= latency_target() && mean_in_flight > 0.7 * concurrency_limit)
+            concurrency_limit *= std::min(1.3, latency_target() / latency_ratio);
+        concurrency_limit = std::min(concurrency_limit, max_limit());
     }
 
     void update_tenant_shares()
     {
-        const double gone = (now - share_at).seconds();
-        if (gone < 1) return;
-        share_at = now;
-        for (Tenant& t : tenants)
-            t.rate += (t.rate > 0 ? 0.3 : 1) * (std::exchange(t.came, 0) / gone - t.rate);
-        std::vector<double> uses;
-        for (const Tenant& t : tenants)
-            if (t.quota > 0) uses.push_back(t.rate / t.quota);
-        if (uses.size() < 3 || pressure > latency_target()) return;
-        const auto half = uses.begin() + static_cast<std::ptrdiff_t>(uses.size() / 2);
-        std::nth_element(uses.begin(), half, uses.end());
-        own_part += 0.2 * (typical_use * *half - own_part);
+        const double elapsed_seconds = (now - tenant_rates_updated_at).seconds();
+        if (elapsed_seconds < 1) return;
+        tenant_rates_updated_at = now;
+        for (Tenant& tenant : tenants)
+            tenant.rate += (tenant.rate > 0 ? 0.3 : 1) *
+                           (std::exchange(tenant.arrivals, 0) / elapsed_seconds - tenant.rate);
+        std::vector<double> quota_uses;
+        for (const Tenant& tenant : tenants)
+            if (tenant.quota > 0) quota_uses.push_back(tenant.rate / tenant.quota);
+        if (quota_uses.size() < 3 || latency_ratio > latency_target()) return;
+        const auto median = quota_uses.begin() + static_cast<std::ptrdiff_t>(quota_uses.size() / 2);
+        std::nth_element(quota_uses.begin(), median, quota_uses.end());
+        own_traffic_share += 0.2 * (median_tenant_headroom * *median - own_traffic_share);
     }
 
     // Whether an invocation exceeds its tenant's share. Where peers report rates, the share counts over all
     // balancers; otherwise this balancer's part of it is an even part or, if that is more, what the median
     // tenant's use suggests. Drawback: where traffic reaches balancers unevenly and tenants are few, this can
     // hold back invocations within a share, but only near the concurrency limit.
-    bool over_tenant_share(uint32_t tenant)
+    bool over_tenant_share(uint32_t tenant_index)
     {
-        if (tenant >= tenants.size() || tenants[tenant].quota <= 0) return false;
+        if (tenant_index >= tenants.size() || tenants[tenant_index].quota <= 0) return false;
         update_tenant_shares();
-        Tenant& t = tenants[tenant];
-        ++t.came;
-        if (heard > 0) {
-            double all = t.rate;
-            for (const Peer& p : peers)
-                if (tenant < p.rates.size()) all += p.rates[tenant];
-            return uniform_random() * all > t.quota;
+        Tenant& tenant = tenants[tenant_index];
+        ++tenant.arrivals;
+        if (live_peers > 0) {
+            double total_rate = tenant.rate;
+            for (const Peer& peer : peers)
+                if (tenant_index < peer.tenant_rates.size()) total_rate += peer.tenant_rates[tenant_index];
+            return uniform_random() * total_rate > tenant.quota;
         }
-        const double part = t.quota * std::max(own_part, 1.0 / std::max(1u, set.balancer_count));
-        t.saved = std::min(std::max(saved_up, 2 * part), t.saved + (now - t.at).seconds() * part);
-        t.at = now;
-        const bool beyond = t.saved + uniform_random() < 1;
-        if (!beyond) --t.saved;
-        return beyond;
+        const double tokens_per_second =
+            tenant.quota * std::max(own_traffic_share, 1.0 / std::max(1u, settings.balancer_count));
+        tenant.tokens = std::min(std::max(min_tenant_burst, 2 * tokens_per_second),
+                                 tenant.tokens + (now - tenant.tokens_at).seconds() * tokens_per_second);
+        tenant.tokens_at = now;
+        const bool exceeds_share = tenant.tokens + uniform_random() < 1;
+        if (!exceeds_share) --tenant.tokens;
+        return exceeds_share;
     }
 
     // Only the first tier throttles for load: in deeper tiers the work already done above would be lost.
-    bool over_concurrency_limit(bool over_share)
+    bool over_concurrency_limit(bool exceeds_tenant_share)
     {
-        if (set.tier > 0) return false;
-        const double moving = held() - stuck_out;
+        if (settings.tier > 0) return false;
+        const double active_in_flight = total_in_flight() - stalled_in_flight;
         // The limit bounds the mean; requests in flight vary around it by its root.
-        const double most = std::min(limit, most_limit());
-        return (moving + uniform_random() >= most && around >= most) ||
-               moving + uniform_random() >= most + 2 * std::sqrt(most) ||
-               (over_share && around > shared_from * most);
+        const double limit = std::min(concurrency_limit, max_limit());
+        return (active_in_flight + uniform_random() >= limit && smoothed_in_flight >= limit) ||
+               active_in_flight + uniform_random() >= limit + 2 * std::sqrt(limit) ||
+               (exceeds_tenant_share && smoothed_in_flight > tenant_share_threshold * limit);
     }
 
-    Duration retry_after() { return set.max_retry_after * (0.5 + 0.5 * uniform_random()); }
+    Duration retry_after() { return settings.max_retry_after * (0.5 + 0.5 * uniform_random()); }
 
     // ---- Choice of an upstream ----
 
     // The last report, which drifts to the mean of the upstream's zone (scaled while warming up), plus the
     // change of own requests in flight since.
-    double expected_load(const Upstream& u) const
+    double expected_load(const Upstream& upstream) const
     {
-        if (heard > 0) return u.out - u.overdue + u.peers_out;
-        const double own = u.out, usual = zone_load[is_far(u)] * warm_share(u);
-        if (!u.load) return usual + own;
-        const double fresh = std::exp2(-((now - u.load_at) / report_age));
-        const double report = usual + (*u.load - usual) * fresh;
-        return std::max(own, report + (u.load_counts_own ? own - u.out_at_report : own));
+        if (live_peers > 0) return upstream.in_flight - upstream.overdue + upstream.peer_in_flight;
+        const double own_in_flight = upstream.in_flight,
+                     mean_load = zone_load[is_in_other_zone(upstream)] * warm_capacity_share(upstream);
+        if (!upstream.reported_load) return mean_load + own_in_flight;
+        const double freshness = std::exp2(-((now - upstream.reported_at) / load_report_half_life));
+        const double load = mean_load + (*upstream.reported_load - mean_load) * freshness;
+        return std::max(own_in_flight,
+                        load + (upstream.load_includes_own ? own_in_flight - upstream.in_flight_at_report
+                                                           : own_in_flight));
     }
 
     // Detects slow upstreams that report no load: the mean latency of their last responses, which drifts to
     // that of their machine type, for which a balancer with little traffic has more samples. Drawback: a
     // machine type that was only used while in trouble is avoided for a while.
-    double slowness(const Upstream& u) const
+    double slowness(const Upstream& upstream) const
     {
-        const double usual = kinds[u.listing.machine_type].slowness;
-        return usual + (u.slowness - usual) * std::exp2(-((now - u.slowness_at) / slowness_age));
+        const double type_slowness = machine_types[upstream.endpoint.machine_type].slowness;
+        return type_slowness + (upstream.slowness - type_slowness) *
+                                   std::exp2(-((now - upstream.slowness_updated_at) / slowness_half_life));
     }
 
     // Strongly prefers idle upstreams, as load information is old and differs between balancers; less so
     // where peers report their load and all would otherwise choose the same few.
-    double evenness(double idle, const Upstream& u) const
+    double idleness_weight(double idleness, const Upstream& upstream) const
     {
-        idle /= 1 + zone_busy[is_far(u)];
-        const double favour = is_far(u) ? 1 : heard > 0 ? near_told : near_met;
-        return favour * (heard > 0 ? idle * idle * idle : fourth(idle) * fourth(idle));
+        idleness /= 1 + zone_utilisation_load[is_in_other_zone(upstream)];
+        const double zone_preference = is_in_other_zone(upstream) ? 1
+                                       : live_peers > 0           ? own_zone_preference_with_peers
+                                                                  : own_zone_preference;
+        return zone_preference * (live_peers > 0 ? idleness * idleness * idleness
+                                                 : fourth_power(idleness) * fourth_power(idleness));
     }
 
     // As many as own traffic reaches within contact_interval_seconds: load information about more upstreams
     // would be too sparse and too old.
-    size_t width() const { return std::max(least_width, static_cast<size_t>(asked.rate(now) * meet_within)); }
+    size_t active_upstream_count() const
+    {
+        return std::max(min_active_upstreams,
+                        static_cast<size_t>(arrival_rate.rate(now) * contact_interval_seconds));
+    }
 
     // Whether a response would come too late because of the upstream's load, or would slow the upstream down.
-    bool crowded(const Invocation& inv, const Upstream& u) const
+    bool is_crowded(const Invocation& invocation, const Upstream& upstream) const
     {
-        if (set.tier > 0 || (heard == 0 && !queues_told)) return false;
-        const double quick = ops[inv.operation].quick;
-        const double in_time = quick > 0 ? (inv.useful - now).seconds() / quick : 1e9;
-        if (heard > 0) return expected_load(u) > std::min(in_time - 1, usual_crowd * warm_share(u));
-        return expected_load(u) > std::max(1.0, in_time - 1.5);
+        if (settings.tier > 0 || (live_peers == 0 && !queues_reported)) return false;
+        const double response_seconds = operation_statistics[invocation.operation_index].low_quantile_seconds;
+        const double responses_in_time =
+            response_seconds > 0 ? (invocation.useful_until - now).seconds() / response_seconds : 1e9;
+        if (live_peers > 0)
+            return expected_load(upstream) >
+                   std::min(responses_in_time - 1, max_upstream_load * warm_capacity_share(upstream));
+        return expected_load(upstream) > std::max(1.0, responses_in_time - 1.5);
     }
 
     // A weighted random choice among the first upstreams in this balancer's order that the rules admit. For
     // each one that is reduced by half or more, the next in the order is added.
-    template <class Keep>
-    std::optional<UpstreamId> draw(const Invocation& inv, Keep keep)
+    template <class IsEligible>
+    std::optional<UpstreamId> draw(const Invocation& invocation, IsEligible is_eligible)
     {
         double total = 0;
-        weights.clear();
-        for (const auto* order : {&near, &far}) {
-            size_t wanted = width(), reach = wanted;
-            const double turn =
-                set.self_index * 0.6180339887498949;  // the golden ratio spreads consecutive numbers evenly
+        candidates.clear();
+        for (const auto* order : {&own_zone, &other_zones}) {
+            size_t wanted = active_upstream_count(), active_left = wanted;
+            // Multiples of the golden ratio spread any run of consecutive balancers evenly over the order.
+            const double rotation = settings.self_index * 0.6180339887498949;
             const auto first =
-                static_cast<size_t>((turn - std::floor(turn)) * static_cast<double>(order->size()));
+                static_cast<size_t>((rotation - std::floor(rotation)) * static_cast<double>(order->size()));
             for (size_t n = 0; n < order->size(); ++n) {
-                const UpstreamId t = (*order)[(first + n) % order->size()];
-                const Upstream& u = ups[t];
+                const UpstreamId id = (*order)[(first + n) % order->size()];
+                const Upstream& upstream = upstreams[id];
                 // A warming upstream beyond the active ones is skipped even if these are crowded: otherwise
                 // all balancers would spend their budgets on it.
-                const bool near_enough = (reach > 0 && reach--) || (heard == 0 && !queues_told);
-                if (u.listing.phase != EndpointPhase::ready || !keep(t)) continue;
-                if ((is_cold(u) && !near_enough) || crowded(inv, u) || !may_send(inv, t)) continue;
-                const double idle = u.listing.capacity / (u.listing.capacity + expected_load(u));
-                const double slow = mean_load < tells_load || !times_told ? fourth(slowness(u)) : 1;
-                const double weight = u.listing.capacity * warm_share(u) * evenness(idle, u) / slow;
+                const bool is_active =
+                    (active_left > 0 && active_left--) || (live_peers == 0 && !queues_reported);
+                if (upstream.endpoint.phase != EndpointPhase::ready || !is_eligible(id)) continue;
+                if ((is_warming(upstream) && !is_active) || is_crowded(invocation, upstream) ||
+                    !may_send(invocation, id))
+                    continue;
+                const double idleness =
+                    upstream.endpoint.capacity / (upstream.endpoint.capacity + expected_load(upstream));
+                const double slowness_divisor =
+                    mean_reported_load < min_informative_load || !latencies_reported
+                        ? fourth_power(slowness(upstream))
+                        : 1;
+                const double weight = upstream.endpoint.capacity * warm_capacity_share(upstream) *
+                                      idleness_weight(idleness, upstream) / slowness_divisor;
                 total += weight;
-                weights.emplace_back(t, weight);
-                if (reduction(u) < 0.5 && --wanted == 0) break;
+                candidates.emplace_back(id, weight);
+                if (reduction(upstream) < 0.5 && --wanted == 0) break;
             }
         }
-        if (weights.empty()) return {};
-        double at = uniform_random() * total;
-        for (const auto& [t, weight] : weights)
-            if ((at -= weight) < 0) return t;
-        return weights.back().first;
+        if (candidates.empty()) return {};
+        double position = uniform_random() * total;
+        for (const auto& [id, weight] : candidates)
+            if ((position -= weight) < 0) return id;
+        return candidates.back().first;
     }
 
-    static bool tried(const Invocation& inv, UpstreamId upstream_id)
+    static bool was_tried(const Invocation& invocation, UpstreamId upstream_id)
     {
-        return std::any_of(inv.forwards.begin(), inv.forwards.end(),
-                           [&](auto& f) { return f.upstream_id == upstream_id; });
+        return std::any_of(invocation.forwards.begin(), invocation.forwards.end(),
+                           [&](auto& each) { return each.upstream_id == upstream_id; });
     }
 
     // Draws an upstream; with a chance equal to its reduction, draws again among those with less.
-    std::optional<UpstreamId> pick(const Invocation& inv)
-    {
-        auto upstream_id = draw(inv, [&](UpstreamId t) { return !tried(inv, t); });
-        if (!upstream_id) return draw(inv, [](UpstreamId) { return true; });
-        const double r = reduction(ups[*upstream_id]);
-        if (r > 0 && uniform_random() < r) {
-            const auto less =
-                draw(inv, [&](UpstreamId t) { return !tried(inv, t) && reduction(ups[t]) < r; });
-            if (less) return less;
+    std::optional<UpstreamId> pick_upstream(const Invocation& invocation)
+    {
+        auto upstream_id =
+            draw(invocation, [&](UpstreamId candidate) { return !was_tried(invocation, candidate); });
+        if (!upstream_id) return draw(invocation, [](UpstreamId) { return true; });
+        const double drawn_reduction = reduction(upstreams[*upstream_id]);
+        if (drawn_reduction > 0 && uniform_random() < drawn_reduction) {
+            const auto less_reduced = draw(invocation, [&](UpstreamId candidate) {
+                return !was_tried(invocation, candidate) && reduction(upstreams[candidate]) < drawn_reduction;
+            });
+            if (less_reduced) return less_reduced;
         }
         return upstream_id;
     }
 
     // Refuses with a chance equal to the smallest reduction, if every ready upstream's entry was raised by
     // declined forwards or by pairs of timeouts and resets.
-    bool refused()
+    bool should_refuse()
     {
         double smallest = 2;
-        for (const Upstream& u : ups) {
-            if (u.listing.phase != EndpointPhase::ready) continue;
-            const double r = entry_reduction(u);
-            if (r <= 0 || !u.entry.hard) return false;
-            smallest = std::min(smallest, r);
+        for (const Upstream& upstream : upstreams) {
+            if (upstream.endpoint.phase != EndpointPhase::ready) continue;
+            const double current = entry_reduction(upstream);
+            if (current <= 0 || !upstream.entry.allows_refusal) return false;
+            smallest = std::min(smallest, current);
         }
         return smallest <= 1 && uniform_random() < smallest;
     }
 
     // ---- Life of an invocation ----
 
-    void accept(InvocationId id, const InvocationRequest& ask)
-    {
-        if (id >= invs.size()) invs.resize(id + 1);
-        Invocation& inv = invs[id];
-        inv.op = set.operations[ask.operation];
-        inv.may_overlap = set.may_overlap_forwards;
-        inv.max_forwards = set.max_forwards;
-        inv.operation = ask.operation;
-        inv.key = ask.subject_key;
-        count_time(inv, ask.is_incomplete ? may_send_for : ask.time_left, !ask.is_incomplete);
-        inv.over = false;
+    void accept(InvocationId id, const InvocationRequest& request)
+    {
+        if (id >= invocations.size()) invocations.resize(id + 1);
+        Invocation& invocation = invocations[id];
+        invocation.operation = settings.operations[request.operation];
+        invocation.may_overlap_forwards = settings.may_overlap_forwards;
+        invocation.max_forwards = settings.max_forwards;
+        invocation.operation_index = request.operation;
+        invocation.subject_key = request.subject_key;
+        set_deadlines(invocation, request.is_incomplete ? incomplete_request_timeout : request.time_left,
+                      !request.is_incomplete);
+        invocation.finished = false;
         update_capacity();
-        inv.early = held() < two_per_upstream();
-        inv.redirects = 0;
-        inv.forwards.clear();
-        asked.count(now);
-        met += held(), ++met_n;
-        around += (held() - around) / smooth;
-        retry_tokens = std::min(most_retries, retry_tokens + retry_share);
-        const bool over_share = over_tenant_share(ask.tenant);
-        if (const double r = key_reduction(ask.subject_key); r > 0 && uniform_random() < r)
+        invocation.accepted_at_low_load = total_in_flight() < two_per_upstream();
+        invocation.redirects = 0;
+        invocation.forwards.clear();
+        arrival_rate.record(now);
+        arrival_in_flight_sum += total_in_flight(), ++arrival_count;
+        smoothed_in_flight += (total_in_flight() - smoothed_in_flight) / in_flight_smoothing;
+        retry_tokens = std::min(max_retry_tokens, retry_tokens + retry_budget_share);
+        const bool exceeds_tenant_share = over_tenant_share(request.tenant);
+        if (const double throttle_chance = key_reduction(request.subject_key);
+            throttle_chance > 0 && uniform_random() < throttle_chance)
             return finish(id, true, retry_after());
-        if (over_concurrency_limit(over_share) || refused()) return finish(id, true, retry_after());
-        if (set.peer_message_price > 0)
-            may_spend =
-                std::min(may_spend + most_spent / set.peer_message_price * max_peer_message_bytes, 1e6);
-        may_probe = std::min(may_probe + (set.probe_price > 0 ? most_probed / set.probe_price : 1e6),
-                             static_cast<double>(ups.size()));
+        if (over_concurrency_limit(exceeds_tenant_share) || should_refuse())
+            return finish(id, true, retry_after());
+        if (settings.peer_message_price > 0)
+            message_budget = std::min(message_budget + max_message_cost_share / settings.peer_message_price *
+                                                           max_peer_message_bytes,
+                                      1e6);
+        probe_budget = std::min(
+            probe_budget + (settings.probe_price > 0 ? max_probe_cost_share / settings.probe_price : 1e6),
+            static_cast<double>(upstreams.size()));
         route(id);
     }
 
     // Rule 5: the client may wait for longer than its stated time left, up to its client timeout. Otherwise a
     // wrong clock would give invocations up too early. When the client does leave, its forwards are
     // cancelled.
-    void count_time(Invocation& inv, Duration left, bool by_objective)
+    void set_deadlines(Invocation& invocation, Duration time_left, bool by_objective)
     {
-        inv.arrived = now;
-        inv.useful = inv.leaves =
-            now + std::max(left, std::min(left + set.time_left_margin, inv.op.client_timeout));
-        if (by_objective && inv.op.latency_objective > Duration{} && inv.op.late_response_value <= 0)
-            inv.useful = std::min(inv.leaves, now + inv.op.latency_objective);
+        invocation.arrived_at = now;
+        invocation.useful_until = invocation.deadline =
+            now + std::max(time_left, std::min(time_left + settings.time_left_margin,
+                                               invocation.operation.client_timeout));
+        if (by_objective && invocation.operation.latency_objective > Duration{} &&
+            invocation.operation.late_response_value <= 0)
+            invocation.useful_until =
+                std::min(invocation.deadline, now + invocation.operation.latency_objective);
     }
 
     // A non-idempotent request may still take effect and is waited for until the deadline; others are given
     // up once their response is worthless.
-    Duration attempt_timeout(const Invocation& inv) const
+    Duration attempt_timeout(const Invocation& invocation) const
     {
-        return (inv.op.idempotency == Idempotency::non_idempotent ? inv.leaves : inv.useful) - now;
+        return (invocation.operation.idempotency == Idempotency::non_idempotent ? invocation.deadline
+                                                                                : invocation.useful_until) -
+               now;
     }
 
-    void sent(InvocationId id, Duration left)
+    void on_request_complete(InvocationId id, Duration time_left)
     {
-        count_time(invs[id], left, true);
-        for (uint32_t i = 0; i < invs[id].forwards.size(); ++i)
-            if (invs[id].forwards[i].out) out.set_forward_timeout(id, i, attempt_timeout(invs[id]));
+        set_deadlines(invocations[id], time_left, true);
+        for (uint32_t i = 0; i < invocations[id].forwards.size(); ++i)
+            if (invocations[id].forwards[i].in_flight)
+                delegate.set_forward_timeout(id, i, attempt_timeout(invocations[id]));
     }
 
     void route(InvocationId id)
     {
-        const auto upstream_id = pick(invs[id]);
+        const auto upstream_id = pick_upstream(invocations[id]);
         if (!upstream_id) return finish(id, true, retry_after());
-        const Duration wait = attempt_timeout(invs[id]);
-        if (wait <= Duration{} ||
-            !send(id, *upstream_id, wait, [this, id](TimePoint, AttemptResult r) { after_forward(id, r); }))
+        const Duration timeout = attempt_timeout(invocations[id]);
+        if (timeout <= Duration{} ||
+            !send(id, *upstream_id, timeout,
+                  [this, id](TimePoint, AttemptResult result) { on_forward_result(id, result); }))
             finish(id, true, retry_after());
     }
 
-    void after_forward(InvocationId id, AttemptResult result)
+    void on_forward_result(InvocationId id, AttemptResult result)
     {
-        Invocation& inv = invs[id];
+        Invocation& invocation = invocations[id];
         if (proves_not_run(result)) {
-            if (result == AttemptResult::not_sent || ++inv.redirects > most_redirects || now >= inv.useful)
+            if (result == AttemptResult::not_sent || ++invocation.redirects > max_redirects ||
+                now >= invocation.useful_until)
                 return finish(id, true, retry_after());
             return route(id);
         }
         if (result == AttemptResult::invalid_request) return finish(id, false);
-        const double needed = ops[inv.operation].usual;
-        if (inv.op.idempotency != Idempotency::non_idempotent && retry_tokens >= 1 &&
-            key_reduction(inv.key) <= 0 && (inv.useful - now).seconds() > needed) {
+        const double response_seconds = operation_statistics[invocation.operation_index].mean_seconds;
+        if (invocation.operation.idempotency != Idempotency::non_idempotent && retry_tokens >= 1 &&
+            key_reduction(invocation.subject_key) <= 0 &&
+            (invocation.useful_until - now).seconds() > response_seconds) {
             retry_tokens -= 1;
             return route(id);
         }
         finish(id, true, retry_after());
     }
 
-    void ended(InvocationId id, uint32_t nth, AttemptResult result, Duration took, bool over,
-               const LoadReport& report)
+    void on_forward_ended(InvocationId id, uint32_t forward_index, AttemptResult result, Duration duration,
+                          bool answered, const LoadReport& report)
     {
-        Invocation& inv = invs[id];
-        Forward& f = inv.forwards[nth];
-        Upstream& u = ups[f.upstream_id];
-        f.out = false;
-        f.proven_not_run = proves_not_run(result);
-        const bool stuck = stalled(u) || key_reduction(inv.key) > 0;
+        Invocation& invocation = invocations[id];
+        Forward& forward = invocation.forwards[forward_index];
+        Upstream& upstream = upstreams[forward.upstream_id];
+        forward.in_flight = false;
+        forward.proven_not_run = proves_not_run(result);
+        const bool is_blocked = is_stalled(upstream) || key_reduction(invocation.subject_key) > 0;
         if (result == AttemptResult::succeeded || result == AttemptResult::errored ||
             result == AttemptResult::timed_out)
-            record_key_outcome(
-                inv.key, result != AttemptResult::succeeded || took > inv.op.latency_objective * nearly_late);
-        --u.out;
-        if (f.overdue) --u.overdue, --overdue;
-        --outstanding;
-        tell_soon();
+            record_key_outcome(invocation.subject_key,
+                               result != AttemptResult::succeeded ||
+                                   duration > invocation.operation.latency_objective * slow_response_share);
+        --upstream.in_flight;
+        if (forward.overdue) --upstream.overdue, --overdue;
+        --in_flight;
+        schedule_broadcast();
         if (result == AttemptResult::succeeded || result == AttemptResult::errored ||
             result == AttemptResult::declined || result == AttemptResult::invalid_request)
-            u.waiting_since = now;
-        u.last_end = now;
-        const bool broke = result == AttemptResult::timed_out || result == AttemptResult::reset;
-        if (result == AttemptResult::succeeded || broke) watch_idle(f.rested, broke);
-        learn(inv, u, result, took, stuck);
-        reported(u, report);
-        const auto next = std::move(f.next);
-        if (over && !inv.over) return close(id);
-        if (inv.over) return release(id);
-        if (std::none_of(inv.forwards.begin(), inv.forwards.end(), [](auto& g) { return g.out; }))
-            next(now, result);
+            upstream.waiting_since = now;
+        upstream.last_ended_at = now;
+        const bool failed = result == AttemptResult::timed_out || result == AttemptResult::reset;
+        if (result == AttemptResult::succeeded || failed) record_idle_outcome(forward.after_idle, failed);
+        record_result(invocation, upstream, result, duration, is_blocked);
+        record_load_report(upstream, report);
+        const auto on_result = std::move(forward.on_result);
+        if (answered && !invocation.finished) return close(id);
+        if (invocation.finished) return release_if_done(id);
+        if (std::none_of(invocation.forwards.begin(), invocation.forwards.end(),
+                         [](auto& each) { return each.in_flight; }))
+            on_result(now, result);
     }
 
     // ---- Endpoint list ----
 
-    void list(const EndpointState& l)
+    void update_endpoint(const EndpointState& endpoint)
     {
-        if (l.upstream_id >= ups.size()) ups.resize(l.upstream_id + 1);
-        Upstream& u = ups[l.upstream_id];
-        if (u.known && u.listing.global_id != l.global_id) {
+        if (endpoint.upstream_id >= upstreams.size()) upstreams.resize(endpoint.upstream_id + 1);
+        Upstream& upstream = upstreams[endpoint.upstream_id];
+        if (upstream.is_registered && upstream.endpoint.global_id != endpoint.global_id) {
             // The index of a removed upstream is reused, so that memory does not grow with every replacement.
-            std::erase(near, l.upstream_id), std::erase(far, l.upstream_id);
-            std::erase_if(told_names, [&](const auto& n) { return n.second == l.upstream_id; });
-            for (Peer& p : peers) hold(p, l.upstream_id, 0);
-            u = Upstream{};
+            std::erase(own_zone, endpoint.upstream_id), std::erase(other_zones, endpoint.upstream_id);
+            std::erase_if(wire_names, [&](const auto& name) { return name.second == endpoint.upstream_id; });
+            for (Peer& peer : peers) set_peer_in_flight(peer, endpoint.upstream_id, 0);
+            upstream = Upstream{};
         }
-        if (l.started_at && l.started_at != u.listing.started_at) {
+        if (endpoint.started_at && endpoint.started_at != upstream.endpoint.started_at) {
             // The upstream has restarted: earlier signals say nothing about it.
-            Upstream next;
-            next.known = u.known;
-            next.out = u.out, next.overdue = u.overdue, next.peers_out = u.peers_out,
-            next.told_out = u.told_out;
-            u = next;
-            u.cold_at = now;
-            u.cold_tokens = uniform_random();  // so that balancers notified together do not all send at once
+            Upstream restarted;
+            restarted.is_registered = upstream.is_registered;
+            restarted.in_flight = upstream.in_flight, restarted.overdue = upstream.overdue,
+            restarted.peer_in_flight = upstream.peer_in_flight,
+            restarted.broadcast_in_flight = upstream.broadcast_in_flight;
+            upstream = restarted;
+            upstream.slow_start_tokens_at = now;
+            // Random, so that balancers that are notified together do not all send at once.
+            upstream.slow_start_tokens = uniform_random();
         }
-        u.listing = l;
-        if (kinds.size() <= l.machine_type) kinds.resize(l.machine_type + 1);
-        if (!std::exchange(u.known, true)) place(l.upstream_id);
+        upstream.endpoint = endpoint;
+        if (machine_types.size() <= endpoint.machine_type) machine_types.resize(endpoint.machine_type + 1);
+        if (!std::exchange(upstream.is_registered, true)) insert_in_order(endpoint.upstream_id);
     }
 
-    void place(UpstreamId upstream_id)
+    void insert_in_order(UpstreamId upstream_id)
     {
-        const auto rank = [this](UpstreamId t) { return ups[t].listing.global_id * 0x9e3779b97f4a7c15u; };
-        const std::pair<uint16_t, UpstreamId> name{static_cast<uint16_t>(rank(upstream_id) >> 48),
-                                                   upstream_id};
-        told_names.insert(std::lower_bound(told_names.begin(), told_names.end(), name), name);
-        auto& order = is_far(ups[upstream_id]) ? far : near;
+        const auto rank = [this](UpstreamId id) {
+            return upstreams[id].endpoint.global_id * 0x9e3779b97f4a7c15u;
+        };
+        const std::pair<uint16_t, UpstreamId> wire_name{static_cast<uint16_t>(rank(upstream_id) >> 48),
+                                                        upstream_id};
+        wire_names.insert(std::lower_bound(wire_names.begin(), wire_names.end(), wire_name), wire_name);
+        auto& order = is_in_other_zone(upstreams[upstream_id]) ? other_zones : own_zone;
         order.insert(std::upper_bound(order.begin(), order.end(), upstream_id,
                                       [&](UpstreamId a, UpstreamId b) { return rank(a) < rank(b); }),
                      upstream_id);
     }
 
-    void list_is(const std::vector<EndpointState>& all)
+    void set_endpoints(const std::vector<EndpointState>& all)
     {
-        for (Upstream& u : ups) u.listing.phase = EndpointPhase::gone;
-        for (const EndpointState& l : all) list(l);
+        for (Upstream& upstream : upstreams) upstream.endpoint.phase = EndpointPhase::gone;
+        for (const EndpointState& endpoint : all) update_endpoint(endpoint);
     }
 
-    Duration backoff = first_backoff;
+    Duration watch_backoff = initial_backoff;
 
-    void list_answered(bool well)
+    void on_endpoint_list_fetched(bool succeeded)
     {
-        if (!set.must_watch_endpoint_list) return;
-        if (!well) schedule(now + backoff * (0.5 + uniform_random()), [this] { out.watch_endpoint_list(); });
-        backoff = well ? first_backoff
-                       : std::min({set.max_watch_retry_interval * 0.5, longest_backoff, backoff * 2});
+        if (!settings.must_watch_endpoint_list) return;
+        if (!succeeded)
+            schedule(now + watch_backoff * (0.5 + uniform_random()),
+                     [this] { delegate.watch_endpoint_list(); });
+        watch_backoff =
+            succeeded ? initial_backoff
+                      : std::min({settings.max_watch_retry_interval * 0.5, max_backoff, watch_backoff * 2});
     }
 
     void start()
     {
-        born = share_at = now;
-        if (set.must_watch_endpoint_list)
-            schedule(now + first_backoff * uniform_random(), [this] { out.watch_endpoint_list(); });
-        report_by_settings();
+        started_at = tenant_rates_updated_at = now;
+        if (settings.must_watch_endpoint_list)
+            schedule(now + initial_backoff * uniform_random(), [this] { delegate.watch_endpoint_list(); });
+        schedule_reports();
     }
 
-    bool probes() const { return set.load_reports_by_probe && set.may_probe && !set.may_message_peers; }
+    bool uses_probes() const
+    {
+        return settings.load_reports_by_probe && settings.may_probe && !settings.may_message_peers;
+    }
 
-    void report_by_settings()
+    void schedule_reports()
     {
-        if (probes() && !std::exchange(probing, true)) probe_later();
-        if (set.may_message_peers && !std::exchange(telling, true))
-            schedule(now + tell_all_every * uniform_random(), [this] { tell_all(); });
+        if (uses_probes() && !std::exchange(probes_scheduled, true)) schedule_probes();
+        if (settings.may_message_peers && !std::exchange(snapshots_scheduled, true))
+            schedule(now + peer_snapshot_interval * uniform_random(), [this] { broadcast_snapshot(); });
     }
 
     // Moves statistics to the new indices of operations and tenants. For rule 2, open invocations keep the
     // stricter of the old and the new settings.
-    void take_over(const IndexMapping& operations, const IndexMapping& tenants_were)
+    void carry_over(const IndexMapping& operations, const IndexMapping& old_tenant_indices)
     {
-        const auto ops_were = std::exchange(ops, std::vector<OperationView>(set.operations.size() + 1));
-        const auto told_were = std::exchange(tenants, std::vector<Tenant>(set.tenant_quotas.size()));
-        const auto gone = static_cast<uint32_t>(set.operations.size());
-        std::vector<uint32_t> now_at(ops_were.size(), gone);
+        const auto old_statistics = std::exchange(
+            operation_statistics, std::vector<OperationStatistics>(settings.operations.size() + 1));
+        const auto old_tenants = std::exchange(tenants, std::vector<Tenant>(settings.tenant_quotas.size()));
+        const auto removed = static_cast<uint32_t>(settings.operations.size());
+        std::vector<uint32_t> new_index(old_statistics.size(), removed);
         for (uint32_t i = 0; i < operations.size(); ++i)
-            if (const auto was = operations[i]) ops[i] = ops_were[*was], now_at[*was] = i;
-        for (Invocation& inv : invs) {
-            if ((inv.operation = now_at[inv.operation]) == gone) continue;
-            const Operation& op = set.operations[inv.operation];
-            inv.op.idempotency = std::max(inv.op.idempotency, op.idempotency);
-            inv.op.deduplication_scope = std::max(inv.op.deduplication_scope, op.deduplication_scope);
-            inv.op.deduplication_window = std::min(inv.op.deduplication_window, op.deduplication_window);
+            if (const auto old_index = operations[i])
+                operation_statistics[i] = old_statistics[*old_index], new_index[*old_index] = i;
+        for (Invocation& invocation : invocations) {
+            if ((invocation.operation_index = new_index[invocation.operation_index]) == removed) continue;
+            const Operation& new_operation = settings.operations[invocation.operation_index];
+            invocation.operation.idempotency =
+                std::max(invocation.operation.idempotency, new_operation.idempotency);
+            invocation.operation.deduplication_scope =
+                std::max(invocation.operation.deduplication_scope, new_operation.deduplication_scope);
+            invocation.operation.deduplication_window =
+                std::min(invocation.operation.deduplication_window, new_operation.deduplication_window);
         }
         for (uint32_t i = 0; i < tenants.size(); ++i) {
-            if (i < tenants_were.size() && tenants_were[i]) tenants[i] = told_were[*tenants_were[i]];
-            tenants[i].quota = set.tenant_quotas[i];
+            if (i < old_tenant_indices.size() && old_tenant_indices[i])
+                tenants[i] = old_tenants[*old_tenant_indices[i]];
+            tenants[i].quota = settings.tenant_quotas[i];
         }
-        slowest_objective = {};
-        for (const Operation& op : set.operations)
-            slowest_objective = std::max(slowest_objective, op.latency_objective);
-        near_met = std::exp(std::min(10.0, set.cross_zone_price * crossing_weighs));
-        near_told = std::pow(near_met, 3.0 / 8);
+        longest_objective = {};
+        for (const Operation& new_operation : settings.operations)
+            longest_objective = std::max(longest_objective, new_operation.latency_objective);
+        own_zone_preference = std::exp(std::min(10.0, settings.cross_zone_price * cross_zone_price_weight));
+        own_zone_preference_with_peers = std::pow(own_zone_preference, 3.0 / 8);
     }
 
-    void settings_are(Settings settings, const IndexMapping& operations, const IndexMapping& tenants_were)
+    void update_settings(Settings new_settings, const IndexMapping& operations,
+                         const IndexMapping& old_tenant_indices)
     {
-        const bool asked_before = set.must_watch_endpoint_list;
-        set = std::move(settings);
-        take_over(operations, tenants_were);
-        queues_told = times_told = false;
+        const bool was_watching = settings.must_watch_endpoint_list;
+        settings = std::move(new_settings);
+        carry_over(operations, old_tenant_indices);
+        queues_reported = latencies_reported = false;
         // Tenant indices changed, and peers may still have the old settings: their reports are dropped.
-        for (Peer& p : peers) forget(p), p.heard = TimePoint{INT64_MIN / 2};
-        heard = 0;
-        near.clear(), far.clear(), told_names.clear();
-        for (UpstreamId t = 0; t < ups.size(); ++t)
-            if (ups[t].known) place(t);
-        if (set.must_watch_endpoint_list && !asked_before) out.watch_endpoint_list();
-        report_by_settings();
+        for (Peer& peer : peers) forget_peer(peer), peer.heard_at = TimePoint{INT64_MIN / 2};
+        live_peers = 0;
+        own_zone.clear(), other_zones.clear(), wire_names.clear();
+        for (UpstreamId id = 0; id < upstreams.size(); ++id)
+            if (upstreams[id].is_registered) insert_in_order(id);
+        if (settings.must_watch_endpoint_list && !was_watching) delegate.watch_endpoint_list();
+        schedule_reports();
     }
 
-    void probe_later()
+    void schedule_probes()
     {
-        schedule(now + probe_every * (0.75 + 0.5 * uniform_random()), [this] {
-            if (!(probing = probes())) return;
+        schedule(now + probe_interval * (0.75 + 0.5 * uniform_random()), [this] {
+            if (!(probes_scheduled = uses_probes())) return;
             // Only upstreams in use are probed, in turn as far as the budget allows: hundreds of balancers
             // that probed every upstream would cost more than the reports are worth.
-            for (size_t n = 0; n < ups.size() && may_probe >= 1; ++n) {
-                const UpstreamId t = probe_next++ % static_cast<UpstreamId>(ups.size());
-                const Upstream& u = ups[t];
-                const bool used = u.out > 0 || now - u.last_end < probe_every;
-                if (used && u.listing.phase == EndpointPhase::ready) out.probe(t), may_probe -= 1;
+            for (size_t i = 0; i < upstreams.size() && probe_budget >= 1; ++i) {
+                const UpstreamId id = next_probe++ % static_cast<UpstreamId>(upstreams.size());
+                const Upstream& upstream = upstreams[id];
+                const bool in_use = upstream.in_flight > 0 || now - upstream.last_ended_at < probe_interval;
+                if (in_use && upstream.endpoint.phase == EndpointPhase::ready)
+                    delegate.probe(id), probe_budget -= 1;
             }
-            probe_later();
+            schedule_probes();
         });
     }
 
     // ---- Messages between balancers, where the settings allow them ----
     // The next snapshot makes up for a lost message. Upstream names that are not on the own list are ignored.
 
-    void tell_soon()
+    void schedule_broadcast()
     {
-        if (!set.may_message_peers || tell_due) return;
-        tell_due = true;
-        schedule(std::max(now, told_at + tell_every), [this] { tell_changes(false); });
+        if (!settings.may_message_peers || broadcast_due) return;
+        broadcast_due = true;
+        schedule(std::max(now, last_broadcast_at + peer_update_interval),
+                 [this] { broadcast_in_flight(false); });
     }
 
-    void tell_changes(bool all)
+    void broadcast_in_flight(bool is_snapshot)
     {
-        tell_due = false;
-        if (!set.may_message_peers) return;
-        told_at = now;
-        if (!all && set.peer_message_price > 0 && may_spend < 0) return;
-        PeerMessage message{all, {}, {}};
-        if (all) {
+        broadcast_due = false;
+        if (!settings.may_message_peers) return;
+        last_broadcast_at = now;
+        if (!is_snapshot && settings.peer_message_price > 0 && message_budget < 0) return;
+        PeerMessage message{is_snapshot, {}, {}};
+        if (is_snapshot) {
             // Peers reset what a snapshot does not name; entries that do not fit follow as changes.
-            for (Upstream& u : ups) u.told_out = 0;
-            for (const Tenant& t : tenants) message.rates.push_back(t.rate);
+            for (Upstream& upstream : upstreams) upstream.broadcast_in_flight = 0;
+            for (const Tenant& tenant : tenants) message.tenant_rates.push_back(tenant.rate);
         }
-        for (const auto& [name, upstream_id] : told_names) {
-            Upstream& u = ups[upstream_id];
-            const auto is = static_cast<uint8_t>(std::min<uint32_t>(u.out - u.overdue, UINT8_MAX));
-            if (is == u.told_out) continue;
-            if (!message.has_room()) {
-                tell_soon();
+        for (const auto& [name, upstream_id] : wire_names) {
+            Upstream& upstream = upstreams[upstream_id];
+            const auto current =
+                static_cast<uint8_t>(std::min<uint32_t>(upstream.in_flight - upstream.overdue, UINT8_MAX));
+            if (current == upstream.broadcast_in_flight) continue;
+            if (!message.has_room_for_entry()) {
+                schedule_broadcast();
                 break;
             }
-            message.out.emplace_back(name, u.told_out = is);
+            message.in_flight.emplace_back(name, upstream.broadcast_in_flight = current);
         }
-        if (!all && message.out.empty()) return;
+        if (!is_snapshot && message.in_flight.empty()) return;
         const auto bytes = encode_peer_message(message);
-        may_spend -= static_cast<double>(std::max(least_message, bytes.size()) *
-                                         (std::max(2u, set.balancer_count) - 1));
-        out.broadcast(bytes);
+        message_budget -= static_cast<double>(std::max(min_charged_message_bytes, bytes.size()) *
+                                              (std::max(2u, settings.balancer_count) - 1));
+        delegate.broadcast(bytes);
     }
 
-    void tell_all()
+    void broadcast_snapshot()
     {
-        if (!(telling = set.may_message_peers)) return;
+        if (!(snapshots_scheduled = settings.may_message_peers)) return;
         update_tenant_shares();
-        tell_changes(true);
-        const auto silent = [&](const Peer& p) { return now - p.heard >= believed; };
-        for (Peer& p : peers)
-            if (silent(p)) forget(p);
-        heard = peers.size() - static_cast<size_t>(std::count_if(peers.begin(), peers.end(), silent));
-        schedule(now + tell_all_every * (0.75 + 0.5 * uniform_random()), [this] { tell_all(); });
+        broadcast_in_flight(true);
+        const auto silent = [&](const Peer& peer) { return now - peer.heard_at >= peer_state_lifetime; };
+        for (Peer& peer : peers)
+            if (silent(peer)) forget_peer(peer);
+        live_peers = peers.size() - static_cast<size_t>(std::count_if(peers.begin(), peers.end(), silent));
+        schedule(now + peer_snapshot_interval * (0.75 + 0.5 * uniform_random()),
+                 [this] { broadcast_snapshot(); });
     }
 
-    void hold(Peer& p, UpstreamId upstream_id, uint8_t n)
+    void set_peer_in_flight(Peer& peer, UpstreamId upstream_id, uint8_t count)
     {
-        if (p.out.size() <= upstream_id) p.out.resize(ups.size());
-        const uint32_t was = std::exchange(p.out[upstream_id], n);
-        ups[upstream_id].peers_out += n - was;
-        peers_out += static_cast<double>(n) - was;
+        if (peer.in_flight.size() <= upstream_id) peer.in_flight.resize(upstreams.size());
+        const uint32_t previous = std::exchange(peer.in_flight[upstream_id], count);
+        upstreams[upstream_id].peer_in_flight += count - previous;
+        peer_in_flight += static_cast<double>(count) - previous;
     }
 
-    void forget(Peer& p)
+    void forget_peer(Peer& peer)
     {
-        for (UpstreamId t = 0; t < p.out.size(); ++t)
-            if (p.out[t]) hold(p, t, 0);
-        p.rates.clear();
+        for (UpstreamId id = 0; id < peer.in_flight.size(); ++id)
+            if (peer.in_flight[id]) set_peer_in_flight(peer, id, 0);
+        peer.tenant_rates.clear();
     }
 
-    void told(uint32_t from, std::string_view bytes)
+    void on_peer_message(uint32_t sender, std::string_view bytes)
     {
         const auto message = decode_peer_message(bytes);
-        if (!set.may_message_peers || from >= set.balancer_count || from == set.self_index || !message)
+        if (!settings.may_message_peers || sender >= settings.balancer_count ||
+            sender == settings.self_index || !message)
             return;
-        if (from >= peers.size()) peers.resize(from + 1);
-        Peer& p = peers[from];
-        if (message->all) forget(p), p.rates = message->rates;
-        if (now - p.heard >= believed || heard == 0) ++heard;
-        p.heard = now;
-        for (const auto& [name, n] : message->out) {
-            const auto known =
-                std::lower_bound(told_names.begin(), told_names.end(), std::pair(name, UpstreamId{}));
-            if (known != told_names.end() && known->first == name) hold(p, known->second, n);
+        if (sender >= peers.size()) peers.resize(sender + 1);
+        Peer& peer = peers[sender];
+        if (message->is_snapshot) forget_peer(peer), peer.tenant_rates = message->tenant_rates;
+        if (now - peer.heard_at >= peer_state_lifetime || live_peers == 0) ++live_peers;
+        peer.heard_at = now;
+        for (const auto& [name, count] : message->in_flight) {
+            const auto entry =
+                std::lower_bound(wire_names.begin(), wire_names.end(), std::pair(name, UpstreamId{}));
+            if (entry != wire_names.end() && entry->first == name)
+                set_peer_in_flight(peer, entry->second, count);
         }
     }
 
-    void wake(uint64_t name)
+    void on_timer_fired(uint64_t timer_id)
     {
-        const auto at = timers.find(name);
-        if (at == timers.end()) return;
-        const auto what = std::move(at->second);
-        timers.erase(at);
-        what();
+        const auto timer = timers.find(timer_id);
+        if (timer == timers.end()) return;
+        const auto callback = std::move(timer->second);
+        timers.erase(timer);
+        callback();
     }
 };
 
-Balancer::Balancer(Settings settings, uint64_t seed, BalancerDelegate& outlet)
-    : state_(std::make_unique<State>(std::move(settings), seed, outlet))
+Balancer::Balancer(Settings settings, uint64_t seed, BalancerDelegate& delegate)
+    : state_(std::make_unique<State>(std::move(settings), seed, delegate))
 {
 }
 
 Balancer::~Balancer() = default;
 
-Balancer::State& Balancer::at(TimePoint now)
+Balancer::State& Balancer::state_at(TimePoint now)
 {
     state_->now = now;
     return *state_;
 }
 
-void Balancer::start(TimePoint now) { at(now).start(); }
+void Balancer::start(TimePoint now) { state_at(now).start(); }
 
 void Balancer::update_settings(TimePoint now, Settings settings, const IndexMapping& operations,
                                const IndexMapping& tenants)
 {
-    at(now).settings_are(std::move(settings), operations, tenants);
+    state_at(now).update_settings(std::move(settings), operations, tenants);
 }
 
-void Balancer::set_endpoints(TimePoint now, const std::vector<EndpointState>& all) { at(now).list_is(all); }
+void Balancer::set_endpoints(TimePoint now, const std::vector<EndpointState>& all)
+{
+    state_at(now).set_endpoints(all);
+}
 
 void Balancer::update_endpoints(TimePoint now, const std::vector<EndpointState>& changes)
 {
-    for (const EndpointState& l : changes) at(now).list(l);
+    for (const EndpointState& endpoint : changes) state_at(now).update_endpoint(endpoint);
 }
 
-void Balancer::on_endpoint_list_fetched(TimePoint now, bool well) { at(now).list_answered(well); }
+void Balancer::on_endpoint_list_fetched(TimePoint now, bool succeeded)
+{
+    state_at(now).on_endpoint_list_fetched(succeeded);
+}
 
-void Balancer::accept(TimePoint now, InvocationId inv, const InvocationRequest& ask)
+void Balancer::accept(TimePoint now, InvocationId invocation, const InvocationRequest& request)
 {
-    at(now).accept(inv, ask);
+    state_at(now).accept(invocation, request);
 }
 
-void Balancer::on_forward_ended(TimePoint now, InvocationId inv, uint32_t forward, AttemptResult result,
-                                Duration took, bool over, const LoadReport& report)
+void Balancer::on_forward_ended(TimePoint now, InvocationId invocation, uint32_t forward,
+                                AttemptResult result, Duration duration, bool answered,
+                                const LoadReport& report)
 {
-    at(now).ended(inv, forward, result, took, over, report);
+    state_at(now).on_forward_ended(invocation, forward, result, duration, answered, report);
 }
 
-void Balancer::on_client_disconnected(TimePoint now, InvocationId inv)
+void Balancer::on_client_disconnected(TimePoint now, InvocationId invocation)
 {
-    if (!at(now).invs[inv].over) state_->close(inv);
+    if (!state_at(now).invocations[invocation].finished) state_->close(invocation);
 }
 
 void Balancer::on_probe_completed(TimePoint now, UpstreamId upstream_id, AttemptResult result,
                                   const LoadReport& report)
 {
-    if (result == AttemptResult::succeeded) at(now).reported(state_->ups[upstream_id], report);
+    if (result == AttemptResult::succeeded)
+        state_at(now).record_load_report(state_->upstreams[upstream_id], report);
 }
 
 void Balancer::on_peer_message(TimePoint now, uint32_t peer, std::string_view message)
 {
-    at(now).told(peer, message);
+    state_at(now).on_peer_message(peer, message);
 }
 
-void Balancer::on_request_complete(TimePoint now, InvocationId inv, Duration time_left)
+void Balancer::on_request_complete(TimePoint now, InvocationId invocation, Duration time_left)
 {
-    at(now).sent(inv, time_left);
+    state_at(now).on_request_complete(invocation, time_left);
 }
 
 double Balancer::reduction(TimePoint now, UpstreamId upstream_id)
 {
-    return upstream_id < state_->ups.size() ? at(now).reduction(state_->ups[upstream_id]) : 0;
+    return upstream_id < state_->upstreams.size() ? state_at(now).reduction(state_->upstreams[upstream_id])
+                                                  : 0;
 }
 
-void Balancer::set_subset_fraction(double part) { state_->listed = part; }
+void Balancer::set_subset_fraction(double fraction) { state_->subset_fraction = fraction; }
 
-void Balancer::on_timer_fired(TimePoint now, uint64_t name) { at(now).wake(name); }
+void Balancer::on_timer_fired(TimePoint now, uint64_t timer_id) { state_at(now).on_timer_fired(timer_id); }
 
 }  // namespace firtide
--- a/src/balance/balancer.h
+++ b/src/balance/balancer.h
@@ -121,7 +121,7 @@
 
   private:
     struct State;
-    State& at(TimePoint now);
+    State& state_at(TimePoint now);
     std::unique_ptr<State> state_;
 };
 
--- a/src/balance/peer_message.h
+++ b/src/balance/peer_message.h
@@ -19,14 +19,17 @@
 
 struct PeerMessage {
     // A snapshot: upstreams that are not named have nothing in flight. Otherwise they are unchanged.
-    bool all = false;
-    std::vector<double> rates;                      // in a snapshot, by tenant: invocations per second
-    std::vector<std::pair<uint16_t, uint8_t>> out;  // by upstream name: the sender's requests in flight
-
-    bool has_room() const { return 5 + 2 * rates.size() + 3 * out.size() <= max_peer_message_bytes; }
+    bool is_snapshot = false;
+    std::vector<double> tenant_rates;                     // in a snapshot, by tenant: invocations per second
+    std::vector<std::pair<uint16_t, uint8_t>> in_flight;  // by upstream name: the sender's requests in flight
+
+    bool has_room_for_entry() const
+    {
+        return 5 + 2 * tenant_rates.size() + 3 * in_flight.size() <= max_peer_message_bytes;
+    }
 };
 
-std::string encode_peer_message(const PeerMessage& told);
+std::string encode_peer_message(const PeerMessage& message);
 
 // Returns nothing if the bytes are not exactly one well-formed message.
 std::optional<PeerMessage> decode_peer_message(std::string_view bytes);
