--- a/simulator_adapter/instance.cpp
+++ b/simulator_adapter/instance.cpp
@@ -70,7 +70,7 @@
         balancer_.update_endpoints(now, endpoints_);
     else
         balancer_.set_endpoints(now, endpoints_);
-    if (scope != ListScope::full_unrequested) balancer_.on_endpoint_list_fetched(now, true);
+    if (scope != ListScope::cached) balancer_.on_endpoint_list_fetched(now, true);
 }
 
 LoadReport Instance::read_load_report(Reader& in) const
--- a/simulator_adapter/instance.h
+++ b/simulator_adapter/instance.h
@@ -13,7 +13,8 @@
 namespace firtide::simulator_adapter
 {
 
-enum ListScope : uint8_t { changes = 0, full = 1, full_unrequested = 2, fetch_failed = 3 };
+// What a delivered list holds. cached: a full list from before, which answers no request.
+enum ListScope : uint8_t { changes = 0, full = 1, cached = 2, fetch_failed = 3 };
 
 enum class ActionCode : uint8_t {
     cancel_forward = 80,
