--- a/src/fleet/endpoints/endpoint_distribution.cpp
+++ b/src/fleet/endpoints/endpoint_distribution.cpp
@@ -8,10 +8,11 @@
 {
 
 constexpr size_t max_snapshot_bytes = 32 << 20;
-constexpr uint32_t max_attempts = 3;  // at one chunk, before another member is asked for all of them
-constexpr Duration offer_lifetime = seconds(5);  // after it was last asked for
-constexpr double wait_to_publish = 3;            // times `repair`
-constexpr double wait_while_empty = 1;           // the same, where nobody is known to have a list
+// Unanswered requests for one chunk before the snapshot is requested from another member.
+constexpr uint32_t max_attempts = 3;
+constexpr Duration offer_lifetime = seconds(5);  // since the last request for it
+constexpr double wait_to_publish = 3;            // in units of `repair`
+constexpr double wait_while_empty = 1;           // the same, if no member is known to have a list
 
 }  // namespace
 
@@ -79,7 +80,8 @@
         if (!pending_request_ || pending_request_->member != from) return {};
         pending_request_->answered = true;
     }
-    // Once for each revision, also where it came too early: others may lack nothing but this one.
+    // Each revision is forwarded once, even if it cannot be applied here yet: the receivers may lack only
+    // this one.
     const bool pass_on = !delta.answer && delta.to > passed_on_;
     if (pass_on) passed_on_ = delta.to;
     const EndpointChanges changes{delta.changed, delta.removed};
@@ -102,7 +104,7 @@
     return {pass_on, !local_ && !delta.partial && !delta.more};
 }
 
-// The balancer goes on with its own, newer list while the fleet's changes below it.
+// Keeps the values that the balancer uses while the fleet's older list changes below the newer local one.
 void EndpointDistribution::keep_local_of(const EndpointChanges& changes)
 {
     if (!local_) return;
@@ -114,7 +116,8 @@
     for (const std::string& uid : changes.removed) keep(uid);
 }
 
-// A repair may come from a member that is itself behind: there numbers decide, whatever their source.
+// A repair may come from a member that is behind itself, so only version numbers are compared then, even
+// between sources.
 void EndpointDistribution::drop_local_if_reached(bool by_holder)
 {
     if (!local_ || replica_.partial()) return;
@@ -138,7 +141,7 @@
     }
     if (revision != replica_.revision() || needs_snapshot_) return false;
     drop_local_if_reached(true);
-    // Guards against a holder whose discovery is behind this member's own.
+    // False if the holder's discovery is behind this member's own.
     return !local_;
 }
 
@@ -150,7 +153,8 @@
         newer_[from] = revision;
         return request_if_due(now, from);
     }
-    // Of two that differ at one revision, the one that has not what its publisher stated is wrong.
+    // If two replicas differ at the same revision, the one that does not match the publisher's digest is
+    // wrong.
     if (digest != replica_.digest() && (!verified_ || now - *verified_ >= config_.repair)) {
         verified_ = now;
         needs_snapshot_ = needs_snapshot_ || !replica_.intact();
@@ -187,7 +191,7 @@
     if (!pending_request_ || now - pending_request_->at >= config_.repair) request(now, member);
 }
 
-// Another one than the last time, where there is another.
+// Picks another member than the last one, if there is one.
 std::optional<MemberIndex> EndpointDistribution::next_source() const
 {
     if (newer_.empty()) return {};
@@ -205,7 +209,7 @@
         return request(now, pending_request_->member);
     assembly_.reset();
     const auto source = next_source();
-    // Whoever has not answered tells of itself again with its next ping.
+    // A member that did not answer reports its revision again with its next ping.
     if (pending_request_ && !pending_request_->answered) newer_.erase(pending_request_->member);
     if (source) request(now, *source);
 }
@@ -223,7 +227,7 @@
         assembly_->count = chunk.count;
         assembly_->snapshot = {chunk.revision, chunk.version, chunk.digest, chunk.partial, {}};
     } else if (!known || chunk.index != assembly_->next) {
-        return {};  // repeated, or of a snapshot that its sender has given up
+        return {};  // repeated, or of a snapshot that its sender has dropped
     }
     Assembly& assembly = *assembly_;
     for (const EndpointEntry& entry : chunk.entries) {
@@ -256,7 +260,7 @@
     mark_changed(*changes);
     forget_reached();
     drop_local_if_reached(false);
-    if (newer_.count(assembly.from)) request(now, assembly.from);  // for what has come since
+    if (newer_.count(assembly.from)) request(now, assembly.from);  // for changes since the snapshot
     return !replica_.partial();
 }
 
@@ -265,7 +269,7 @@
 void EndpointDistribution::handle(TimePoint now, MemberIndex from, const EndpointDeltaRequest& want,
                                   Duration age)
 {
-    // What is wrong, or older than what its receiver has, repairs nobody.
+    // A replica that is wrong or older than the receiver's cannot repair it.
     if (needs_snapshot_ || replica_.version().older_than(want.version)) return;
     if (want.chunk > 0) return answer_with_snapshot(now, from, want, age);
     if (want.whole ? want.from > replica_.revision() : want.from >= replica_.revision()) return;
@@ -291,7 +295,7 @@
     }
 }
 
-// One chunk at a time, each asked for: a slow road is never filled with what its receiver can't take.
+// Sends one chunk per request, so that a slow connection is never filled faster than its receiver reads.
 void EndpointDistribution::answer_with_snapshot(TimePoint now, MemberIndex to,
                                                 const EndpointDeltaRequest& want, Duration age)
 {
@@ -336,7 +340,7 @@
 
 std::optional<ApplyEndpointList> EndpointDistribution::take_use()
 {
-    // A version that has come in part is not a list yet.
+    // A version that was received only in part is not used yet.
     if (!unreported_ || (replica_.partial() && !local_)) return {};
     unreported_ = false;
     const uint64_t number = version().number;
--- a/src/fleet/endpoints/endpoint_distribution.h
+++ b/src/fleet/endpoints/endpoint_distribution.h
@@ -1,6 +1,6 @@
-// A member's part in distributing the list of upstreams: it applies deltas and passes them on, repairs its
-// replica from its peers' and theirs from its own, and returns what its balancer has to use. No I/O, no clock
-// of its own.
+// Distributes the endpoint list at one member: applies and forwards deltas, repairs this member's replica
+// from its peers and theirs from its own, and returns the list changes that the balancer has to apply. No
+// I/O, no clock of its own.
 #pragma once
 
 #include <map>
@@ -15,9 +15,10 @@
 namespace firtide::fleet
 {
 
-// For the balancer: in discovery's form, the whole list or what has changed since the last one.
+// Tells the balancer to apply the full endpoint list or the changes since the last one, in discovery's
+// format.
 struct ApplyEndpointList {
-    uint64_t version = 0;  // in force from now on, also where nothing has changed
+    uint64_t version = 0;  // in force from now on, even if no entry has changed
     std::string text;
     bool is_full = true;
 };
@@ -27,34 +28,36 @@
   public:
     explicit EndpointDistribution(const EndpointDeltaConfig& config) : config_(config), replica_(config) {}
 
-    // What to do about a message that was received.
+    // What the caller has to do after a message was handled.
     struct Reaction {
-        bool pass_on = false;    // to the successors
+        bool pass_on = false;    // to the gossip targets
         bool confirmed = false;  // the list in use is as new as the sender's
     };
 
-    // Discovery's answer at the holder: the deltas to push to the successors. `uids`: all that can differ
-    // from the last answer that was published; nothing: any.
+    // Publishes an answer of discovery as the holder of the duty. Returns the deltas to push to the gossip
+    // targets. `uids` names all entries that can differ from the last published answer; without it, any can.
     std::vector<EndpointDelta> publish(Epoch epoch, const EndpointListVersion& version,
                                        const EndpointMap& texts,
                                        const std::optional<std::vector<std::string>>& uids);
-    // Discovery's answer at a member that asks on its own: used here alone, until the fleet's list is as new.
+    // Uses an answer that this member got from discovery itself. It applies to this member alone, until the
+    // fleet's list is as new.
     void use_local(const EndpointListVersion& version, const EndpointMap& texts);
 
-    // An answer of discovery was refused: what the next one names as changed counts from that one.
+    // To be called when an answer of discovery is rejected: the changes that the next answer names are
+    // relative to the rejected one, so the next answer is compared as a whole.
     void skip() { followed_.reset(); }
 
     Reaction handle(TimePoint now, MemberIndex from, const EndpointDelta& delta);
     void handle(TimePoint now, MemberIndex from, const EndpointDeltaRequest& want, Duration age);
     Reaction handle(TimePoint now, MemberIndex from, const EndpointSnapshotChunk& chunk);
-    // What another member's ping tells of its replica.
+    // Handles the revision and digest of a peer's replica, as its ping reports them.
     void on_peer_revision(TimePoint now, MemberIndex from, const EndpointRevision& revision, uint64_t digest);
-    // The holder's word that its list is unchanged. True: this member uses that list.
+    // Handles the holder's notice that its list is unchanged. Returns true if this member uses that list.
     bool on_unchanged(TimePoint now, MemberIndex from, const EndpointRevision& revision);
     void tick(TimePoint now);
 
-    // Whether a new holder should be repaired before it publishes: what it lacks would be published as
-    // removed.
+    // Whether a new holder should wait for its replica to be repaired: entries that it lacks would be
+    // published as removed.
     bool must_wait_to_publish(TimePoint now, Epoch epoch, TimePoint gained) const;
     bool behind() const { return needs_snapshot_ || !newer_.empty(); }
 
@@ -62,17 +65,18 @@
     EndpointReplica& replica() { return replica_; }
     bool uses_local() const { return local_.has_value(); }
     const EndpointListVersion& version() const { return local_ ? local_->version : replica_.version(); }
-    // The whole list that the balancer uses, in discovery's form.
+    // The full list that the balancer uses, in discovery's format.
     std::string full_text() const;
 
     std::vector<Send> take_sends() { return std::exchange(sends_, {}); }
     std::optional<ApplyEndpointList> take_use();
 
   private:
-    // The differences of a list that this member has asked for itself from the fleet's.
+    // A list that this member fetched from discovery itself, stored as differences from the fleet's list.
     struct LocalList {
         EndpointListVersion version;
-        std::map<std::string, std::optional<std::string>> differences;  // by uid; nothing: it is not there
+        // By uid; nullopt: the entry is absent.
+        std::map<std::string, std::optional<std::string>> differences;
     };
     struct PendingRequest {
         MemberIndex member = 0;
@@ -85,9 +89,9 @@
         EndpointSnapshot snapshot;
         uint32_t next = 0, count = 0;
         size_t bytes = 0;
-        uint32_t attempts = 0;  // in a row that were not answered
+        uint32_t attempts = 0;  // unanswered requests in a row
     };
-    // A snapshot that is being sent: it stays as it is while the replica goes on.
+    // A snapshot that is being sent. It stays unchanged while the replica advances.
     struct Offer {
         std::vector<EndpointSnapshotChunk> chunks;
         TimePoint asked;
@@ -102,24 +106,24 @@
     void drop_local_if_reached(bool by_holder);
     void keep_local_of(const EndpointChanges& changes);
     void answer_with_snapshot(TimePoint now, MemberIndex to, const EndpointDeltaRequest& want, Duration age);
-    bool finish(TimePoint now);  // true: the snapshot is in its place
+    bool finish(TimePoint now);  // returns true if the snapshot was installed and is complete
     EndpointMap local_texts() const;
     const std::string* text_of_uid(const std::string& uid) const;
 
     const EndpointDeltaConfig config_;
     EndpointReplica replica_;
     std::optional<LocalList> local_;
-    std::optional<EndpointRevision> followed_;       // as of the last answer of discovery that was published
-    EndpointRevision passed_on_;                     // the newest
-    std::map<MemberIndex, EndpointRevision> newer_;  // who is known to have a newer revision
-    bool needs_snapshot_ = false;                    // the replica is not what its revision should be
+    std::optional<EndpointRevision> followed_;       // at the last published answer of discovery
+    EndpointRevision passed_on_;                     // the newest one
+    std::map<MemberIndex, EndpointRevision> newer_;  // peers known to have a newer revision
+    bool needs_snapshot_ = false;                    // the replica does not match the state of its revision
     std::optional<TimePoint> verified_;
     std::optional<PendingRequest> pending_request_;
     std::optional<Assembly> assembly_;
     std::optional<Offer> offer_;
     std::vector<Send> sends_;
 
-    // What the balancer has.
+    // What was reported to the balancer.
     bool reported_ = false, unreported_ = false;
     std::set<std::string> changed_uids_;
 };
--- a/src/fleet/endpoints/endpoint_list_service.cpp
+++ b/src/fleet/endpoints/endpoint_list_service.cpp
@@ -11,12 +11,12 @@
 
 constexpr const char* duty = "list";
 constexpr Duration broadcast_request_interval = seconds(0.2);
-constexpr Duration first_poll_after = seconds(1.5);  // after the start, where no list has come from the fleet
-constexpr double max_poll_spread = 0.5;              // of the stated age
-constexpr double change_freshness =
-    0.5;  // of the stated age: how old the list counts at most, as the holder changes
-constexpr double hint_lifetime = 4;      // times a stage of the startup
-constexpr size_t max_pushed_deltas = 4;  // the others are asked for, so that no queue overflows
+constexpr Duration first_poll_after = seconds(1.5);  // after the start, if no list has come from the fleet
+constexpr double max_poll_spread = 0.5;              // of the configured maximum age
+// Of the configured maximum age: the list counts as no older than this when the holder changes.
+constexpr double change_freshness = 0.5;
+constexpr double hint_lifetime = 4;      // in units of the longest duration of a startup stage
+constexpr size_t max_pushed_deltas = 4;  // receivers request further ones, so that no send queue overflows
 
 }  // namespace
 
@@ -65,19 +65,19 @@
                  "it is older than stated: discovery is asked by this member itself");
 }
 
-// ---- from the fleet, as broadcasts ----
+// ---- lists from the fleet, as broadcasts ----
 
 void EndpointListService::on_ping(MemberIndex from, const Ping& ping)
 {
     if (!context_.config.list) return;
     if (distribution_) {
-        // No digest: a member without [deltas], or an empty list.
+        // The digest is zero if the sender has no [deltas] or an empty list.
         if (ping.list_digest)
             distribution_->on_peer_revision(context_.now, from, {ping.list_epoch, ping.list_number},
                                             ping.list_digest);
         return flush_replica();
     }
-    // A broadcast may have been lost on its way.
+    // An earlier broadcast may have been lost.
     const std::pair<Epoch, uint64_t> own{newest_ ? newest_->epoch : 0, newest_ ? newest_->content_number : 0};
     if (std::pair{ping.list_epoch, ping.list_number} > own) request_broadcast(from);
 }
@@ -105,7 +105,7 @@
 {
     const Duration age{std::max<int64_t>(0, broadcast.age_us)};
     if (distribution_) {
-        if (!broadcast.content.empty()) return;  // of a holder without [deltas]
+        if (!broadcast.content.empty()) return;  // from a holder without [deltas]
         const EndpointRevision revision{broadcast.epoch, broadcast.content_number};
         if (distribution_->on_unchanged(context_.now, from, revision)) confirm(age);
         return flush_replica();
@@ -115,7 +115,7 @@
     confirm(age);
 }
 
-// Returns false where the content is no list, or an older one: that would bring back upstreams that have
+// Returns false if the content is not a list, or is an older one: that would bring back upstreams that have
 // drained.
 bool EndpointListService::take_full_list(const Broadcast& broadcast)
 {
@@ -134,7 +134,7 @@
     if (polling_ && !context_.held_epoch(duty)) set_polling(false);
 }
 
-// ---- from the fleet, as deltas ----
+// ---- lists from the fleet, as deltas ----
 
 void EndpointListService::on_delta(MemberIndex from, const EndpointDelta& delta)
 {
@@ -176,9 +176,10 @@
     context_.emit(std::move(*use));
 }
 
-// ---- from this member's own discovery ----
+// ---- lists from this member's own discovery ----
 
-// A discovery that has lost its own past must not replace the persisted list for a while.
+// For a while after the start, a discovery service that has lost its state must not replace the persisted
+// list.
 bool EndpointListService::hint_protects(uint64_t version) const
 {
     if (version >= hint_version_ || !context_.config.recovery) return false;
@@ -199,8 +200,8 @@
     publish(*epoch, std::move(content));
 }
 
-// Returns false where discovery has fallen behind: an older list would bring back upstreams that drain or
-// have gone.
+// Returns false if discovery has fallen behind: an older list would bring back upstreams that are draining or
+// gone.
 bool EndpointListService::use_fetched(const EndpointListFetched& fetched)
 {
     const bool same_source = fetched.source == source_;
@@ -226,8 +227,8 @@
     broadcasts_.publish(broadcast);
 }
 
-// Another agent with a lower number is behind, or numbers anew: the latter is believed once the list in use
-// is stale, or where this member's own agent was moved.
+// Another discovery agent with a lower version number is either behind or has restarted its numbering. The
+// latter is assumed once the list in use is stale, or if this member was given another agent.
 bool EndpointListService::accepts(const EndpointListVersion& version) const
 {
     const EndpointListVersion& used = distribution_->version();
@@ -257,7 +258,7 @@
     push(*epoch, deltas);
 }
 
-// The first deltas of a large change are pushed; the others are asked for by whoever has those.
+// Pushes the first deltas of a large change; the receivers request the rest.
 void EndpointListService::push(Epoch epoch, const std::vector<EndpointDelta>& deltas)
 {
     published_number_ = distribution_->replica().revision().number;
@@ -279,7 +280,7 @@
     replicate(*std::exchange(postponed_, std::nullopt));
 }
 
-// ---- persisted, and shown ----
+// ---- persistence and status ----
 
 void EndpointListService::set_hint(uint64_t version, const std::string& full_text)
 {
--- a/src/fleet/endpoints/endpoint_list_service.h
+++ b/src/fleet/endpoints/endpoint_list_service.h
@@ -1,6 +1,6 @@
-// The duty "list": its holder polls discovery and distributes the endpoint list; the others use that list
-// while it is fresh, and poll discovery themselves otherwise. The list goes round as a whole, in broadcasts,
-// or with [deltas] as replicated deltas (EndpointDistribution).
+// The duty "list": its holder polls discovery and distributes the endpoint list. Other members use that list
+// while it is fresh, and poll discovery themselves otherwise. The list is sent as a whole in broadcasts, or
+// with [deltas] as replicated deltas (EndpointDistribution).
 #pragma once
 
 #include <optional>
@@ -17,10 +17,10 @@
 class EndpointListService
 {
   public:
-    // Both must outlive the service.
+    // Both arguments must outlive the service.
     EndpointListService(FleetContext& context, DutyBroadcasts& broadcasts);
 
-    // `random`: 0 to 1, spreads the members' own polling.
+    // `random`: 0 to 1, spreads the members' own polling over time.
     void start(double random);
     void tick();
     void on_lease_changed(LeaseChange::Kind kind);
@@ -33,22 +33,23 @@
     void on_snapshot_chunk(MemberIndex from, const EndpointSnapshotChunk& chunk);
     void on_fetched(EndpointListFetched& fetched);
 
-    // A list from before this start: a hint, which a lower version does not replace for a while.
+    // A list from before this start. It is a hint; a list with a lower version does not replace it for a
+    // while.
     void set_hint(uint64_t version, const std::string& full_text);
-    // The newest list and its version, for the next start.
+    // The newest list and its version, to be persisted for the next start.
     [[nodiscard]] const std::string& list_to_persist();
     [[nodiscard]] uint64_t version_to_persist() const { return std::max(version_, hint_version_); }
 
-    // Adds this member's revision of the list.
+    // Adds the revision of this member's list.
     void fill_ping_payload(PingPayload& payload) const;
     // For show-fleet.
     [[nodiscard]] std::string status() const;
-    // Nothing without [deltas].
+    // Null without [deltas].
     [[nodiscard]] const EndpointReplica* replica() const;
     [[nodiscard]] EndpointReplica* replica_to_corrupt();
 
   private:
-    // The content of a broadcast.
+    // The content of a list broadcast.
     struct FullList {
         std::string source;
         uint64_t version = 0;
@@ -63,32 +64,32 @@
     bool take_full_list(const Broadcast& broadcast);
     void publish(Epoch epoch, std::string content);
 
-    // ---- own discovery ----
+    // ---- lists from this member's own discovery ----
     bool hint_protects(uint64_t version) const;
     bool use_fetched(const EndpointListFetched& fetched);
     bool accepts(const EndpointListVersion& version) const;
     void replicate(const EndpointListFetched& fetched);
     void push(Epoch epoch, const std::vector<EndpointDelta>& deltas);
     void publish_postponed();
-    // Turns what the replica has to say into effects.
+    // Emits the messages and the list changes that the replica has produced.
     void flush_replica();
 
     FleetContext& context_;
     DutyBroadcasts& broadcasts_;
     std::optional<EndpointDistribution> distribution_;  // with [deltas]
 
-    std::string source_;  // discovery's address, where this member's own list came from
+    std::string source_;  // address of the discovery that this member's own list came from
     uint64_t version_ = 0;
-    TimePoint confirmed_at_;  // when the list in use was confirmed last
-    Duration poll_delay_;     // beyond the stated age: differs from member to member
+    TimePoint confirmed_at_;  // when the list in use was last confirmed
+    Duration poll_delay_;     // in addition to the configured maximum age; differs between members
     bool polling_ = false;
     TimePoint last_broadcast_request_;
 
-    std::optional<Broadcast> newest_;  // with content
+    std::optional<Broadcast> newest_;  // the last one with content
     std::string last_published_;
     uint64_t published_number_ = 0;
     TimePoint lease_gained_;
-    std::optional<EndpointListFetched> postponed_;  // by a holder whose replica is being repaired first
+    std::optional<EndpointListFetched> postponed_;  // by a holder whose replica has to be repaired first
 
     uint64_t hint_version_ = 0;
     std::string persisted_list_;
--- a/src/fleet/endpoints/endpoint_replica.cpp
+++ b/src/fleet/endpoints/endpoint_replica.cpp
@@ -10,7 +10,7 @@
 {
 
 constexpr size_t max_log_bytes = 8 << 20;
-constexpr size_t entry_overhead = 8;  // of one in a message, at most
+constexpr size_t entry_overhead = 8;  // upper bound of the encoding overhead of one entry
 
 size_t size_of(const EndpointEntry& entry) { return entry.uid.size() + entry.text.size() + entry_overhead; }
 
@@ -68,11 +68,13 @@
     return changes;
 }
 
-// New entries come before removals: no state in between has fewer upstreams than both ends.
+// New entries precede removals, so no intermediate state has fewer upstreams than the smaller of the old and
+// the new list.
 std::vector<EndpointDelta> EndpointReplica::publish(Epoch epoch, const EndpointListVersion& version,
                                                     EndpointChanges changes)
 {
-    // What a new holder states has to be what it holds, whatever it was told before.
+    // The digest that a new holder publishes must be that of the entries it has, whatever digests it received
+    // before.
     if (state_.revision.epoch != epoch) digest_ = digest_of(state_.endpoints);
     std::vector<EndpointDelta> deltas(1);
     size_t bytes = 0;
--- a/src/fleet/endpoints/endpoint_replica.h
+++ b/src/fleet/endpoints/endpoint_replica.h
@@ -1,5 +1,5 @@
-// A member's replica of the list of upstreams: entries at a revision, a log of the last deltas to repair
-// others with, and a digest of the state that is kept incrementally. No I/O, no clock.
+// A member's replica of the endpoint list: the entries at a revision, a log of the last deltas to repair
+// other members with, and a digest that is updated incrementally. No I/O, no clock.
 #pragma once
 
 #include <deque>
@@ -20,7 +20,7 @@
     bool empty() const { return changed.empty() && removed.empty(); }
 };
 
-// A whole state, as received in chunks.
+// A complete state, as received in chunks.
 struct EndpointSnapshot {
     EndpointRevision revision;
     EndpointListVersion version;
@@ -29,7 +29,7 @@
     EndpointMap endpoints;
 };
 
-// Of one entry. The digest of a state is the sum over its entries, whatever their order.
+// The digest of one entry. The digest of a state is the sum over its entries, in any order.
 uint64_t digest_of(const std::string& uid, const std::string& text);
 uint64_t digest_of(const EndpointMap& texts);
 
@@ -38,11 +38,11 @@
   public:
     enum class Result : uint8_t {
         applied,
-        adopted,   // its state is what this replica holds already, at another revision
-        behind,    // it does not follow this replica's revision
-        stale,     // this replica is at that revision, or at a later one
-        older,     // its list is older than this one, of the same source
-        diverged,  // the state after it would not be what its publisher has
+        adopted,   // this replica already had that state, at another revision
+        behind,    // the delta does not start at this replica's revision
+        stale,     // this replica is at the delta's revision or a later one
+        older,     // the delta's list is older than this one, from the same source
+        diverged,  // the state after the delta would not match its publisher's digest
     };
 
     explicit EndpointReplica(const EndpointDeltaConfig& config) : config_(config) {}
@@ -53,31 +53,31 @@
     bool partial() const { return state_.partial; }
     const EndpointMap& endpoints() const { return state_.endpoints; }
 
-    // What has to change here to arrive at `whole`.
+    // The changes that turn this replica's entries into `whole`.
     EndpointChanges difference(const EndpointMap& whole) const;
-    // The same where nothing but the entries of `uids` can differ.
+    // The same if only the entries of `uids` can differ.
     EndpointChanges difference(const EndpointMap& whole, const std::vector<std::string>& uids) const;
 
-    // As holder at `epoch`: makes one delta of the changes, or several where they exceed a chunk, applies
-    // them and returns them. The first of an epoch may be empty.
+    // Publishes changes as holder at `epoch`: splits them into deltas of about one chunk, applies the deltas
+    // and returns them. The first delta of an epoch may be empty.
     std::vector<EndpointDelta> publish(Epoch epoch, const EndpointListVersion& version,
                                        EndpointChanges changes);
     Result apply(const EndpointDelta& delta);
 
-    // Whether the log leads from there to the present revision.
+    // Whether the log leads from `from` to the present revision.
     bool reaches(const EndpointRevision& from) const;
-    // The next deltas after `from`, about a chunk of them; empty where the log does not have them.
+    // The next deltas after `from`, about one chunk of them; empty if the log does not have them.
     std::vector<EndpointDelta> since(const EndpointRevision& from) const;
 
     std::vector<EndpointSnapshotChunk> snapshot() const;
-    // Takes a snapshot's place of the whole state and returns what it changed; nothing where it is not what
-    // its digest says, or older than this state.
+    // Replaces the whole state and returns what has changed. Returns nullopt if the snapshot does not match
+    // its digest or is older than this state.
     std::optional<EndpointChanges> replace(EndpointSnapshot snapshot);
 
-    // Whether the entries are still those that the publisher of this revision had. Goes through all of them.
+    // Whether the entries match the digest that the publisher of this revision stated. Reads all entries.
     bool intact() const { return digest_of(state_.endpoints) == state_.digest; }
 
-    // For tests of divergence: changes an entry as no delta did.
+    // For tests of divergence: changes an entry without a delta.
     void corrupt(const std::string& uid, const std::string& text);
 
   private:
@@ -87,7 +87,7 @@
     std::deque<EndpointDelta>::const_iterator logged_after(const EndpointRevision& from) const;
 
     const EndpointDeltaConfig config_;
-    EndpointSnapshot state_;  // its digest: as the publisher has it
+    EndpointSnapshot state_;  // its digest is the one that the publisher stated
     uint64_t digest_ = 0;
     std::deque<EndpointDelta> log_;  // contiguous, up to the present revision
     size_t log_bytes_ = 0;
--- a/src/fleet/endpoints/endpoint_text.h
+++ b/src/fleet/endpoints/endpoint_text.h
@@ -1,4 +1,4 @@
-// Lists of upstreams as discovery writes them: the whole list, or changes of it. No I/O.
+// Encodes endpoint lists in discovery's format: the full list, or changes to it. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -9,12 +9,12 @@
 namespace firtide::fleet
 {
 
-// Entries by uid, each the text of its target.
+// The JSON text of each target, by uid.
 using EndpointMap = std::map<std::string, std::string>;
 
 std::string encode_full_list(uint64_t version, const EndpointMap& texts);
 
-// Those of `uids` that `lines` has, as they are there; the others as gone.
+// Entries of `uids` that `texts` does not have are written as gone.
 std::string encode_list_changes(uint64_t version, const std::set<std::string>& uids,
                                 const EndpointMap& texts);
 
--- a/src/fleet/endpoints/endpoint_view.cpp
+++ b/src/fleet/endpoints/endpoint_view.cpp
@@ -9,18 +9,19 @@
 {
 
 constexpr Duration observation_interval = seconds(0.1);
-constexpr Duration doubling_time = seconds(0.5);  // of a size that comes back
-constexpr double min_size_factor = 0.02;          // what is left to find out that all is well again
-constexpr double visible_change = 0.05;           // of a size
-constexpr Duration another_start = seconds(5);    // two reported starts that far apart are not the same
-// Of an upstream in slow start without a token now, where most are: it is drawn if nothing else is there, and
-// then the budget decides. Not shown at all, it would be missing from what the module takes the upstreams to
-// be able to do.
+constexpr Duration doubling_time = seconds(0.5);  // of a capacity that recovers
+constexpr double min_size_factor = 0.02;  // keeps enough traffic to notice that the upstream has recovered
+constexpr double visible_change = 0.05;   // relative; smaller capacity changes are not shown to the module
+constexpr Duration another_start = seconds(5);  // reported start times closer than this are the same start
+// Capacity factor of an upstream in slow start that has no token now, used while most upstreams are in slow
+// start. It is picked only if nothing else is available, and then the budget decides. If it were hidden, it
+// would be missing from the module's estimate of total capacity.
 constexpr double min_drawn_size = 1e-3;
 constexpr Duration rate_window = seconds(10);
-constexpr double min_counted_requests = 50;  // before a rate is told
-constexpr double whole = 1 - 1e-9;           // a weight that is 1 but for rounding
-constexpr double stalled_reduction = 0.5;    // from which work in flight without an answer is evidence
+constexpr double min_counted_requests = 50;  // before a rate is reported
+constexpr double whole = 1 - 1e-9;           // 1, allowing for rounding
+// From this reduction on, requests in flight without any response count as a failure.
+constexpr double stalled_reduction = 0.5;
 constexpr TimePoint long_ago{INT64_MIN / 2};
 
 }  // namespace
@@ -30,7 +31,7 @@
 {
 }
 
-// ---- what is known ----
+// ---- inputs ----
 
 void EndpointView::set_endpoints(const std::vector<EndpointState>& all)
 {
@@ -67,7 +68,7 @@
     }
 }
 
-// Tokens are saved up from the first lease on, whether or not any is wanted.
+// Buckets fill from the first lease on, whether or not tokens are wanted yet.
 void EndpointView::set_quotas(TimePoint now, const std::vector<QuotaLease>& leases)
 {
     quotas_.clear();
@@ -100,7 +101,7 @@
     return endpoint.started_at && now - *endpoint.started_at < config_.slow_start_duration;
 }
 
-// What an upstream in slow start can do by now, over what it could at its start.
+// The capacity available now of an upstream in slow start, relative to that at its start.
 double EndpointView::capacity_growth(TimePoint now, const EndpointState& endpoint) const
 {
     const double age = std::clamp((now - *endpoint.started_at) / config_.slow_start_duration, 0.0, 1.0);
@@ -108,7 +109,7 @@
            config_.slow_start_min_share;
 }
 
-// The budget of an upstream grows as it warms up, alike at every balancer.
+// The quota for an upstream grows as it warms up, in the same way at every balancer.
 std::optional<QuotaLease> EndpointView::slow_start_quota(TimePoint now, const EndpointState& endpoint) const
 {
     const auto quota = quotas_.find({Budget::cold, endpoint.global_id});
@@ -144,17 +145,18 @@
 bool EndpointView::take_from_slow_start_budget(TimePoint now, UpstreamId upstream)
 {
     if (upstream >= shown_.size() || !is_warming(now, shown_[upstream])) return true;
-    due_ = true;  // until its next token it is not shown
+    due_ = true;  // hidden or shrunk until the next token
     const BudgetName name{Budget::cold, shown_[upstream].global_id};
     if (!has_budget(name)) return true;
     const auto quota = slow_start_quota(now, shown_[upstream]);
     return quota && buckets_[name].try_take(now, *quota);
 }
 
-// ---- what the module is shown ----
+// ---- the module's view ----
 
-// The module draws by about the fifth power of the size where work is in flight. So what one balancer reports
-// lessens an upstream little, and what several agree on nearly takes it away.
+// While requests are in flight, the module picks an upstream in proportion to about the fifth power of its
+// capacity. So a report of one balancer alone reduces the capacity only a little, and reports that several
+// agree on nearly remove the upstream.
 double EndpointView::update_size_factor(TimePoint now, Endpoint& endpoint) const
 {
     double reduction = endpoint.verdict_reduction;
@@ -209,7 +211,7 @@
                       next.cell == shown.cell && next.machine_type == shown.machine_type;
     if (!same) return true;
     if (next.capacity == shown.capacity) return false;
-    // What is whole again is shown as whole, however little was missing.
+    // A capacity that is fully restored is always shown, however small the step.
     const bool is_whole = next.capacity == endpoints_[upstream].real.capacity;
     return is_whole || std::abs(next.capacity - shown.capacity) > visible_change * shown.capacity;
 }
@@ -270,7 +272,7 @@
     return true;
 }
 
-// By sizes, and by what upstreams in slow start can do by now.
+// Weighted by capacity and, for upstreams in slow start, by the share of it that is available now.
 double EndpointView::free_share(TimePoint now, const SubsetWeights& subset, const Reduction& reduction) const
 {
     double all = 0, free = 0;
@@ -308,9 +310,10 @@
     }
 }
 
-// ---- what the fleet is told ----
+// ---- reports to the fleet ----
 
-// The mean of all at first, and of the last ten seconds later: weights of the subset must not be chance.
+// Averages over the whole run at first and over about ten seconds later, so that subset weights do not follow
+// random fluctuations.
 void EndpointView::update_rate(TimePoint now, double elapsed)
 {
     constexpr double min_elapsed = 0.01;
@@ -333,7 +336,8 @@
     evidence.bad_responses = endpoint.bad.total();
     evidence.last_bad_response_age = now - endpoint.last_bad;
     evidence.last_good_response_age = now - endpoint.last_well;
-    // An upstream that holds work and gives none back is found out by that, not by an answer.
+    // An upstream that holds requests without answering any causes no failures to count, so the stall itself
+    // counts as one.
     const bool is_silent = evidence.good_responses + evidence.bad_responses == 0;
     if (evidence.reduction >= stalled_reduction && is_silent && in_flight(upstream)) {
         evidence.bad_responses = 1;
--- a/src/fleet/endpoints/endpoint_view.h
+++ b/src/fleet/endpoints/endpoint_view.h
@@ -1,8 +1,8 @@
-// What the decision module of one balancer is shown of the upstreams, so that the choices of many balancers
-// add up: its subset of the list, sizes by what other balancers report, upstreams in slow start by its quota
-// of their budget. Off without a fleet. No I/O, no clock of its own.
+// What the decision module of one balancer sees of the upstreams, adjusted so that the choices of many
+// balancers add up: its subset of the list, capacities reduced by other balancers' reports, and upstreams in
+// slow start limited by this balancer's quota. Not used without a fleet. No I/O, no clock of its own.
 //
-// The module picks, retries and rejects as it does alone, from what it is shown here.
+// The module picks, retries and rejects as it does without a fleet, based on this view.
 #pragma once
 
 #include <array>
@@ -21,18 +21,18 @@
 namespace firtide::fleet
 {
 
-// What a balancer tells its fleet of itself, several times a second.
+// What a balancer reports to its fleet about itself, several times a second.
 struct LocalObservations {
-    double request_rate = 0;  // requests a second; zero: too few to say
+    double request_rate = 0;  // per second; zero: too few requests to tell
     std::vector<OutlierEvidence> outlier_evidence;
-    std::map<BudgetName, uint32_t> budget_demand;  // of each budget, since the last observations
+    std::map<BudgetName, uint32_t> budget_demand;  // per budget, since the last observations
     // For show-fleet.
-    size_t upstreams_shown = 0, upstreams_listed = 0;  // upstreams
-    uint32_t widening_steps = 0;                       // steps
-    std::map<uint64_t, std::string> upstream_names;    // of upstreams, by the hash of their uids
-    // For the snapshot, and show-recovery.
+    size_t upstreams_shown = 0, upstreams_listed = 0;
+    uint32_t widening_steps = 0;
+    std::map<uint64_t, std::string> upstream_names;  // by the hash of their uids
+    // For the snapshot and show-recovery.
     double accepted_rate = 0, total_capacity = 0;
-    uint32_t peer_count = 0;  // balancers; zero: those that are alive
+    uint32_t peer_count = 0;  // balancers sharing the upstreams; zero: those that are alive
     std::vector<PersistedReduction> reductions;
     std::vector<std::string> open_request_ids, startup_status;
 };
@@ -45,45 +45,45 @@
         std::optional<OutlierGossipConfig> outlier_gossip;
         std::optional<QuotaConfig> quotas;
         MemberKey self_key = 0;
-        uint32_t zone = 0;                  // as the list numbers them
-        Duration slow_start_duration;       // duration of the slow start,
-        double slow_start_min_share = 0.1;  // and the share of its capacity that an upstream has at first
+        uint32_t zone = 0;  // zone number in the list
+        Duration slow_start_duration;
+        double slow_start_min_share = 0.1;  // share of its capacity that an upstream has when it starts
     };
     explicit EndpointView(Config config);
 
-    // The list as discovery has it, by place; also those that are gone.
+    // The list as discovery has it, by position, including entries that are gone.
     void set_endpoints(const std::vector<EndpointState>& all);
     void set_peers(std::vector<SubsetPeer> peers);
     void apply_verdicts(TimePoint now, const std::map<uint64_t, OutlierGossip::Verdict>& verdicts);
     void set_quotas(TimePoint now, const std::vector<QuotaLease>& leases);
-    // Reductions from before the start, for as long as they last.
+    // Reductions from before the start, until they expire.
     void restore_reductions(TimePoint now, const std::vector<PersistedReduction>& reductions);
     void record_response(TimePoint now, UpstreamId upstream, bool success);
     void count_request() { ++requests_; }
 
-    // The module's own entry for an upstream, and whether something is in flight to it.
+    // The module's own reduction of an upstream, and whether requests are in flight to it.
     using Reduction = std::function<double(UpstreamId)>;
     using InFlight = std::function<bool(UpstreamId)>;
 
-    // What the module has to be shown anew. The subset is widened before the module would reject requests
-    // while an upstream beyond it carries no reduction.
+    // Returns the entries of the view that have changed. Widens the subset before the module would have to
+    // reject requests while an upstream outside the subset carries no reduction.
     [[nodiscard]] std::vector<EndpointState> update(TimePoint now, const Reduction& reduction);
-    // Whether that can't wait for the next tick.
+    // Whether update() should be called before the next tick.
     [[nodiscard]] bool needs_update(const Reduction& reduction) const;
     [[nodiscard]] bool is_shown(UpstreamId upstream) const;
-    // Of the listed upstreams.
+    // The share of the listed upstreams that the subset uses.
     [[nodiscard]] double shown_share() const;
 
-    // Take a token of a budget; true where there is no such budget.
+    // Takes a token from a budget; returns true if there is no such budget.
     [[nodiscard]] bool take_from_budget(TimePoint now, BudgetName name);
     [[nodiscard]] bool take_from_slow_start_budget(TimePoint now, UpstreamId upstream);
 
-    // Nothing where the last observations are recent.
+    // Returns nullopt if the last observations are recent.
     [[nodiscard]] std::optional<LocalObservations> observe(TimePoint now, const Reduction& reduction,
                                                            const InFlight& in_flight);
 
   private:
-    // Answers of the present second and the one before.
+    // Responses in the current second and the one before.
     struct AnswerCount {
         std::array<uint32_t, 2> seconds{};
 
@@ -93,7 +93,7 @@
     struct Endpoint {
         EndpointState real;
         double verdict_reduction = 0;
-        double size_factor = 1;  // down at once, back by doublings
+        double size_factor = 1;  // falls at once, recovers by doubling
         TimePoint size_factor_at;
         std::optional<TimePoint> reported_start;
         AnswerCount well, bad;
@@ -128,10 +128,10 @@
     void rotate_answer_counts(TimePoint now);
 
     const Config config_;
-    std::vector<Endpoint> endpoints_;  // by place
+    std::vector<Endpoint> endpoints_;  // by position
     std::vector<SubsetCandidate> candidates_;
     std::vector<SubsetPeer> peers_;
-    std::vector<EndpointState> shown_;  // to the module
+    std::vector<EndpointState> shown_;  // what the module sees
     SubsetWeights subset_, narrower_subset_;
     SubsetSize subset_size_;
     bool subset_outdated_ = true, due_ = true, mostly_warm_ = true;
--- a/src/fleet/endpoints/subset.cpp
+++ b/src/fleet/endpoints/subset.cpp
@@ -10,8 +10,8 @@
 namespace
 {
 
-constexpr double min_weight = 0.1;        // of an upstream, to be used at all
-constexpr double min_peer_weight = 0.05;  // of the mean
+constexpr double min_weight = 0.1;        // upstreams with a lower weight are not used
+constexpr double min_peer_weight = 0.05;  // relative to the mean
 constexpr double enough_free = 0.6, plenty_free = 0.8;
 constexpr uint32_t max_steps = 16;
 constexpr Duration step_interval = seconds(0.2);
@@ -19,9 +19,9 @@
 
 uint64_t ring_position(uint64_t id) { return XXH3_64bits_withSeed(&id, sizeof id, ring_seed); }
 
-// A ring on which each upstream takes up its size, in the order of hashed ids.
+// A ring of upstreams in the order of their hashed ids, each as long as its size.
 struct Ring {
-    std::vector<std::pair<uint64_t, size_t>> order;  // position, place in the list
+    std::vector<std::pair<uint64_t, size_t>> order;  // ring position, index in the list
     double length = 0;
 };
 
@@ -38,12 +38,12 @@
     return ring;
 }
 
-// Where a balancer's arc begins, as a share of the ring: where the weights of the peers before it end. So
-// whatever the weights, each point of the ring is covered by the same weight.
+// The start of a balancer's arc as a share of the ring: arcs start where the weights of the preceding peers
+// end, so every point of the ring is covered by the same total weight, whatever the weights are.
 template <class Included>
 double arc_start(const std::vector<SubsetPeer>& peers, MemberKey self, Included included)
 {
-    std::vector<std::pair<uint64_t, double>> order;  // position, weight
+    std::vector<std::pair<uint64_t, double>> order;  // ring position, weight
     double sum = 0;
     for (const SubsetPeer& peer : peers) {
         if (!included(peer)) continue;
@@ -62,7 +62,7 @@
     return before / all;
 }
 
-// Adds the upstreams under an arc that holds so many upstreams of middling size.
+// Adds the upstreams under an arc as long as `wanted` upstreams of average size.
 void cover(SubsetWeights& weights, const Ring& ring, const std::vector<SubsetCandidate>& candidates,
            double start, double wanted)
 {
@@ -73,7 +73,7 @@
     for (const auto& [position, place] : ring.order) {
         const double size = candidates[place].size;
         double covered = 0;
-        // The arc may go past the end of the ring, and on from its beginning.
+        // The arc may wrap around the end of the ring.
         for (const double turn : {0.0, ring.length})
             covered += std::max(0.0, std::min(at + size + turn, from + arc) - std::max(at + turn, from));
         const double weight = std::min(1.0, covered / size);
@@ -103,7 +103,7 @@
     return weights;
 }
 
-// At once where nothing is free; else one step has to show first whether it is enough.
+// Widens at once if nothing is free; otherwise waits to see whether the last step was enough.
 bool SubsetSize::widen(TimePoint now, double free)
 {
     if (free > 0 && steps_ > 0 && now - last_needed_ < step_interval) return false;
@@ -115,7 +115,7 @@
 bool SubsetSize::adjust(TimePoint now, double free, double narrower_free, bool is_whole_list)
 {
     if (free < enough_free && !is_whole_list && steps_ < max_steps) return widen(now, free);
-    // Only to where it will not have to widen again.
+    // Narrows only if the narrower subset would not have to widen again.
     if (narrower_free < plenty_free) last_needed_ = now;
     if (steps_ == 0 || now - last_needed_ < narrow_after_) return false;
     last_needed_ = now;
--- a/src/fleet/endpoints/subset.h
+++ b/src/fleet/endpoints/subset.h
@@ -1,5 +1,5 @@
-// Which of the upstreams a balancer uses, so that all together use each by its size: an arc of a ring. No
-// I/O, no clock but what it is told.
+// Chooses the subset of upstreams that a balancer uses, as an arc of a ring, so that all balancers together
+// use each upstream in proportion to its size. No I/O, no clock of its own.
 #pragma once
 
 #include <optional>
@@ -15,38 +15,38 @@
 struct SubsetPeer {
     MemberKey key = 0;
     bool own_zone = false;
-    double traffic_weight = 1;  // of its traffic
+    double traffic_weight = 1;  // traffic relative to that of the other peers
 
     bool operator==(const SubsetPeer&) const = default;
 };
 
-// An upstream, at its place in the list.
+// An upstream, at its position in the list.
 struct SubsetCandidate {
     uint64_t id = 0;  // the same at every balancer
-    double size = 1;  // zero: not there
+    double size = 1;  // zero: absent
     bool own_zone = false;
 };
 
-// How much of each candidate is used: 0 to 1.
+// The share of each candidate that is used, 0 to 1.
 using SubsetWeights = std::vector<double>;
 
-// The subset of one balancer, `widening` times as wide as configured. With the same peers and candidates at
-// every balancer, all weights of one upstream add up to the same, by sizes and weights.
+// The subset of one balancer, `widening` times as wide as configured. If all balancers have the same peers
+// and candidates, the weights of an upstream, each counted by its balancer's traffic, add up to the same for
+// all upstreams, so that load is proportional to size.
 SubsetWeights select_subset(const SubsetConfig& config, const std::vector<SubsetPeer>& peers, MemberKey self,
                             const std::vector<SubsetCandidate>& candidates, double widening);
 
-// How wide the subset is. It widens at once where too little in it can be used, and narrows slowly.
+// The width of the subset. It widens at once if too little of the subset is usable, and narrows slowly.
 class SubsetSize
 {
   public:
-    // `narrow_after`: without need at the present width, one step back.
+    // `narrow_after`: time without need for the present width before it narrows by one step.
     explicit SubsetSize(Duration narrow_after) : narrow_after_(narrow_after) {}
 
     [[nodiscard]] double widening() const { return static_cast<double>(1U << steps_); }
     [[nodiscard]] uint32_t steps() const { return steps_; }
-    // `free`: the share of the subset that carries no reduction; `narrower_free`: the same of the next
-    // narrower one; `is_whole_list`: there is nothing beyond the subset. Returns whether the size has
-    // changed.
+    // `free`: the share of the subset that carries no reduction; `narrower_free`: the same for the subset one
+    // step narrower; `is_whole_list`: the subset covers all upstreams. Returns whether the width has changed.
     [[nodiscard]] bool adjust(TimePoint now, double free, double narrower_free, bool is_whole_list);
 
   private:
--- a/src/fleet/membership/member_view.cpp
+++ b/src/fleet/membership/member_view.cpp
@@ -29,7 +29,7 @@
     }
 }
 
-// The digest is the sum of these, so it is kept up as single records change.
+// The digest of the view is the sum of these, so that a change of one record updates it incrementally.
 uint64_t MemberView::digest_of(MemberIndex member) const
 {
     const MemberState& state = members_[member];
--- a/src/fleet/membership/member_view.h
+++ b/src/fleet/membership/member_view.h
@@ -1,5 +1,5 @@
-// What a member holds of each member of its fleet: one small record each, a digest over all of them, and the
-// sets of those that are suspect or gone. Changes cost no more in a larger fleet.
+// What a member knows of each member of its fleet: one small record each, a digest over all records, and the
+// sets of suspect and gone members. The cost of a change does not grow with the fleet.
 #pragma once
 
 #include <map>
@@ -12,12 +12,12 @@
 namespace firtide::fleet
 {
 
-// Incarnation zero: never heard of.
+// Incarnation zero: nothing was ever received about the member.
 struct MemberState {
     Incarnation incarnation = 0;
     InstanceId instance = 0;
     Health health = Health::suspect;
-    uint8_t traffic_weight = 0;  // of its traffic, see MembershipUpdate
+    uint8_t traffic_weight = 0;  // traffic, in the encoding of MembershipUpdate
 };
 
 class MemberView
@@ -27,25 +27,25 @@
     explicit MemberView(const Roster& roster);
 
     void start(TimePoint now) { started_ = now; }
-    // Replaces all records but the member's own.
+    // Replaces all records except the member's own.
     void seed(const std::vector<MemberState>& members, MemberIndex self);
 
     [[nodiscard]] const MemberState& of(MemberIndex member) const { return members_[member]; }
     [[nodiscard]] size_t size() const { return members_.size(); }
-    // The one place where a record changes.
+    // The only function that changes a record.
     void set(MemberIndex member, const MemberState& next);
-    // Keeps the sets of suspect and gone members in step with a record that has changed.
+    // Updates the sets of suspect and gone members after a record has changed.
     void update_sets(TimePoint now, MemberIndex member, Health before);
 
     [[nodiscard]] size_t alive() const { return alive_; }
-    // Equal at two members exactly if they hold the same health and incarnation of each member that was ever
-    // heard of, but for collisions of 64 bits.
+    // Equal at two members exactly if they hold the same health and incarnation of every member with a
+    // nonzero incarnation, apart from collisions of the 64-bit hashes.
     [[nodiscard]] uint64_t digest() const { return digest_; }
     // Grows with every change of a record.
     [[nodiscard]] uint64_t version() const { return version_; }
 
-    // Those that have been suspect for longer than `timeout`, in the order of the fleet file. Members that
-    // were never heard of are suspect since the start, and are returned once.
+    // Members that have been suspect for longer than `timeout`, in the order of the fleet file. Members with
+    // incarnation zero are suspect since the start and are returned once.
     [[nodiscard]] std::vector<MemberIndex> overdue_suspects(TimePoint now, Duration timeout);
     // In the order of the fleet file.
     [[nodiscard]] const std::vector<MemberIndex>& gone() const { return gone_; }
@@ -58,7 +58,7 @@
     size_t alive_ = 0;
     uint64_t digest_ = 0, version_ = 0;
     TimePoint started_;
-    std::map<MemberIndex, TimePoint> suspect_since_;  // without those that were never heard of
+    std::map<MemberIndex, TimePoint> suspect_since_;  // without members of incarnation zero
     bool unheard_are_suspect_ = true;
     std::vector<MemberIndex> gone_;
 };
--- a/src/fleet/membership/membership.cpp
+++ b/src/fleet/membership/membership.cpp
@@ -7,13 +7,13 @@
 namespace
 {
 
-constexpr size_t indirect_probes = 3;  // members that are asked to probe a silent one
+constexpr size_t indirect_probes = 3;  // members asked to probe a silent member
 constexpr size_t draws_per_helper = 16;
 
-// In periods, each from the one before.
+// In periods, each counted from the end of the one before.
 constexpr double silent_after = 3, suspect_after = 1.5, gone_after = 4;
-constexpr double stalled_after = 2;   // without a tick
-constexpr double recently_heard = 2;  // so that a probe for others is answered at once
+constexpr double stalled_after = 2;   // without a tick: this process was stalled
+constexpr double recently_heard = 2;  // recent enough to answer an indirect probe request at once
 constexpr double relayed_probe_lasts = 3;
 
 constexpr Duration first_exchange_backoff = seconds(1), max_exchange_backoff = seconds(60);
@@ -53,7 +53,7 @@
 
 // ---- peers ----
 
-// The next and the last member on each ring that are not gone.
+// Monitors the nearest members in both directions on each ring that are not gone.
 void Membership::find_monitored_peers()
 {
     monitored_.clear();
@@ -92,7 +92,7 @@
     return contacts_.emplace(member, contact).first->second;
 }
 
-// ---- what is sent ----
+// ---- sending ----
 
 MembershipUpdate Membership::update_of(MemberIndex member) const
 {
@@ -154,7 +154,7 @@
     gossip({update}, no_member);
 }
 
-// ---- what is received ----
+// ---- receiving ----
 
 bool Membership::accept(TimePoint now, MemberIndex member, const MemberState& update)
 {
@@ -173,15 +173,15 @@
     if (next.health == Health::alive)
         if (const auto contact = contacts_.find(member); contact != contacts_.end())
             contact->second.probing = false;
-    // Of those that are gone, only a monitored one leaves a place to be filled.
+    // Among gone members, only a monitored one has to be replaced.
     const bool is_gone = next.health == Health::gone, was_gone = before.health == Health::gone;
     if (is_gone != was_gone && (!is_gone || is_monitored(member))) find_monitored_peers();
     if (next.health != before.health) changes_.push_back({member, next.health, next.incarnation});
     return true;
 }
 
-// Answers an update about this member itself that says it is suspect or gone, or that comes from a past of
-// this id which its disk has forgotten: by a higher incarnation.
+// Answers an update about this member that claims it is suspect or gone, or that comes from an earlier run
+// which its disk no longer records, with a higher incarnation.
 void Membership::refute(const MemberState& update)
 {
     const MemberState state = own_state();
@@ -222,7 +222,8 @@
     reconcile(now, from, ping_received.view_digest);
 }
 
-// Repairs what gossip has lost. Backs off, for two members whose files name other members differ for good.
+// Repairs updates that gossip has lost. Backs off, because two members whose fleet files name different
+// members differ permanently.
 void Membership::reconcile(TimePoint now, MemberIndex from, uint64_t other_digest)
 {
     Contact& contact = contact_of(from);
@@ -275,7 +276,7 @@
 
 void Membership::tick(TimePoint now)
 {
-    // After a stall of this process nobody has been heard: the others are not to blame.
+    // After a stall of this process no member has been heard, which is not their fault.
     if (now - last_tick_ > period_ * stalled_after) heard_at_least_ = now - period_;
     last_tick_ = now;
     std::erase_if(relayed_probes_, [&](const RelayedProbe& probe) {
@@ -291,7 +292,7 @@
 std::vector<MembershipUpdate> Membership::monitor_peers(TimePoint now)
 {
     std::vector<MembershipUpdate> found;
-    const auto peers = monitored_;  // a finding may change them
+    const auto peers = monitored_;  // monitor() may change them
     const auto contacts = monitored_contacts_;
     for (size_t i = 0; i < peers.size(); ++i) monitor(now, peers[i], *contacts[i], found);
     return found;
@@ -338,7 +339,7 @@
     return gone[next_gone_ % gone.size()];
 }
 
-// They are tried in turn: two halves of a fleet that hold each other for gone find together again.
+// Pings gone members in turn, so that two partitions that consider each other gone merge again.
 void Membership::ping_gone_member(TimePoint now, std::optional<MemberIndex> member)
 {
     if (!member || now - last_gone_ping_ < period_) return;
@@ -347,7 +348,7 @@
     last_gone_ping_ = now;
 }
 
-// Up to three others that are alive, drawn with equal chance.
+// Up to three other alive members, drawn uniformly.
 std::vector<MemberIndex> Membership::draw_helpers(MemberIndex subject)
 {
     std::vector<MemberIndex> drawn;
@@ -359,7 +360,7 @@
     for (size_t i = 0; i < indirect_probes * draws_per_helper && drawn.size() < indirect_probes; ++i)
         if (const MemberIndex member = any(random_); suits(member)) drawn.push_back(member);
     if (drawn.size() == indirect_probes) return drawn;
-    // Few are alive: those that are left, in a random order.
+    // Few members are alive: take the remaining ones in random order.
     std::vector<MemberIndex> remaining;
     for (MemberIndex member = 0; member < view_.size(); ++member)
         if (suits(member)) remaining.push_back(member);
--- a/src/fleet/membership/membership.h
+++ b/src/fleet/membership/membership.h
@@ -1,10 +1,10 @@
-// Failure detection and dissemination, after SWIM: who of the fleet is alive, suspect or gone, each at an
-// incarnation.
+// Failure detection and dissemination as in SWIM: tracks which members of the fleet are alive, suspect or
+// gone, each at an incarnation.
 //
-// Each member monitors a few others, the next and the last on each ring of the roster, whatever the size of
-// the fleet. One that falls silent is probed through others before it is suspected; a suspect that does not
-// refute in time is gone. What is found is gossiped over the same links, and repaired by comparing digests
-// with each ping.
+// Each member monitors a few others, its successor and predecessor on each ring of the roster, whatever the
+// size of the fleet. A silent member is probed indirectly through others before it is suspected; a suspect
+// that does not refute in time is declared gone. Updates are gossiped over the same links, and lost ones are
+// repaired by comparing digests with each ping.
 //
 // No I/O and no clock of its own. Not thread-safe.
 #pragma once
@@ -26,7 +26,7 @@
     Incarnation incarnation = 0;
 };
 
-// What the other parts of a member say with each ping.
+// Data of other components that every ping carries.
 struct PingPayload {
     MemberKey leader = 0;
     Term term = 0;
@@ -38,29 +38,29 @@
 class Membership
 {
   public:
-    // `config` must outlive the membership. `period`: of monitoring; a silent member is suspect after some
-    // four and gone after some eight of them.
+    // `config` must outlive the membership. `period` is the monitoring period; a silent member is suspect
+    // after about four periods and gone after about eight.
     Membership(const FleetConfig& config, InstanceId instance, Incarnation incarnation, Duration period,
                uint64_t seed);
 
     void start(TimePoint now);
-    // Takes the view of a fleet that has long been up, in place of finding it out. Sends nothing. For
+    // Sets the view of a fleet that has been up for a long time instead of detecting it. Sends nothing. For
     // simulations.
     void seed_members(const std::vector<MemberState>& members);
     void tick(TimePoint now);
 
-    // To be called for every message, whatever it is, before the message itself is handled.
+    // To be called for every received message, before the message itself is handled.
     void on_message(TimePoint now, MemberIndex from);
     void on_ping(TimePoint now, MemberIndex from, const Ping& ping);
     void on_indirect_probe(TimePoint now, MemberIndex from, const IndirectProbeRequest& request);
     void on_indirect_ack(TimePoint now, const IndirectProbeAck& ack);
     void on_updates(TimePoint now, MemberIndex from, const MembershipUpdates& updates);
 
-    // Announces that this member is gone.
+    // Announces that this member leaves the fleet.
     void depart();
     // Announces the weight of this member's traffic.
     void set_weight(uint8_t weight);
-    // Sent with every ping from now on.
+    // Sets the payload of all further pings.
     void set_payload(const PingPayload& payload) { payload_ = payload; }
 
     [[nodiscard]] std::vector<Send> take_sends() { return std::exchange(sends_, {}); }
@@ -72,23 +72,24 @@
     [[nodiscard]] size_t alive_count() const { return view_.alive(); }
     [[nodiscard]] uint64_t view_digest() const { return view_.digest(); }
     [[nodiscard]] uint64_t view_version() const { return view_.version(); }
-    // Whether another process has been seen under this member's id.
+    // Whether another process with this member's id has been seen.
     [[nodiscard]] bool has_duplicate_identity() const { return duplicate_identity_; }
 
     [[nodiscard]] const std::vector<MemberIndex>& monitored_peers() const { return monitored_; }
-    // The next member on each ring: what all pass on to these reaches everybody, with one or two to spare.
+    // The next member on each ring. A message that every receiver forwards to its targets reaches all
+    // members, with one or two redundant links.
     [[nodiscard]] const std::vector<MemberIndex>& gossip_targets() const { return gossip_targets_; }
 
   private:
-    // Of a member that was heard directly, or pinged.
+    // State of a peer that has sent a message or was pinged.
     struct Contact {
         TimePoint last_heard, last_ping, probe_started;
-        bool probing = false;     // through others
+        bool probing = false;     // by indirect probes
         TimePoint last_exchange;  // of all records
         Duration exchange_backoff;
-        TimePoint differs_since;  // the digests of both
+        TimePoint differs_since;  // since when the digests differ
     };
-    // An indirect probe that another member has asked for.
+    // An indirect probe requested by another member.
     struct RelayedProbe {
         MemberIndex subject = 0, requester = 0;
         TimePoint requested;
@@ -100,7 +101,7 @@
     MembershipUpdate update_of(MemberIndex member) const;
     MembershipUpdates full_state(bool reply_requested) const;
 
-    // Returns true where the update is news.
+    // Returns true if the update was newer than the record.
     bool accept(TimePoint now, MemberIndex member, const MemberState& update);
     void refute(const MemberState& update);
     void reconcile(TimePoint now, MemberIndex from, uint64_t digest);
@@ -129,9 +130,9 @@
     PingPayload payload_;
 
     std::unordered_map<MemberIndex, Contact> contacts_;
-    TimePoint heard_at_least_;  // each member is taken to have been heard since then
+    TimePoint heard_at_least_;  // no member counts as last heard before this time
     std::vector<MemberIndex> monitored_, gossip_targets_;
-    std::vector<Contact*> monitored_contacts_;  // in step with monitored_
+    std::vector<Contact*> monitored_contacts_;  // same order as monitored_
     std::vector<RelayedProbe> relayed_probes_;
 
     std::vector<Send> sends_;
--- a/src/fleet/membership/roster.cpp
+++ b/src/fleet/membership/roster.cpp
@@ -20,7 +20,7 @@
     Data() = default;
     ~Data() = default;
     Data& operator=(const Data&) = delete;
-    // Without the rings, which change with every member that is added.
+    // Does not copy the rings, which change with every added member.
     Data(const Data& other) : members(other.members), by_key(other.by_key), voters(other.voters) {}
 
     void make_rings();
--- a/src/fleet/membership/roster.h
+++ b/src/fleet/membership/roster.h
@@ -1,6 +1,5 @@
-// The members that a fleet file names, and what follows from them alone: the index by key, and the rings by
-// which members watch each other. Copies share one set of data, so that a process that runs many members
-// holds it once.
+// The members that a fleet file names, and what depends only on them: the index by key, and the rings that
+// define who monitors whom. Copies share their data, so that a process that runs many members stores it once.
 #pragma once
 
 #include <array>
@@ -18,29 +17,29 @@
 struct MemberConfig {
     std::string id;
     MemberKey key = 0;    // key_of(id); set by Roster::push_back
-    std::string address;  // as this member reaches it
+    std::string address;  // as reachable from this member
     std::string zone;
     bool is_voter = false;
     uint32_t line = 0;
 };
 
-// A value with copy on write. Copies may be read by several threads; one that is still being filled may not.
+// Copy-on-write value. Several threads may read copies, but not one that is still being filled.
 class Roster
 {
   public:
     static constexpr size_t ring_count = 3;
 
-    // All members in the order of a hash of their ids: the same at every member, whatever the order of its
-    // file.
+    // All members in the order of a hash of their ids, which is the same at every member regardless of the
+    // order of its fleet file.
     struct Ring {
         std::vector<MemberIndex> order;
-        std::vector<uint32_t> place;  // of each member in that order
+        std::vector<uint32_t> place;  // of each member in `order`
     };
     using Rings = std::array<Ring, ring_count>;
 
     Roster();
 
-    // The first of two members with one key is the one that is found by it.
+    // If two members have the same key, lookups by key find the first.
     void push_back(MemberConfig member);
 
     size_t size() const;
@@ -53,7 +52,7 @@
     std::optional<MemberIndex> member_of(MemberKey key) const;
     std::optional<MemberIndex> member_of(std::string_view id) const;
     size_t voter_count() const;
-    // Made when they are first asked for.
+    // Built on first use.
     const Rings& rings() const;
 
     bool shares_with(const Roster& other) const { return data_ == other.data_; }
--- a/src/fleet/startup/member_snapshot.cpp
+++ b/src/fleet/startup/member_snapshot.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-// Little-endian. The checksum covers the header without it, and all that follows.
+// Little-endian. The checksum covers the rest of the header and the payload.
 struct Header {
     std::array<char, 8> magic = {'F', 'I', 'R', 'T', 'S', 'N', 'A', 'P'};
     uint32_t format = member_snapshot_format;
@@ -49,7 +49,7 @@
     if (payload.size() < header.length) return SnapshotError{"it is cut short"};
     if (payload.size() > header.length || checksum_of(header, payload) != header.checksum)
         return SnapshotError{"it is damaged"};
-    // Only after the checksum: a damaged number is no newer format.
+    // Only after the checksum, so that a damaged format number is not taken for a newer format.
     if (header.format != member_snapshot_format)
         return SnapshotError{"its format " + std::to_string(header.format) + " is not known here"};
     auto snapshot = unpack<MemberSnapshot>(payload);
--- a/src/fleet/startup/snapshot_service.cpp
+++ b/src/fleet/startup/snapshot_service.cpp
@@ -17,7 +17,7 @@
     first_incarnation_ = context_.membership.incarnation();
 }
 
-// ---- the last run's snapshot ----
+// ---- the snapshot of the last run ----
 
 void SnapshotService::on_loaded(SnapshotLoaded& loaded)
 {
@@ -47,7 +47,8 @@
                        std::to_string(snapshot.list_text.size()) + " bytes");
     history_.push_back("trusted " + std::to_string(snapshot.open_request_ids.size()) +
                        " ids of what may have run");
-    // Reductions go on to run out while the process is away, by a clock that goes on as well.
+    // Reductions keep expiring while the process is down; `age` is measured by a clock that keeps running,
+    // too.
     std::erase_if(snapshot.reductions, [&](PersistedReduction& reduction) {
         if (!age) return true;
         reduction.remaining_us -= age->us;
@@ -59,9 +60,9 @@
     context_.emit(ApplySnapshot{std::move(snapshot)});
 }
 
-// ---- this run's snapshots ----
+// ---- snapshots of this run ----
 
-// Others have seen this member at a later incarnation than its disk has it.
+// Reports once that other members have seen a later incarnation of this member than its disk had.
 void SnapshotService::report_outdated_disk()
 {
     const bool is_early = context_.now - context_.started < context_.config.recovery->wait;
--- a/src/fleet/startup/snapshot_service.h
+++ b/src/fleet/startup/snapshot_service.h
@@ -1,5 +1,5 @@
-// A member's own past: takes in the snapshot of its last run, and writes a new one again and again. Where the
-// fleet file has [recovery].
+// Restores the snapshot of this member's last run and writes new ones periodically, if the fleet file has
+// [recovery].
 #pragma once
 
 #include <string>
@@ -15,7 +15,7 @@
 class SnapshotService
 {
   public:
-    // All must outlive the service.
+    // All arguments must outlive the service.
     SnapshotService(FleetContext& context, EndpointListService& endpoints, const SharedChoices& choices);
 
     void start();
@@ -34,7 +34,7 @@
     FleetContext& context_;
     EndpointListService& endpoints_;
     const SharedChoices& choices_;
-    std::vector<std::string> history_;  // what was trusted and refused of the snapshot
+    std::vector<std::string> history_;  // what was restored and rejected
     Incarnation first_incarnation_ = 0;
     TimePoint last_write_;
     bool reported_outdated_disk_ = false;
--- a/src/fleet/startup/startup_sequencer.cpp
+++ b/src/fleet/startup/startup_sequencer.cpp
@@ -8,12 +8,12 @@
 namespace
 {
 
-constexpr double warm_threshold = 0.95;      // of the size of all upstreams
-constexpr double headroom = 1.25;            // over the baseline: it was not the most that could be done
-constexpr double min_admitted_share = 0.05;  // so that it shows what can be done
-constexpr double max_takeover_factor = 3;    // of the own baseline, where other balancers have not come back
+constexpr double warm_threshold = 0.95;      // of the capacity of all upstreams
+constexpr double headroom = 1.25;            // the baseline was below the highest rate that could be handled
+constexpr double min_admitted_share = 0.05;  // some traffic is needed to see what can be handled
+constexpr double max_takeover_factor = 3;    // of the baseline, if other balancers have not come back
 constexpr double reserved_for_value = 0.5;   // of the tokens, for the most valuable operations
-constexpr double empty_list_stages = 4;      // longest times of a stage
+constexpr double empty_list_stages = 4;      // in units of the longest duration of a stage
 constexpr Duration burst_window = seconds(0.25);
 constexpr Duration settling_time = seconds(30);
 
@@ -24,7 +24,7 @@
 
 std::string milliseconds_of(Duration span) { return std::to_string(span.us / 1000); }
 
-// What a stage waits for; null where it waits for nothing.
+// What a stage waits for; null if it waits for nothing.
 const char* awaited_by(StartupStage stage)
 {
     switch (stage) {
@@ -110,12 +110,12 @@
 
 double StartupSequencer::admission_rate() const
 {
-    // The balancers that are there have the work of those that are not there yet.
+    // The balancers that are up also serve the traffic of those that are not up yet.
     double takeover = 1;
     if (baseline_.peer_count > 0 && fleet_.alive_count > 0)
         takeover = std::clamp(baseline_.peer_count / static_cast<double>(fleet_.alive_count), 1.0,
                               max_takeover_factor);
-    // The decision module's own slow start takes its part of what is admitted here: so the root.
+    // The decision module's own slow start also limits what is admitted here, hence the square root.
     return baseline_.accepted_rate * takeover * std::sqrt(admitted_share_) * headroom;
 }
 
@@ -127,7 +127,7 @@
     const double refill = rate * std::max(0.0, (now - last_refill_).seconds());
     tokens_ = std::min(capacity, tokens_ + refill);
     last_refill_ = now;
-    // The less an operation is worth, the more has to be left for the others.
+    // Less valuable operations need a fuller bucket, which leaves tokens for more valuable ones.
     if (tokens_ < 1 + rank * reserved_for_value * (capacity - 1)) {
         ++rejected_;
         return false;
@@ -142,7 +142,7 @@
     return has_settled || baseline_.accepted_rate <= seen.accepted_rate ? seen : baseline_;
 }
 
-// ---- shown ----
+// ---- status ----
 
 std::vector<std::string> StartupSequencer::status_lines(TimePoint now) const
 {
--- a/src/fleet/startup/startup_sequencer.h
+++ b/src/fleet/startup/startup_sequencer.h
@@ -1,9 +1,9 @@
-// The start of a member: stages in a stated order, and how much work is admitted meanwhile. No I/O, no clock
-// of its own.
+// The startup of a member: stages in a fixed order, and limits on admission meanwhile. No I/O, no clock of
+// its own.
 //
-// A stage waits only for what the ones before it have brought, or for its longest time; so none waits for
-// something that waits for it. Service goes on beside the stages as far as a list of upstreams is there: what
-// is admitted grows with what they can do. See docs/recovery.md.
+// A stage depends only on the results of earlier stages and has a timeout, so stages cannot wait for each
+// other in a cycle. Requests are served during all stages as soon as a list of upstreams is available; the
+// admitted share grows with the capacity of the upstreams. See docs/recovery.md.
 #pragma once
 
 #include <array>
@@ -20,18 +20,18 @@
 enum class StartupStage : uint8_t { disk, peers, voters, duties, list, warming, full };
 const char* to_string(StartupStage stage);
 
-// What a member knows of its fleet, as the stages wait for it.
+// What a member knows of its fleet and the stages wait for.
 struct FleetState {
     size_t member_count = 1, alive_count = 1;
     bool has_majority = false;  // of the voters confirms this member's lease
     size_t duty_count = 0, held_duty_count = 0;
 };
 
-// The usual traffic, which a start measures by.
+// The usual traffic, which limits admission during startup.
 struct TrafficBaseline {
-    double accepted_rate = 0;   // requests a second that were accepted and succeeded
-    double total_capacity = 0;  // of all upstreams together
-    uint32_t peer_count = 0;    // balancers that shared them
+    double accepted_rate = 0;   // accepted and successful requests per second
+    double total_capacity = 0;  // of all upstreams
+    uint32_t peer_count = 0;    // balancers that shared the upstreams
 };
 
 class StartupSequencer
@@ -40,25 +40,26 @@
     explicit StartupSequencer(const StartupConfig& config) : config_(config) {}
 
     void start(TimePoint now);
-    // What was usual before this start. Without it, admission is not limited here.
+    // The traffic before this start. Without it, admission is not limited here.
     void set_baseline(const TrafficBaseline& baseline) { baseline_ = baseline; }
     void set_fleet_state(const FleetState& state) { fleet_ = state; }
-    // `warm`: size that the listed upstreams can do by now, of `listed`, all of it. `list_received`: a list
-    // that is no hint.
+    // `warm`: the part of `listed`, the total capacity of the listed upstreams, that is available now.
+    // `list_received`: a list that is not only a hint.
     void tick(TimePoint now, double warm, double listed, bool list_received);
 
-    // Whether a request may be accepted now. `rank`: 0 for the most valuable operations, up to 1.
+    // Whether a request may be accepted now; if so, takes a token. `rank`: 0 for the most valuable
+    // operations, up to 1.
     [[nodiscard]] bool try_admit(TimePoint now, double rank);
-    // Of what was accepted before; 1: all of it.
+    // Relative to the baseline; 1: no limit.
     [[nodiscard]] double admitted_share() const { return admitted_share_; }
 
-    // An empty list replaces one that is not only once it has stayed empty for long.
+    // An empty list replaces a nonempty one only after the list has stayed empty for a long time.
     [[nodiscard]] bool accepts_empty_list(TimePoint now);
     void on_nonempty_list() { empty_since_.reset(); }
 
-    // What the next start should measure by: what this run has seen, once service has been full for a while,
-    // else the baseline of this start. A second loss must not take the little traffic of a start for the
-    // usual.
+    // The baseline for the next start: the traffic of this run once service has been full for a while,
+    // otherwise the baseline of this start. A second outage during startup must not make its low traffic the
+    // baseline.
     [[nodiscard]] TrafficBaseline next_baseline(TimePoint now, const TrafficBaseline& seen) const;
 
     [[nodiscard]] StartupStage stage() const { return stage_; }
--- a/tests/adding_up.cpp
+++ b/tests/adding_up.cpp
@@ -1,4 +1,4 @@
-// Choices of many balancers that add up: subsets, what others tell, parts of budgets. No sockets, no clock.
+// Choices of many balancers that must add up: subsets, outlier reports and quotas. No sockets, no clock.
 #include <algorithm>
 #include <cstdio>
 #include <random>
@@ -146,7 +146,7 @@
     now = now + seconds(1.6);
     std::printf("a finding that was a second on its way holds from when it was found: %.2f\n", counts(7));
 
-    // What holds is passed on with its age, and never said anew.
+    // A valid report is forwarded with its age and never renewed.
     OutlierGossip next(OutlierGossipConfig{}, 10, 100);
     Teller d(4);
     const TimePoint found = now;
@@ -175,8 +175,8 @@
                 yes(bytes <= 22000), yes(bytes > 10000));
 }
 
-// Members that ask, answers that are lost, late and out of order, holders that change: the sum of what all
-// may use is looked at all the time.
+// The greatest sum of rates that all members may use at any moment, while requests and responses are lost,
+// late and out of order, members restart and allocators change.
 double most_ever(bool holder_knows, double wrong_files, uint32_t seed)
 {
     std::ranlux24_base chance(seed);
--- a/tests/list_deltas.cpp
+++ b/tests/list_deltas.cpp
@@ -1,7 +1,7 @@
-// Fleets in virtual time whose list goes round as deltas: messages lost, repeated and late, members and
-// holders killed, splits, old agents of discovery, replicas that diverge. The world checks throughout that no
-// balancer uses an older list after a newer one, or entries of another version, and that replicas at one
-// revision are equal.
+// Fleets in virtual time that replicate their list as deltas, with lost, repeated and late messages, killed
+// members and holders, partitions, discovery agents that are behind, and diverged replicas. The simulation
+// checks throughout that no balancer uses an older list after a newer one or entries of another version, and
+// that replicas at the same revision are equal.
 #include <gtest/gtest.h>
 
 #include "simulation/randomized_run.h"
@@ -45,7 +45,7 @@
     const EndpointReplica& replica(size_t node) { return *cluster.fleet(node).replica(); }
     std::string shown(size_t node) { return cluster.show(node); }
 
-    // All that live have what the holder has, which is what discovery has.
+    // All running members have the holder's list, which is the newest one of discovery.
     void expect_all_alike()
     {
         ASSERT_NE(holder(), SIZE_MAX) << "list is held by nobody";
@@ -161,7 +161,7 @@
 {
     Lists lists(options());
     const size_t holder = lists.holder();
-    // Nobody but one member hears its last delta.
+    // Only one member receives its last delta.
     const size_t only = lists.other_than(holder);
     for (size_t i = 0; i < lists.cluster.size(); ++i)
         if (i != holder && i != only) lists.cluster.link(holder, i).cut = true;
@@ -266,7 +266,7 @@
     };
     cut(true);
     lists.change(15);
-    // Those without a majority ask discovery themselves, and use what it says.
+    // Members without a majority poll discovery themselves and use its answers.
     EXPECT_GE(lists.cluster.list_of(0) + 2, lists.version);
     cut(false);
     lists.cluster.run(seconds(15));
--- a/tests/list_replica.cpp
+++ b/tests/list_replica.cpp
@@ -1,5 +1,5 @@
-// The replicated list, unit by unit: its replica, what a member says of it to others, its texts, messages and
-// its table in the fleet file. Scripted calls, no clock.
+// Unit tests of the replicated endpoint list: the replica, its distribution between members, the encoded
+// lists, the messages and the [deltas] table of the fleet file. Scripted calls, no clock.
 #include <gtest/gtest.h>
 
 #include "src/fleet/config.h"
@@ -150,11 +150,11 @@
     apply_all(member, once);
     apply_all(next, once);
     apply_all(member, publish(holder, 2, lines_of(6)));
-    // The next holder missed version 2, and learns it from discovery.
+    // The next holder missed version 2 and gets it from discovery.
     const auto taken_over = publish(next, 2, lines_of(6), epoch + 1);
     EXPECT_EQ(member.apply(taken_over[0]), Result::adopted);
     expect_same(member, next);
-    // What leads on from before is still known.
+    // The log still leads on from the earlier revision.
     EXPECT_TRUE(member.reaches({epoch, 1}));
 }
 
@@ -201,7 +201,7 @@
     EXPECT_EQ(member.endpoints(), others);
 }
 
-// ---- the log, and snapshots ----
+// ---- the log and snapshots ----
 
 TEST(EndpointReplica, LogHasWhatFollowsARevision)
 {
@@ -290,9 +290,9 @@
     expect_same(member, holder);
 }
 
-// ---- repair, between two members ----
+// ---- repair between two members ----
 
-// Hands over what one says to the other until neither says anything.
+// Delivers the messages of both members to each other until neither sends any.
 struct Pair {
     explicit Pair(const EndpointDeltaConfig& rule) : holder(rule), member(rule) {}
 
@@ -481,7 +481,7 @@
         take();
     };
     hear(holder.publish(epoch, version(1), {{"a", line("a", 1)}, {"b", line("b", 1)}}, {}));
-    // `a` changes at version 2 and back at 3, which this member knows from its own discovery.
+    // `a` changes at version 2 and back at version 3, which this member knows from its own discovery.
     const EndpointMap newest{{"a", line("a", 1)}, {"b", line("b", 3)}};
     member.use_local(version(3), newest);
     take();
--- a/tests/members.cpp
+++ b/tests/members.cpp
@@ -1,4 +1,4 @@
-// The roster that members share, and what a member keeps of the others.
+// The roster that members share, and each member's view of the others.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -43,7 +43,7 @@
     return {file.members[of].key, static_cast<uint8_t>(health), incarnation, 7, 0};
 }
 
-// As digests have it: those that were ever heard of, at which incarnation and health.
+// The part of a view that its digest covers: health and incarnation of members that were ever heard of.
 std::vector<std::tuple<MemberIndex, Incarnation, Health>> view_of(const Membership& members, size_t size)
 {
     std::vector<std::tuple<MemberIndex, Incarnation, Health>> view;
@@ -106,7 +106,7 @@
     }
 }
 
-// What three members are told, in whatever order: equal digests stand for equal views, and only for these.
+// Three members receive random updates in any order: their digests are equal exactly if their views are.
 TEST(Membership, DigestsAreEqualExactlyIfViewsAre)
 {
     constexpr size_t size = 8;
@@ -119,7 +119,7 @@
     std::mt19937 chance(1);
     size_t equal = 0, different = 0;
     for (int step = 0; step < 20000; ++step) {
-        // Few incarnations, so that views meet again; every now and then all are told everything.
+        // Few incarnations, so that views become equal again; every 40 steps all members exchange everything.
         const MembershipUpdate told = update(files[0], chance() % size, static_cast<Health>(chance() % 3),
                                              1 + static_cast<Incarnation>(step) / 2000);
         members[chance() % 3]->on_updates(began, 3, MembershipUpdates{{told}, false});
@@ -207,7 +207,7 @@
     Membership members(file, 7, 1, period, 1);
     members.start(began);
     std::vector<MemberState> all(size, {1, 7, Health::alive, 0});
-    // Most are gone, so that drawing meets them, and few enough are left to be counted.
+    // Most members are gone, so that random draws hit them, and few enough are left to be listed.
     for (MemberIndex m = 20; m < size; ++m) all[m].health = Health::gone;
     members.seed_members(all);
     members.tick(began);
--- a/tests/recovery.cpp
+++ b/tests/recovery.cpp
@@ -1,4 +1,5 @@
-// After a power loss: what is remembered, what is believed of it, and the order of return. No sockets.
+// Recovery after a power loss: what a snapshot stores, what of it is used after which kind of restart, and
+// the order of the startup stages. No sockets.
 #include "src/fleet/fleet.h"
 #include "src/fleet/startup/startup_sequencer.h"
 #include "src/net/reducer.h"
@@ -124,7 +125,8 @@
     s.set_fleet_state({9, 9, true, 2, 2});
     for (const double warm : {1.0, 5.0, 9.6}) {
         size_t admitted_share = 0, least = 0;
-        for (int i = 0; i < 1000; ++i, now = now + seconds(0.01)) {  // 500 a second arrive, of two kinds
+        // 500 requests arrive per second, of two kinds.
+        for (int i = 0; i < 1000; ++i, now = now + seconds(0.01)) {
             if (i % 10 == 0) s.tick(now, warm, 10, true);
             for (int n = 0; n < 5; ++n) (n % 2 ? least : admitted_share) += s.try_admit(now, n % 2);
         }
