--- a/src/fleet/endpoints/endpoint_distribution.h
+++ b/src/fleet/endpoints/endpoint_distribution.h
@@ -29,27 +29,28 @@
     explicit EndpointDistribution(const EndpointDeltaConfig& config) : config_(config), replica_(config) {}
 
     // What the caller has to do after a message was handled.
-    struct Reaction {
-        bool pass_on = false;    // to the gossip targets
-        bool confirmed = false;  // the list in use is as new as the sender's
+    struct HandleResult {
+        bool must_forward = false;  // to the gossip targets
+        bool confirmed = false;     // the list in use is as new as the sender's
     };
 
     // Publishes an answer of discovery as the holder of the duty. Returns the deltas to push to the gossip
     // targets. `uids` names all entries that can differ from the last published answer; without it, any can.
     std::vector<EndpointDelta> publish(Epoch epoch, const EndpointListVersion& version,
-                                       const EndpointMap& texts,
+                                       const EndpointMap& endpoints,
                                        const std::optional<std::vector<std::string>>& uids);
     // Uses an answer that this member got from discovery itself. It applies to this member alone, until the
     // fleet's list is as new.
-    void use_local(const EndpointListVersion& version, const EndpointMap& texts);
+    void use_local_list(const EndpointListVersion& version, const EndpointMap& endpoints);
 
     // To be called when an answer of discovery is rejected: the changes that the next answer names are
     // relative to the rejected one, so the next answer is compared as a whole.
-    void skip() { followed_.reset(); }
+    void on_answer_rejected() { published_revision_.reset(); }
 
-    Reaction handle(TimePoint now, MemberIndex from, const EndpointDelta& delta);
-    void handle(TimePoint now, MemberIndex from, const EndpointDeltaRequest& want, Duration age);
-    Reaction handle(TimePoint now, MemberIndex from, const EndpointSnapshotChunk& chunk);
+    HandleResult on_delta(TimePoint now, MemberIndex from, const EndpointDelta& delta);
+    void on_delta_request(TimePoint now, MemberIndex from, const EndpointDeltaRequest& delta_request,
+                          Duration age);
+    HandleResult on_snapshot_chunk(TimePoint now, MemberIndex from, const EndpointSnapshotChunk& chunk);
     // Handles the revision and digest of a peer's replica, as its ping reports them.
     void on_peer_revision(TimePoint now, MemberIndex from, const EndpointRevision& revision, uint64_t digest);
     // Handles the holder's notice that its list is unchanged. Returns true if this member uses that list.
@@ -59,17 +60,17 @@
     // Whether a new holder should wait for its replica to be repaired: entries that it lacks would be
     // published as removed.
     bool must_wait_to_publish(TimePoint now, Epoch epoch, TimePoint gained) const;
-    bool behind() const { return needs_snapshot_ || !newer_.empty(); }
+    bool is_behind() const { return needs_snapshot_ || !newer_peers_.empty(); }
 
     const EndpointReplica& replica() const { return replica_; }
     EndpointReplica& replica() { return replica_; }
-    bool uses_local() const { return local_.has_value(); }
+    bool uses_local_list() const { return local_.has_value(); }
     const EndpointListVersion& version() const { return local_ ? local_->version : replica_.version(); }
     // The full list that the balancer uses, in discovery's format.
     std::string full_text() const;
 
     std::vector<Send> take_sends() { return std::exchange(sends_, {}); }
-    std::optional<ApplyEndpointList> take_use();
+    std::optional<ApplyEndpointList> take_list_update();
 
   private:
     // A list that this member fetched from discovery itself, stored as differences from the fleet's list.
@@ -80,51 +81,52 @@
     };
     struct PendingRequest {
         MemberIndex member = 0;
-        TimePoint at;
+        TimePoint sent_at;
         bool answered = false;
     };
     // A snapshot that is being received.
-    struct Assembly {
+    struct SnapshotAssembly {
         MemberIndex from = 0;
         EndpointSnapshot snapshot;
-        uint32_t next = 0, count = 0;
+        uint32_t next_chunk = 0, chunk_count = 0;
         size_t bytes = 0;
-        uint32_t attempts = 0;  // unanswered requests in a row
+        uint32_t unanswered_requests = 0;  // unanswered requests in a row
     };
     // A snapshot that is being sent. It stays unchanged while the replica advances.
-    struct Offer {
+    struct OutgoingSnapshot {
         std::vector<EndpointSnapshotChunk> chunks;
-        TimePoint asked;
+        TimePoint last_requested;
     };
 
     void request(TimePoint now, MemberIndex member);
     void request_if_due(TimePoint now, MemberIndex member);
-    std::optional<MemberIndex> next_source() const;
-    void forget_reached();
+    std::optional<MemberIndex> next_repair_source() const;
+    void forget_caught_up_peers();
     void mark_changed(const EndpointChanges& changes);
-    void drop_local();
-    void drop_local_if_reached(bool by_holder);
-    void keep_local_of(const EndpointChanges& changes);
-    void answer_with_snapshot(TimePoint now, MemberIndex to, const EndpointDeltaRequest& want, Duration age);
-    bool finish(TimePoint now);  // returns true if the snapshot was installed and is complete
-    EndpointMap local_texts() const;
-    const std::string* text_of_uid(const std::string& uid) const;
+    void drop_local_list();
+    void drop_superseded_local_list(bool by_holder);
+    void preserve_local_entries(const EndpointChanges& changes);
+    void send_snapshot_chunk(TimePoint now, MemberIndex to, const EndpointDeltaRequest& delta_request,
+                             Duration age);
+    bool install_snapshot(TimePoint now);  // returns true if the snapshot was installed and is complete
+    EndpointMap local_endpoints() const;
+    const std::string* find_text(const std::string& uid) const;
 
     const EndpointDeltaConfig config_;
     EndpointReplica replica_;
     std::optional<LocalList> local_;
-    std::optional<EndpointRevision> followed_;       // at the last published answer of discovery
-    EndpointRevision passed_on_;                     // the newest one
-    std::map<MemberIndex, EndpointRevision> newer_;  // peers known to have a newer revision
-    bool needs_snapshot_ = false;                    // the replica does not match the state of its revision
-    std::optional<TimePoint> verified_;
+    std::optional<EndpointRevision> published_revision_;   // at the last published answer of discovery
+    EndpointRevision forwarded_revision_;                  // the newest one
+    std::map<MemberIndex, EndpointRevision> newer_peers_;  // peers known to have a newer revision
+    bool needs_snapshot_ = false;  // the replica does not match the state of its revision
+    std::optional<TimePoint> last_verified_;
     std::optional<PendingRequest> pending_request_;
-    std::optional<Assembly> assembly_;
-    std::optional<Offer> offer_;
+    std::optional<SnapshotAssembly> assembly_;
+    std::optional<OutgoingSnapshot> outgoing_snapshot_;
     std::vector<Send> sends_;
 
     // What was reported to the balancer.
-    bool reported_ = false, unreported_ = false;
+    bool full_list_reported_ = false, has_unreported_changes_ = false;
     std::set<std::string> changed_uids_;
 };
 
--- a/src/fleet/endpoints/endpoint_list_service.cpp
+++ b/src/fleet/endpoints/endpoint_list_service.cpp
@@ -14,9 +14,9 @@
 constexpr Duration first_poll_after = seconds(1.5);  // after the start, if no list has come from the fleet
 constexpr double max_poll_spread = 0.5;              // of the configured maximum age
 // Of the configured maximum age: the list counts as no older than this when the holder changes.
-constexpr double change_freshness = 0.5;
-constexpr double hint_lifetime = 4;      // in units of the longest duration of a startup stage
-constexpr size_t max_pushed_deltas = 4;  // receivers request further ones, so that no send queue overflows
+constexpr double max_age_after_change = 0.5;
+constexpr double hint_lifetime_factor = 4;  // in units of the longest duration of a startup stage
+constexpr size_t max_pushed_deltas = 4;     // receivers request further ones, so that no send queue overflows
 
 }  // namespace
 
@@ -44,19 +44,20 @@
 void EndpointListService::on_lease_changed(LeaseChange::Kind kind)
 {
     const bool gained = kind == LeaseChange::Kind::gained;
-    last_published_.clear();
+    last_published_content_.clear();
     broadcasts_.restart(duty);
     lease_gained_ = context_.now;
     if (polling_ != gained) set_polling(gained);
-    confirmed_at_ = std::max(confirmed_at_, context_.now - context_.config.list->stale * change_freshness);
+    confirmed_at_ =
+        std::max(confirmed_at_, context_.now - context_.config.list->stale * max_age_after_change);
 }
 
 void EndpointListService::tick()
 {
     if (distribution_) {
         distribution_->tick(context_.now);
-        flush_replica();
-        publish_postponed();
+        emit_replica_effects();
+        publish_postponed_list();
     }
     if (!context_.config.list || polling_ || context_.shutting_down || context_.held_epoch(duty)) return;
     if (context_.now - confirmed_at_ <= context_.config.list->stale + poll_delay_) return;
@@ -75,10 +76,11 @@
         if (ping.list_digest)
             distribution_->on_peer_revision(context_.now, from, {ping.list_epoch, ping.list_number},
                                             ping.list_digest);
-        return flush_replica();
+        return emit_replica_effects();
     }
     // An earlier broadcast may have been lost.
-    const std::pair<Epoch, uint64_t> own{newest_ ? newest_->epoch : 0, newest_ ? newest_->content_number : 0};
+    const std::pair<Epoch, uint64_t> own{newest_broadcast_ ? newest_broadcast_->epoch : 0,
+                                         newest_broadcast_ ? newest_broadcast_->content_number : 0};
     if (std::pair{ping.list_epoch, ping.list_number} > own) request_broadcast(from);
 }
 
@@ -91,14 +93,14 @@
 
 void EndpointListService::on_broadcast_request(MemberIndex from, const BroadcastRequest& request)
 {
-    if (newest_ && request.duty == duty) context_.send(from, *newest_);
+    if (newest_broadcast_ && request.duty == duty) context_.send(from, *newest_broadcast_);
 }
 
 bool EndpointListService::has_content(const Broadcast& broadcast) const
 {
     if (!broadcast.content.empty()) return true;
-    return newest_ && newest_->epoch == broadcast.epoch &&
-           newest_->content_number == broadcast.content_number;
+    return newest_broadcast_ && newest_broadcast_->epoch == broadcast.epoch &&
+           newest_broadcast_->content_number == broadcast.content_number;
 }
 
 void EndpointListService::on_broadcast(MemberIndex from, Broadcast& broadcast)
@@ -107,28 +109,28 @@
     if (distribution_) {
         if (!broadcast.content.empty()) return;  // from a holder without [deltas]
         const EndpointRevision revision{broadcast.epoch, broadcast.content_number};
-        if (distribution_->on_unchanged(context_.now, from, revision)) confirm(age);
-        return flush_replica();
+        if (distribution_->on_unchanged(context_.now, from, revision)) confirm_list(age);
+        return emit_replica_effects();
     }
     if (!has_content(broadcast)) return request_broadcast(from);
-    if (!broadcast.content.empty() && !take_full_list(broadcast)) return;
-    confirm(age);
+    if (!broadcast.content.empty() && !apply_broadcast_list(broadcast)) return;
+    confirm_list(age);
 }
 
 // Returns false if the content is not a list, or is an older one: that would bring back upstreams that have
 // drained.
-bool EndpointListService::take_full_list(const Broadcast& broadcast)
+bool EndpointListService::apply_broadcast_list(const Broadcast& broadcast)
 {
     auto list = unpack<FullList>(broadcast.content);
     if (!list || list->version < version_) return false;
-    newest_ = broadcast;
+    newest_broadcast_ = broadcast;
     if (context_.config.recovery) persisted_list_ = list->full_text;
     if (list->version > version_) context_.emit(ApplyEndpointList{list->version, std::move(list->full_text)});
     version_ = list->version;
     return true;
 }
 
-void EndpointListService::confirm(Duration age)
+void EndpointListService::confirm_list(Duration age)
 {
     confirmed_at_ = std::max(confirmed_at_, context_.now - age);
     if (polling_ && !context_.held_epoch(duty)) set_polling(false);
@@ -145,35 +147,35 @@
         return;
     }
     context_.fencing.observe_epoch(duty, delta.to.epoch);
-    const auto reaction = distribution_->handle(context_.now, from, delta);
-    if (reaction.pass_on) context_.gossip(delta, from);
-    if (reaction.confirmed) confirm({std::max<int64_t>(0, delta.age_us)});
-    flush_replica();
+    const auto result = distribution_->on_delta(context_.now, from, delta);
+    if (result.must_forward) context_.gossip(delta, from);
+    if (result.confirmed) confirm_list({std::max<int64_t>(0, delta.age_us)});
+    emit_replica_effects();
 }
 
 void EndpointListService::on_delta_request(MemberIndex from, const EndpointDeltaRequest& request)
 {
     if (!distribution_) return;
-    distribution_->handle(context_.now, from, request, context_.now - confirmed_at_);
-    flush_replica();
+    distribution_->on_delta_request(context_.now, from, request, context_.now - confirmed_at_);
+    emit_replica_effects();
 }
 
 void EndpointListService::on_snapshot_chunk(MemberIndex from, const EndpointSnapshotChunk& chunk)
 {
     if (!distribution_) return;
-    const auto reaction = distribution_->handle(context_.now, from, chunk);
-    if (reaction.confirmed) confirm({std::max<int64_t>(0, chunk.age_us)});
-    flush_replica();
+    const auto result = distribution_->on_snapshot_chunk(context_.now, from, chunk);
+    if (result.confirmed) confirm_list({std::max<int64_t>(0, chunk.age_us)});
+    emit_replica_effects();
 }
 
-void EndpointListService::flush_replica()
+void EndpointListService::emit_replica_effects()
 {
     for (Send& send : distribution_->take_sends()) context_.emit(std::move(send));
-    auto use = distribution_->take_use();
-    if (!use) return;
-    version_ = use->version;
+    auto update = distribution_->take_list_update();
+    if (!update) return;
+    version_ = update->version;
     changed_since_persisted_ = true;
-    context_.emit(std::move(*use));
+    context_.emit(std::move(*update));
 }
 
 // ---- lists from this member's own discovery ----
@@ -183,26 +185,26 @@
 bool EndpointListService::hint_protects(uint64_t version) const
 {
     if (version >= hint_version_ || !context_.config.recovery) return false;
-    return context_.now - context_.started < context_.config.recovery->wait * hint_lifetime;
+    return context_.now - context_.started < context_.config.recovery->wait * hint_lifetime_factor;
 }
 
 void EndpointListService::on_fetched(EndpointListFetched& fetched)
 {
     if (!context_.config.list) return;
-    if (distribution_) return replicate(fetched);
-    if (!use_fetched(fetched)) return;
+    if (distribution_) return use_or_publish(fetched);
+    if (!apply_fetched_list(fetched)) return;
     confirmed_at_ = context_.now;
     const auto epoch = context_.held_epoch(duty);
     if (!epoch) return;
     auto content = pack(FullList{fetched.source, fetched.version, std::move(fetched.full_text)});
-    if (content == last_published_) return publish(*epoch, {});
-    last_published_ = content;
+    if (content == last_published_content_) return publish(*epoch, {});
+    last_published_content_ = content;
     publish(*epoch, std::move(content));
 }
 
 // Returns false if discovery has fallen behind: an older list would bring back upstreams that are draining or
 // gone.
-bool EndpointListService::use_fetched(const EndpointListFetched& fetched)
+bool EndpointListService::apply_fetched_list(const EndpointListFetched& fetched)
 {
     const bool same_source = fetched.source == source_;
     if (same_source && fetched.version < version_) return false;
@@ -222,44 +224,45 @@
     const Broadcast broadcast = broadcasts_.next(duty, epoch, std::move(content), published_number_);
     if (has_content) {
         published_number_ = broadcast.number;
-        newest_ = broadcast;
+        newest_broadcast_ = broadcast;
     }
     broadcasts_.publish(broadcast);
 }
 
 // Another discovery agent with a lower version number is either behind or has restarted its numbering. The
 // latter is assumed once the list in use is stale, or if this member was given another agent.
-bool EndpointListService::accepts(const EndpointListVersion& version) const
+bool EndpointListService::accepts_version(const EndpointListVersion& version) const
 {
     const EndpointListVersion& used = distribution_->version();
     if (version.older_than(used)) return false;
-    const bool moved = !source_.empty() && source_ != version.source;
+    const bool agent_moved = !source_.empty() && source_ != version.source;
     const bool is_fresh = context_.now - confirmed_at_ <= context_.config.list->stale;
-    if (version.number < used.number && !moved && is_fresh) return false;
+    if (version.number < used.number && !agent_moved && is_fresh) return false;
     return !hint_protects(version.number);
 }
 
-void EndpointListService::replicate(const EndpointListFetched& fetched)
+void EndpointListService::use_or_publish(const EndpointListFetched& fetched)
 {
     const EndpointListVersion version{fetched.source, fetched.version};
-    if (!fetched.texts || !accepts(version)) return distribution_->skip();
+    if (!fetched.texts || !accepts_version(version)) return distribution_->on_answer_rejected();
     hint_version_ = 0;
     source_ = fetched.source;
     confirmed_at_ = context_.now;
     const auto epoch = context_.held_epoch(duty);
-    const bool postpones = epoch && distribution_->must_wait_to_publish(context_.now, *epoch, lease_gained_);
-    postponed_ = postpones ? std::optional(fetched) : std::nullopt;
-    if (!epoch || postpones) {
-        distribution_->use_local(version, *fetched.texts);
-        return flush_replica();
+    const bool must_postpone =
+        epoch && distribution_->must_wait_to_publish(context_.now, *epoch, lease_gained_);
+    postponed_list_ = must_postpone ? std::optional(fetched) : std::nullopt;
+    if (!epoch || must_postpone) {
+        distribution_->use_local_list(version, *fetched.texts);
+        return emit_replica_effects();
     }
     const auto deltas = distribution_->publish(*epoch, version, *fetched.texts, fetched.changed);
-    flush_replica();
-    push(*epoch, deltas);
+    emit_replica_effects();
+    push_deltas(*epoch, deltas);
 }
 
 // Pushes the first deltas of a large change; the receivers request the rest.
-void EndpointListService::push(Epoch epoch, const std::vector<EndpointDelta>& deltas)
+void EndpointListService::push_deltas(Epoch epoch, const std::vector<EndpointDelta>& deltas)
 {
     published_number_ = distribution_->replica().revision().number;
     context_.fencing.observe_epoch(duty, epoch);
@@ -271,13 +274,13 @@
     if (deltas.empty() || deltas.size() > max_pushed_deltas) publish(epoch, {});
 }
 
-void EndpointListService::publish_postponed()
+void EndpointListService::publish_postponed_list()
 {
-    if (!postponed_) return;
+    if (!postponed_list_) return;
     const auto epoch = context_.held_epoch(duty);
-    if (!epoch) return postponed_.reset();
+    if (!epoch) return postponed_list_.reset();
     if (distribution_->must_wait_to_publish(context_.now, *epoch, lease_gained_)) return;
-    replicate(*std::exchange(postponed_, std::nullopt));
+    use_or_publish(*std::exchange(postponed_list_, std::nullopt));
 }
 
 // ---- persistence and status ----
@@ -297,9 +300,9 @@
 
 void EndpointListService::fill_ping_payload(PingPayload& payload) const
 {
-    if (newest_) {
-        payload.list_number = newest_->content_number;
-        payload.list_epoch = newest_->epoch;
+    if (newest_broadcast_) {
+        payload.list_number = newest_broadcast_->content_number;
+        payload.list_epoch = newest_broadcast_->epoch;
     }
     if (!distribution_) return;
     payload.list_number = distribution_->replica().revision().number;
@@ -314,7 +317,7 @@
     return "list revision " + std::to_string(replica.revision().epoch) + "." +
            std::to_string(replica.revision().number) + " entries " +
            std::to_string(replica.endpoints().size()) + " behind " +
-           (distribution_->behind() ? "yes" : "no") + "\n";
+           (distribution_->is_behind() ? "yes" : "no") + "\n";
 }
 
 const EndpointReplica* EndpointListService::replica() const
--- a/src/fleet/endpoints/endpoint_list_service.h
+++ b/src/fleet/endpoints/endpoint_list_service.h
@@ -58,21 +58,21 @@
     };
 
     void set_polling(bool on);
-    void confirm(Duration age);
+    void confirm_list(Duration age);
     void request_broadcast(MemberIndex from);
     bool has_content(const Broadcast& broadcast) const;
-    bool take_full_list(const Broadcast& broadcast);
+    bool apply_broadcast_list(const Broadcast& broadcast);
     void publish(Epoch epoch, std::string content);
 
     // ---- lists from this member's own discovery ----
     bool hint_protects(uint64_t version) const;
-    bool use_fetched(const EndpointListFetched& fetched);
-    bool accepts(const EndpointListVersion& version) const;
-    void replicate(const EndpointListFetched& fetched);
-    void push(Epoch epoch, const std::vector<EndpointDelta>& deltas);
-    void publish_postponed();
+    bool apply_fetched_list(const EndpointListFetched& fetched);
+    bool accepts_version(const EndpointListVersion& version) const;
+    void use_or_publish(const EndpointListFetched& fetched);
+    void push_deltas(Epoch epoch, const std::vector<EndpointDelta>& deltas);
+    void publish_postponed_list();
     // Emits the messages and the list changes that the replica has produced.
-    void flush_replica();
+    void emit_replica_effects();
 
     FleetContext& context_;
     DutyBroadcasts& broadcasts_;
@@ -85,11 +85,11 @@
     bool polling_ = false;
     TimePoint last_broadcast_request_;
 
-    std::optional<Broadcast> newest_;  // the last one with content
-    std::string last_published_;
+    std::optional<Broadcast> newest_broadcast_;  // the last one with content
+    std::string last_published_content_;
     uint64_t published_number_ = 0;
     TimePoint lease_gained_;
-    std::optional<EndpointListFetched> postponed_;  // by a holder whose replica has to be repaired first
+    std::optional<EndpointListFetched> postponed_list_;  // by a holder whose replica has to be repaired first
 
     uint64_t hint_version_ = 0;
     std::string persisted_list_;
--- a/src/fleet/endpoints/endpoint_replica.cpp
+++ b/src/fleet/endpoints/endpoint_replica.cpp
@@ -99,7 +99,7 @@
         delta.partial = &delta != &deltas.back();
         delta.version = delta.partial ? state_.version : version;
         delta.digest = digest_after(delta);
-        advance(delta);
+        apply_unchecked(delta);
     }
     return deltas;
 }
@@ -119,7 +119,7 @@
     return digest;
 }
 
-void EndpointReplica::advance(const EndpointDelta& delta)
+void EndpointReplica::apply_unchecked(const EndpointDelta& delta)
 {
     for (const EndpointEntry& entry : delta.changed) state_.endpoints[entry.uid] = entry.text;
     for (const std::string& uid : delta.removed) state_.endpoints.erase(uid);
@@ -127,10 +127,10 @@
     state_.version = delta.version;
     state_.partial = delta.partial;
     state_.digest = digest_ = delta.digest;
-    keep(delta);
+    append_to_log(delta);
 }
 
-void EndpointReplica::keep(EndpointDelta delta)
+void EndpointReplica::append_to_log(EndpointDelta delta)
 {
     delta.answer = delta.more = false;
     delta.age_us = 0;
@@ -142,25 +142,26 @@
     }
 }
 
-EndpointReplica::Result EndpointReplica::apply(const EndpointDelta& delta)
+EndpointReplica::ApplyResult EndpointReplica::apply(const EndpointDelta& delta)
 {
-    if (delta.to <= state_.revision) return Result::stale;
-    if (delta.version.older_than(state_.version)) return Result::older;
+    if (delta.to <= state_.revision) return ApplyResult::stale;
+    if (delta.version.older_than(state_.version)) return ApplyResult::older;
     if (delta.from == state_.revision) {
-        if (digest_after(delta) != delta.digest) return Result::diverged;
-        advance(delta);
-        return Result::applied;
+        if (digest_after(delta) != delta.digest) return ApplyResult::diverged;
+        apply_unchecked(delta);
+        return ApplyResult::applied;
     }
-    if (delta.digest != digest_) return Result::behind;
+    if (delta.digest != digest_) return ApplyResult::behind;
     EndpointDelta bridge = delta;
     bridge.from = state_.revision;
     bridge.changed.clear();
     bridge.removed.clear();
-    advance(bridge);
-    return Result::adopted;
+    apply_unchecked(bridge);
+    return ApplyResult::adopted;
 }
 
-std::deque<EndpointDelta>::const_iterator EndpointReplica::logged_after(const EndpointRevision& from) const
+std::deque<EndpointDelta>::const_iterator EndpointReplica::find_logged_after(
+    const EndpointRevision& from) const
 {
     const auto at =
         std::lower_bound(log_.begin(), log_.end(), from,
@@ -168,16 +169,16 @@
     return at != log_.end() && at->from == from ? at : log_.end();
 }
 
-bool EndpointReplica::reaches(const EndpointRevision& from) const
+bool EndpointReplica::can_catch_up_from(const EndpointRevision& from) const
 {
-    return from == state_.revision || logged_after(from) != log_.end();
+    return from == state_.revision || find_logged_after(from) != log_.end();
 }
 
-std::vector<EndpointDelta> EndpointReplica::since(const EndpointRevision& from) const
+std::vector<EndpointDelta> EndpointReplica::deltas_since(const EndpointRevision& from) const
 {
     std::vector<EndpointDelta> deltas;
     size_t bytes = 0;
-    for (auto next = logged_after(from); next != log_.end(); ++next) {
+    for (auto next = find_logged_after(from); next != log_.end(); ++next) {
         bytes += size_of(*next);
         if (!deltas.empty() && bytes > config_.chunk) break;
         deltas.push_back(*next);
--- a/src/fleet/endpoints/endpoint_replica.h
+++ b/src/fleet/endpoints/endpoint_replica.h
@@ -36,7 +36,7 @@
 class EndpointReplica
 {
   public:
-    enum class Result : uint8_t {
+    enum class ApplyResult : uint8_t {
         applied,
         adopted,   // this replica already had that state, at another revision
         behind,    // the delta does not start at this replica's revision
@@ -62,12 +62,12 @@
     // and returns them. The first delta of an epoch may be empty.
     std::vector<EndpointDelta> publish(Epoch epoch, const EndpointListVersion& version,
                                        EndpointChanges changes);
-    Result apply(const EndpointDelta& delta);
+    ApplyResult apply(const EndpointDelta& delta);
 
     // Whether the log leads from `from` to the present revision.
-    bool reaches(const EndpointRevision& from) const;
+    bool can_catch_up_from(const EndpointRevision& from) const;
     // The next deltas after `from`, about one chunk of them; empty if the log does not have them.
-    std::vector<EndpointDelta> since(const EndpointRevision& from) const;
+    std::vector<EndpointDelta> deltas_since(const EndpointRevision& from) const;
 
     std::vector<EndpointSnapshotChunk> snapshot() const;
     // Replaces the whole state and returns what has changed. Returns nullopt if the snapshot does not match
@@ -75,16 +75,16 @@
     std::optional<EndpointChanges> replace(EndpointSnapshot snapshot);
 
     // Whether the entries match the digest that the publisher of this revision stated. Reads all entries.
-    bool intact() const { return digest_of(state_.endpoints) == state_.digest; }
+    bool is_intact() const { return digest_of(state_.endpoints) == state_.digest; }
 
     // For tests of divergence: changes an entry without a delta.
     void corrupt(const std::string& uid, const std::string& text);
 
   private:
     uint64_t digest_after(const EndpointDelta& delta) const;
-    void advance(const EndpointDelta& delta);
-    void keep(EndpointDelta delta);
-    std::deque<EndpointDelta>::const_iterator logged_after(const EndpointRevision& from) const;
+    void apply_unchecked(const EndpointDelta& delta);
+    void append_to_log(EndpointDelta delta);
+    std::deque<EndpointDelta>::const_iterator find_logged_after(const EndpointRevision& from) const;
 
     const EndpointDeltaConfig config_;
     EndpointSnapshot state_;  // its digest is the one that the publisher stated
--- a/src/fleet/endpoints/endpoint_view.cpp
+++ b/src/fleet/endpoints/endpoint_view.cpp
@@ -10,24 +10,26 @@
 
 constexpr Duration observation_interval = seconds(0.1);
 constexpr Duration doubling_time = seconds(0.5);  // of a capacity that recovers
-constexpr double min_size_factor = 0.02;  // keeps enough traffic to notice that the upstream has recovered
-constexpr double visible_change = 0.05;   // relative; smaller capacity changes are not shown to the module
-constexpr Duration another_start = seconds(5);  // reported start times closer than this are the same start
+constexpr double min_capacity_factor =
+    0.02;                                    // keeps enough traffic to notice that the upstream has recovered
+constexpr double min_visible_change = 0.05;  // relative; smaller capacity changes are not shown to the module
+constexpr Duration min_start_distance =
+    seconds(5);  // reported start times closer than this are the same start
 // Capacity factor of an upstream in slow start that has no token now, used while most upstreams are in slow
 // start. It is picked only if nothing else is available, and then the budget decides. If it were hidden, it
 // would be missing from the module's estimate of total capacity.
-constexpr double min_drawn_size = 1e-3;
+constexpr double min_drawn_capacity_factor = 1e-3;
 constexpr Duration rate_window = seconds(10);
 constexpr double min_counted_requests = 50;  // before a rate is reported
-constexpr double whole = 1 - 1e-9;           // 1, allowing for rounding
+constexpr double full_weight = 1 - 1e-9;     // 1, allowing for rounding
 // From this reduction on, requests in flight without any response count as a failure.
-constexpr double stalled_reduction = 0.5;
+constexpr double min_stall_reduction = 0.5;
 constexpr TimePoint long_ago{INT64_MIN / 2};
 
 }  // namespace
 
 EndpointView::EndpointView(Config config)
-    : config_(std::move(config)), subset_size_(config_.subset ? config_.subset->narrow : Duration{})
+    : config_(std::move(config)), subset_width_(config_.subset ? config_.subset->narrow : Duration{})
 {
 }
 
@@ -40,31 +42,31 @@
     for (UpstreamId upstream = 0; upstream < all.size(); ++upstream) {
         const EndpointState& state = all[upstream];
         Endpoint& endpoint = endpoints_[upstream];
-        if (endpoint.real.global_id != state.global_id) endpoint = {};
-        endpoint.real = state;
+        if (endpoint.listed_state.global_id != state.global_id) endpoint = {};
+        endpoint.listed_state = state;
         const double size = state.phase == EndpointPhase::gone ? 0 : state.capacity;
         candidates_[upstream] = {state.global_id, size, state.zone == config_.zone};
     }
-    subset_outdated_ = due_ = true;
+    subset_outdated_ = needs_update_ = true;
 }
 
 void EndpointView::set_peers(std::vector<SubsetPeer> peers)
 {
     peers_ = std::move(peers);
-    subset_outdated_ = due_ = true;
+    subset_outdated_ = needs_update_ = true;
 }
 
 void EndpointView::apply_verdicts(TimePoint now, const std::map<uint64_t, OutlierGossip::Verdict>& verdicts)
 {
     for (Endpoint& endpoint : endpoints_) {
-        const auto verdict = verdicts.find(endpoint.real.global_id);
-        update_size_factor(now, endpoint);
+        const auto verdict = verdicts.find(endpoint.listed_state.global_id);
+        update_capacity_factor(now, endpoint);
         endpoint.verdict_reduction = verdict == verdicts.end() ? 0 : verdict->second.reduction;
         if (verdict == verdicts.end() || !verdict->second.time_since_start) continue;
         const TimePoint start = now - *verdict->second.time_since_start;
-        const TimePoint known =
-            std::max(endpoint.reported_start.value_or(long_ago), endpoint.real.started_at.value_or(long_ago));
-        if (start - known > another_start) endpoint.reported_start = start;
+        const TimePoint known = std::max(endpoint.reported_start.value_or(long_ago),
+                                         endpoint.listed_state.started_at.value_or(long_ago));
+        if (start - known > min_start_distance) endpoint.reported_start = start;
     }
 }
 
@@ -82,16 +84,17 @@
 void EndpointView::restore_reductions(TimePoint now, const std::vector<PersistedReduction>& reductions)
 {
     for (const PersistedReduction& persisted : reductions)
-        restored_[persisted.upstream_hash] = {persisted.reduction, now + Duration{persisted.remaining_us}};
-    due_ = true;
+        restored_reductions_[persisted.upstream_hash] = {persisted.reduction,
+                                                         now + Duration{persisted.remaining_us}};
+    needs_update_ = true;
 }
 
 void EndpointView::record_response(TimePoint now, UpstreamId upstream, bool success)
 {
     if (upstream >= endpoints_.size()) return;
     Endpoint& endpoint = endpoints_[upstream];
-    ++(success ? endpoint.well : endpoint.bad).seconds[0];
-    (success ? endpoint.last_well : endpoint.last_bad) = now;
+    ++(success ? endpoint.successes : endpoint.failures).per_second[0];
+    (success ? endpoint.last_success : endpoint.last_failure) = now;
 }
 
 // ---- slow start ----
@@ -131,13 +134,13 @@
     if (mostly_warm_)
         state.phase = EndpointPhase::gone;
     else
-        state.capacity *= min_drawn_size;
+        state.capacity *= min_drawn_capacity_factor;
 }
 
 bool EndpointView::take_from_budget(TimePoint now, BudgetName name)
 {
     if (!has_budget(name)) return true;
-    ++asked_.try_emplace(name).first->second;
+    ++budget_demand_.try_emplace(name).first->second;
     const auto quota = quotas_.find(name);
     return quota != quotas_.end() && buckets_[name].try_take(now, quota->second);
 }
@@ -145,7 +148,7 @@
 bool EndpointView::take_from_slow_start_budget(TimePoint now, UpstreamId upstream)
 {
     if (upstream >= shown_.size() || !is_warming(now, shown_[upstream])) return true;
-    due_ = true;  // hidden or shrunk until the next token
+    needs_update_ = true;  // hidden or shrunk until the next token
     const BudgetName name{Budget::cold, shown_[upstream].global_id};
     if (!has_budget(name)) return true;
     const auto quota = slow_start_quota(now, shown_[upstream]);
@@ -157,18 +160,19 @@
 // While requests are in flight, the module picks an upstream in proportion to about the fifth power of its
 // capacity. So a report of one balancer alone reduces the capacity only a little, and reports that several
 // agree on nearly remove the upstream.
-double EndpointView::update_size_factor(TimePoint now, Endpoint& endpoint) const
+double EndpointView::update_capacity_factor(TimePoint now, Endpoint& endpoint) const
 {
     double reduction = endpoint.verdict_reduction;
-    const auto restored = restored_.find(endpoint.real.global_id);
-    if (restored != restored_.end() && now < restored->second.until)
+    const auto restored = restored_reductions_.find(endpoint.listed_state.global_id);
+    if (restored != restored_reductions_.end() && now < restored->second.until)
         reduction = std::max(reduction, restored->second.reduction);
     const double exponent = 0.2 + 0.8 * reduction * reduction;
-    const double most = std::max(min_size_factor, std::pow(1 - reduction, exponent));
-    const double grown = endpoint.size_factor * std::exp2((now - endpoint.size_factor_at) / doubling_time);
-    endpoint.size_factor = std::min(most, std::max(min_size_factor, std::min(1.0, grown)));
-    endpoint.size_factor_at = now;
-    return endpoint.size_factor;
+    const double max_factor = std::max(min_capacity_factor, std::pow(1 - reduction, exponent));
+    const double recovered =
+        endpoint.capacity_factor * std::exp2((now - endpoint.capacity_factor_at) / doubling_time);
+    endpoint.capacity_factor = std::min(max_factor, std::max(min_capacity_factor, std::min(1.0, recovered)));
+    endpoint.capacity_factor_at = now;
+    return endpoint.capacity_factor;
 }
 
 double EndpointView::subset_weight(UpstreamId upstream) const
@@ -177,16 +181,17 @@
     return upstream < subset_.size() ? subset_[upstream] : 0;
 }
 
-EndpointState EndpointView::wanted(TimePoint now, UpstreamId upstream)
+EndpointState EndpointView::adjusted_state(TimePoint now, UpstreamId upstream)
 {
     Endpoint& endpoint = endpoints_[upstream];
-    EndpointState state = endpoint.real;
+    EndpointState state = endpoint.listed_state;
     const bool has_newer_start =
         endpoint.reported_start && (!state.started_at || *state.started_at < *endpoint.reported_start);
     if (has_newer_start) state.started_at = endpoint.reported_start;
     const double weight = subset_weight(upstream);
     if (weight <= 0) state.phase = EndpointPhase::gone;
-    if (config_.outlier_gossip || !restored_.empty()) state.capacity *= update_size_factor(now, endpoint);
+    if (config_.outlier_gossip || !restored_reductions_.empty())
+        state.capacity *= update_capacity_factor(now, endpoint);
     state.capacity *= weight > 0 ? weight : 1;
     limit_slow_start(now, state);
     return state;
@@ -196,9 +201,9 @@
 {
     double listed = 0, warming = 0;
     for (const Endpoint& endpoint : endpoints_) {
-        if (endpoint.real.phase != EndpointPhase::ready) continue;
-        listed += endpoint.real.capacity;
-        if (is_warming(now, endpoint.real)) warming += endpoint.real.capacity;
+        if (endpoint.listed_state.phase != EndpointPhase::ready) continue;
+        listed += endpoint.listed_state.capacity;
+        if (is_warming(now, endpoint.listed_state)) warming += endpoint.listed_state.capacity;
     }
     return warming * 2 < listed;
 }
@@ -212,19 +217,19 @@
     if (!same) return true;
     if (next.capacity == shown.capacity) return false;
     // A capacity that is fully restored is always shown, however small the step.
-    const bool is_whole = next.capacity == endpoints_[upstream].real.capacity;
-    return is_whole || std::abs(next.capacity - shown.capacity) > visible_change * shown.capacity;
+    const bool is_whole = next.capacity == endpoints_[upstream].listed_state.capacity;
+    return is_whole || std::abs(next.capacity - shown.capacity) > min_visible_change * shown.capacity;
 }
 
 std::vector<EndpointState> EndpointView::update(TimePoint now, const Reduction& reduction)
 {
-    due_ = false;
+    needs_update_ = false;
     if (config_.subset) update_subset(now, reduction);
     mostly_warm_ = is_mostly_warm(now);
     if (shown_.size() < endpoints_.size()) shown_.resize(endpoints_.size());
     std::vector<EndpointState> changes;
     for (UpstreamId upstream = 0; upstream < endpoints_.size(); ++upstream) {
-        const EndpointState next = wanted(now, upstream);
+        const EndpointState next = adjusted_state(now, upstream);
         EndpointState& shown = shown_[upstream];
         if (next.phase == EndpointPhase::gone && shown.phase == EndpointPhase::gone) continue;
         if (!differs_visibly(next, shown, upstream)) continue;
@@ -236,7 +241,7 @@
 
 bool EndpointView::needs_update(const Reduction& reduction) const
 {
-    if (due_ || !config_.subset) return due_;
+    if (needs_update_ || !config_.subset) return needs_update_;
     for (UpstreamId upstream = 0; upstream < shown_.size(); ++upstream)
         if (shown_[upstream].phase == EndpointPhase::ready && reduction(upstream) <= 0) return false;
     return !shown_.empty();
@@ -260,20 +265,21 @@
 
 // ---- the subset ----
 
-SubsetWeights EndpointView::choose_subset(double widening) const
+SubsetWeights EndpointView::compute_subset(double widening) const
 {
     return select_subset(*config_.subset, peers_, config_.self_key, candidates_, widening);
 }
 
-bool EndpointView::is_whole_list() const
+bool EndpointView::covers_whole_list() const
 {
     for (size_t i = 0; i < candidates_.size(); ++i)
-        if (candidates_[i].size > 0 && subset_[i] <= whole) return false;
+        if (candidates_[i].size > 0 && subset_[i] <= full_weight) return false;
     return true;
 }
 
 // Weighted by capacity and, for upstreams in slow start, by the share of it that is available now.
-double EndpointView::free_share(TimePoint now, const SubsetWeights& subset, const Reduction& reduction) const
+double EndpointView::unreduced_share(TimePoint now, const SubsetWeights& subset,
+                                     const Reduction& reduction) const
 {
     double all = 0, free = 0;
     bool any_unreduced = false;
@@ -282,12 +288,13 @@
         const Endpoint& endpoint = endpoints_[upstream];
         const double size = subset[upstream] * candidates_[upstream].size;
         all += size;
-        if (endpoint.real.phase != EndpointPhase::ready) continue;
-        const double own = reduction(upstream);
-        any_unreduced = any_unreduced || own <= 0;
-        const bool warming = is_warming(now, endpoint.real);
-        const double able = warming ? capacity_growth(now, endpoint.real) * config_.slow_start_min_share : 1;
-        free += size * (1 - std::max(own, endpoint.verdict_reduction)) * able;
+        if (endpoint.listed_state.phase != EndpointPhase::ready) continue;
+        const double own_reduction = reduction(upstream);
+        any_unreduced = any_unreduced || own_reduction <= 0;
+        const bool warming = is_warming(now, endpoint.listed_state);
+        const double available_share =
+            warming ? capacity_growth(now, endpoint.listed_state) * config_.slow_start_min_share : 1;
+        free += size * (1 - std::max(own_reduction, endpoint.verdict_reduction)) * available_share;
     }
     return any_unreduced && all > 0 ? free / all : 0;
 }
@@ -295,18 +302,18 @@
 void EndpointView::update_subset(TimePoint now, const Reduction& reduction)
 {
     if (std::exchange(subset_outdated_, false)) {
-        subset_ = choose_subset(subset_size_.widening());
-        if (subset_size_.steps() > 0) narrower_subset_ = choose_subset(subset_size_.widening() / 2);
+        subset_ = compute_subset(subset_width_.widening());
+        if (subset_width_.steps() > 0) narrower_subset_ = compute_subset(subset_width_.widening() / 2);
     }
     for (;;) {
-        const double free = free_share(now, subset_, reduction);
+        const double free = unreduced_share(now, subset_, reduction);
         const double narrower_free =
-            subset_size_.steps() > 0 ? free_share(now, narrower_subset_, reduction) : 0;
-        const double before = subset_size_.widening();
-        if (!subset_size_.adjust(now, free, narrower_free, is_whole_list())) return;
-        subset_ = choose_subset(subset_size_.widening());
-        narrower_subset_ = choose_subset(subset_size_.widening() / 2);
-        if (subset_size_.widening() < before) return;
+            subset_width_.steps() > 0 ? unreduced_share(now, narrower_subset_, reduction) : 0;
+        const double old_widening = subset_width_.widening();
+        if (!subset_width_.adjust(now, free, narrower_free, covers_whole_list())) return;
+        subset_ = compute_subset(subset_width_.widening());
+        narrower_subset_ = compute_subset(subset_width_.widening() / 2);
+        if (subset_width_.widening() < old_widening) return;
     }
 }
 
@@ -320,37 +327,38 @@
     if (rate_since_.us == 0) rate_since_ = now - Duration{static_cast<int64_t>(elapsed * 1e6)};
     const double total = std::max(elapsed, (now - rate_since_).seconds());
     const double gain = std::max(elapsed / rate_window.seconds(), elapsed / total);
-    total_requests_ += requests_;
-    const double rate = std::exchange(requests_, 0) / std::max(min_elapsed, elapsed);
-    rate_ += gain * (rate - rate_);
+    total_requests_ += new_requests_;
+    const double rate = std::exchange(new_requests_, 0) / std::max(min_elapsed, elapsed);
+    request_rate_ += gain * (rate - request_rate_);
 }
 
-OutlierEvidence EndpointView::evidence_of(TimePoint now, UpstreamId upstream, const Reduction& reduction,
-                                          const InFlight& in_flight) const
+OutlierEvidence EndpointView::make_evidence(TimePoint now, UpstreamId upstream, const Reduction& reduction,
+                                            const HasInFlight& in_flight) const
 {
     const Endpoint& endpoint = endpoints_[upstream];
     OutlierEvidence evidence;
-    evidence.upstream = endpoint.real.global_id;
+    evidence.upstream = endpoint.listed_state.global_id;
     evidence.reduction = reduction(upstream);
-    evidence.good_responses = endpoint.well.total();
-    evidence.bad_responses = endpoint.bad.total();
-    evidence.last_bad_response_age = now - endpoint.last_bad;
-    evidence.last_good_response_age = now - endpoint.last_well;
+    evidence.good_responses = endpoint.successes.total();
+    evidence.bad_responses = endpoint.failures.total();
+    evidence.last_bad_response_age = now - endpoint.last_failure;
+    evidence.last_good_response_age = now - endpoint.last_success;
     // An upstream that holds requests without answering any causes no failures to count, so the stall itself
     // counts as one.
     const bool is_silent = evidence.good_responses + evidence.bad_responses == 0;
-    if (evidence.reduction >= stalled_reduction && is_silent && in_flight(upstream)) {
+    if (evidence.reduction >= min_stall_reduction && is_silent && in_flight(upstream)) {
         evidence.bad_responses = 1;
         evidence.last_bad_response_age = {};
     }
-    if (is_warming(now, endpoint.real)) evidence.time_since_start = now - *endpoint.real.started_at;
+    if (is_warming(now, endpoint.listed_state))
+        evidence.time_since_start = now - *endpoint.listed_state.started_at;
     return evidence;
 }
 
-void EndpointView::observe_endpoint(TimePoint now, UpstreamId upstream, const OutlierEvidence& evidence,
+void EndpointView::add_observations(TimePoint now, UpstreamId upstream, const OutlierEvidence& evidence,
                                     LocalObservations& observations) const
 {
-    const BudgetName slow_start{Budget::cold, endpoints_[upstream].real.global_id};
+    const BudgetName slow_start{Budget::cold, endpoints_[upstream].listed_state.global_id};
     const bool shown_warming = upstream < shown_.size() && is_warming(now, shown_[upstream]);
     if (shown_warming && has_budget(slow_start)) ++observations.budget_demand[slow_start];
     if (evidence.reduction > 0 || evidence.good_responses > 0 || evidence.bad_responses > 0 ||
@@ -358,33 +366,33 @@
         observations.outlier_evidence.push_back(evidence);
 }
 
-void EndpointView::rotate_answer_counts(TimePoint now)
+void EndpointView::rotate_response_counts(TimePoint now)
 {
     if (now - last_rotation_ < seconds(1)) return;
     last_rotation_ = now;
     for (Endpoint& endpoint : endpoints_) {
-        endpoint.well.rotate();
-        endpoint.bad.rotate();
+        endpoint.successes.rotate();
+        endpoint.failures.rotate();
     }
 }
 
 std::optional<LocalObservations> EndpointView::observe(TimePoint now, const Reduction& reduction,
-                                                       const InFlight& in_flight)
+                                                       const HasInFlight& in_flight)
 {
     if (now - last_observation_ < observation_interval) return {};
     update_rate(now, std::min(1.0, (now - std::exchange(last_observation_, now)).seconds()));
     LocalObservations observations;
-    if (total_requests_ >= min_counted_requests) observations.request_rate = rate_;
-    observations.budget_demand = std::exchange(asked_, {});
-    observations.widening_steps = subset_size_.steps();
+    if (total_requests_ >= min_counted_requests) observations.request_rate = request_rate_;
+    observations.budget_demand = std::exchange(budget_demand_, {});
+    observations.widening_steps = subset_width_.steps();
     for (UpstreamId upstream = 0; upstream < endpoints_.size(); ++upstream) {
-        if (endpoints_[upstream].real.phase == EndpointPhase::gone) continue;
+        if (endpoints_[upstream].listed_state.phase == EndpointPhase::gone) continue;
         ++observations.upstreams_listed;
         if (config_.subset && subset_weight(upstream) <= 0) continue;
         ++observations.upstreams_shown;
-        observe_endpoint(now, upstream, evidence_of(now, upstream, reduction, in_flight), observations);
+        add_observations(now, upstream, make_evidence(now, upstream, reduction, in_flight), observations);
     }
-    rotate_answer_counts(now);
+    rotate_response_counts(now);
     return observations;
 }
 
--- a/src/fleet/endpoints/endpoint_view.h
+++ b/src/fleet/endpoints/endpoint_view.h
@@ -59,11 +59,11 @@
     // Reductions from before the start, until they expire.
     void restore_reductions(TimePoint now, const std::vector<PersistedReduction>& reductions);
     void record_response(TimePoint now, UpstreamId upstream, bool success);
-    void count_request() { ++requests_; }
+    void count_request() { ++new_requests_; }
 
     // The module's own reduction of an upstream, and whether requests are in flight to it.
     using Reduction = std::function<double(UpstreamId)>;
-    using InFlight = std::function<bool(UpstreamId)>;
+    using HasInFlight = std::function<bool(UpstreamId)>;
 
     // Returns the entries of the view that have changed. Widens the subset before the module would have to
     // reject requests while an upstream outside the subset carries no reduction.
@@ -80,24 +80,24 @@
 
     // Returns nullopt if the last observations are recent.
     [[nodiscard]] std::optional<LocalObservations> observe(TimePoint now, const Reduction& reduction,
-                                                           const InFlight& in_flight);
+                                                           const HasInFlight& in_flight);
 
   private:
     // Responses in the current second and the one before.
-    struct AnswerCount {
-        std::array<uint32_t, 2> seconds{};
+    struct ResponseCount {
+        std::array<uint32_t, 2> per_second{};
 
-        uint32_t total() const { return seconds[0] + seconds[1]; }
-        void rotate() { seconds = {0, seconds[0]}; }
+        uint32_t total() const { return per_second[0] + per_second[1]; }
+        void rotate() { per_second = {0, per_second[0]}; }
     };
     struct Endpoint {
-        EndpointState real;
+        EndpointState listed_state;
         double verdict_reduction = 0;
-        double size_factor = 1;  // falls at once, recovers by doubling
-        TimePoint size_factor_at;
+        double capacity_factor = 1;  // falls at once, recovers by doubling
+        TimePoint capacity_factor_at;
         std::optional<TimePoint> reported_start;
-        AnswerCount well, bad;
-        TimePoint last_well, last_bad;
+        ResponseCount successes, failures;
+        TimePoint last_success, last_failure;
     };
     struct RestoredReduction {
         double reduction = 0;
@@ -108,24 +108,24 @@
     double capacity_growth(TimePoint now, const EndpointState& endpoint) const;
     bool has_budget(BudgetName name) const { return config_.quotas && config_.quotas->total_of(name) > 0; }
     std::optional<QuotaLease> slow_start_quota(TimePoint now, const EndpointState& endpoint) const;
-    double update_size_factor(TimePoint now, Endpoint& endpoint) const;
+    double update_capacity_factor(TimePoint now, Endpoint& endpoint) const;
     double subset_weight(UpstreamId upstream) const;
-    EndpointState wanted(TimePoint now, UpstreamId upstream);
+    EndpointState adjusted_state(TimePoint now, UpstreamId upstream);
     void limit_slow_start(TimePoint now, EndpointState& state);
     bool differs_visibly(const EndpointState& next, const EndpointState& shown, UpstreamId upstream) const;
     bool is_mostly_warm(TimePoint now) const;
 
-    SubsetWeights choose_subset(double widening) const;
+    SubsetWeights compute_subset(double widening) const;
     void update_subset(TimePoint now, const Reduction& reduction);
-    bool is_whole_list() const;
-    double free_share(TimePoint now, const SubsetWeights& subset, const Reduction& reduction) const;
+    bool covers_whole_list() const;
+    double unreduced_share(TimePoint now, const SubsetWeights& subset, const Reduction& reduction) const;
 
     void update_rate(TimePoint now, double elapsed);
-    OutlierEvidence evidence_of(TimePoint now, UpstreamId upstream, const Reduction& reduction,
-                                const InFlight& in_flight) const;
-    void observe_endpoint(TimePoint now, UpstreamId upstream, const OutlierEvidence& evidence,
+    OutlierEvidence make_evidence(TimePoint now, UpstreamId upstream, const Reduction& reduction,
+                                  const HasInFlight& in_flight) const;
+    void add_observations(TimePoint now, UpstreamId upstream, const OutlierEvidence& evidence,
                           LocalObservations& observations) const;
-    void rotate_answer_counts(TimePoint now);
+    void rotate_response_counts(TimePoint now);
 
     const Config config_;
     std::vector<Endpoint> endpoints_;  // by position
@@ -133,14 +133,14 @@
     std::vector<SubsetPeer> peers_;
     std::vector<EndpointState> shown_;  // what the module sees
     SubsetWeights subset_, narrower_subset_;
-    SubsetSize subset_size_;
-    bool subset_outdated_ = true, due_ = true, mostly_warm_ = true;
-    std::map<uint64_t, RestoredReduction> restored_;
+    SubsetWidth subset_width_;
+    bool subset_outdated_ = true, needs_update_ = true, mostly_warm_ = true;
+    std::map<uint64_t, RestoredReduction> restored_reductions_;
     std::map<BudgetName, QuotaLease> quotas_;
     std::map<BudgetName, TokenBucket> buckets_;
-    std::map<BudgetName, uint32_t> asked_;
-    uint32_t requests_ = 0;  // since the last observations
-    double rate_ = 0, total_requests_ = 0;
+    std::map<BudgetName, uint32_t> budget_demand_;
+    uint32_t new_requests_ = 0;  // since the last observations
+    double request_rate_ = 0, total_requests_ = 0;
     TimePoint last_observation_, last_rotation_, rate_since_;
 };
 
--- a/src/fleet/endpoints/subset.cpp
+++ b/src/fleet/endpoints/subset.cpp
@@ -12,7 +12,7 @@
 
 constexpr double min_weight = 0.1;        // upstreams with a lower weight are not used
 constexpr double min_peer_weight = 0.05;  // relative to the mean
-constexpr double enough_free = 0.6, plenty_free = 0.8;
+constexpr double widen_below_free = 0.6, narrow_above_free = 0.8;
 constexpr uint32_t max_steps = 16;
 constexpr Duration step_interval = seconds(0.2);
 constexpr uint64_t ring_seed = 7;
@@ -63,8 +63,8 @@
 }
 
 // Adds the upstreams under an arc as long as `wanted` upstreams of average size.
-void cover(SubsetWeights& weights, const Ring& ring, const std::vector<SubsetCandidate>& candidates,
-           double start, double wanted)
+void add_arc_weights(SubsetWeights& weights, const Ring& ring, const std::vector<SubsetCandidate>& candidates,
+                     double start, double wanted)
 {
     if (ring.order.empty()) return;
     const double from = start * ring.length;
@@ -92,19 +92,19 @@
     const auto beyond = [](const auto& each) { return !each.own_zone; };
     SubsetWeights weights(candidates.size(), 0);
     if (!config.zones) {
-        cover(weights, ring_of(candidates, any), candidates, arc_start(peers, self, any),
-              config.size * widening);
+        add_arc_weights(weights, ring_of(candidates, any), candidates, arc_start(peers, self, any),
+                        config.size * widening);
         return weights;
     }
-    cover(weights, ring_of(candidates, in_own_zone), candidates, arc_start(peers, self, in_own_zone),
-          config.size * widening);
-    cover(weights, ring_of(candidates, beyond), candidates, arc_start(peers, self, any),
-          config.beyond * widening);
+    add_arc_weights(weights, ring_of(candidates, in_own_zone), candidates,
+                    arc_start(peers, self, in_own_zone), config.size * widening);
+    add_arc_weights(weights, ring_of(candidates, beyond), candidates, arc_start(peers, self, any),
+                    config.beyond * widening);
     return weights;
 }
 
 // Widens at once if nothing is free; otherwise waits to see whether the last step was enough.
-bool SubsetSize::widen(TimePoint now, double free)
+bool SubsetWidth::widen(TimePoint now, double free)
 {
     if (free > 0 && steps_ > 0 && now - last_needed_ < step_interval) return false;
     last_needed_ = now;
@@ -112,12 +112,12 @@
     return true;
 }
 
-bool SubsetSize::adjust(TimePoint now, double free, double narrower_free, bool is_whole_list)
+bool SubsetWidth::adjust(TimePoint now, double free, double narrower_free, bool covers_whole_list)
 {
-    if (free < enough_free && !is_whole_list && steps_ < max_steps) return widen(now, free);
+    if (free < widen_below_free && !covers_whole_list && steps_ < max_steps) return widen(now, free);
     // Narrows only if the narrower subset would not have to widen again.
-    if (narrower_free < plenty_free) last_needed_ = now;
-    if (steps_ == 0 || now - last_needed_ < narrow_after_) return false;
+    if (narrower_free < narrow_above_free) last_needed_ = now;
+    if (steps_ == 0 || now - last_needed_ < narrowing_delay_) return false;
     last_needed_ = now;
     --steps_;
     return true;
--- a/src/fleet/endpoints/subset.h
+++ b/src/fleet/endpoints/subset.h
@@ -37,22 +37,22 @@
                             const std::vector<SubsetCandidate>& candidates, double widening);
 
 // The width of the subset. It widens at once if too little of the subset is usable, and narrows slowly.
-class SubsetSize
+class SubsetWidth
 {
   public:
     // `narrow_after`: time without need for the present width before it narrows by one step.
-    explicit SubsetSize(Duration narrow_after) : narrow_after_(narrow_after) {}
+    explicit SubsetWidth(Duration narrowing_delay) : narrowing_delay_(narrowing_delay) {}
 
     [[nodiscard]] double widening() const { return static_cast<double>(1U << steps_); }
     [[nodiscard]] uint32_t steps() const { return steps_; }
     // `free`: the share of the subset that carries no reduction; `narrower_free`: the same for the subset one
     // step narrower; `is_whole_list`: the subset covers all upstreams. Returns whether the width has changed.
-    [[nodiscard]] bool adjust(TimePoint now, double free, double narrower_free, bool is_whole_list);
+    [[nodiscard]] bool adjust(TimePoint now, double free, double narrower_free, bool covers_whole_list);
 
   private:
     bool widen(TimePoint now, double free);
 
-    const Duration narrow_after_;
+    const Duration narrowing_delay_;
     uint32_t steps_ = 0;
     TimePoint last_needed_;
 };
--- a/src/fleet/membership/member_view.cpp
+++ b/src/fleet/membership/member_view.cpp
@@ -15,14 +15,14 @@
     const MemberState own = members_[self];
     members_ = members;
     members_[self] = own;
-    alive_ = 0;
+    alive_count_ = 0;
     digest_ = 0;
     ++version_;
     suspect_since_.clear();
     gone_.clear();
     for (MemberIndex member = 0; member < members_.size(); ++member) {
         const MemberState& state = members_[member];
-        alive_ += state.health == Health::alive;
+        alive_count_ += state.health == Health::alive;
         if (state.incarnation) digest_ += digest_of(member);
         if (state.health == Health::gone) gone_.push_back(member);
         if (state.health == Health::suspect && state.incarnation) suspect_since_[member] = started_;
@@ -38,18 +38,18 @@
     return XXH3_64bits(hashed.data(), sizeof hashed);
 }
 
-void MemberView::set(MemberIndex member, const MemberState& next)
+void MemberView::set_state(MemberIndex member, const MemberState& next)
 {
     MemberState& state = members_[member];
     if (state.incarnation) digest_ -= digest_of(member);
-    alive_ -= state.health == Health::alive;
+    alive_count_ -= state.health == Health::alive;
     state = next;
-    alive_ += state.health == Health::alive;
+    alive_count_ += state.health == Health::alive;
     if (state.incarnation) digest_ += digest_of(member);
     ++version_;
 }
 
-void MemberView::update_sets(TimePoint now, MemberIndex member, Health before)
+void MemberView::update_health_sets(TimePoint now, MemberIndex member, Health before)
 {
     const MemberState& state = members_[member];
     const auto place = std::lower_bound(gone_.begin(), gone_.end(), member);
@@ -67,8 +67,8 @@
     std::vector<MemberIndex> overdue;
     for (const auto& [member, since] : suspect_since_)
         if (now - since > timeout) overdue.push_back(member);
-    if (!unheard_are_suspect_ || now - started_ <= timeout) return overdue;
-    unheard_are_suspect_ = false;
+    if (!unheard_not_yet_overdue_ || now - started_ <= timeout) return overdue;
+    unheard_not_yet_overdue_ = false;
     for (MemberIndex member = 0; member < members_.size(); ++member)
         if (members_[member].health == Health::suspect && members_[member].incarnation == 0)
             overdue.push_back(member);
--- a/src/fleet/membership/member_view.h
+++ b/src/fleet/membership/member_view.h
@@ -30,14 +30,14 @@
     // Replaces all records except the member's own.
     void seed(const std::vector<MemberState>& members, MemberIndex self);
 
-    [[nodiscard]] const MemberState& of(MemberIndex member) const { return members_[member]; }
+    [[nodiscard]] const MemberState& state_of(MemberIndex member) const { return members_[member]; }
     [[nodiscard]] size_t size() const { return members_.size(); }
     // The only function that changes a record.
-    void set(MemberIndex member, const MemberState& next);
+    void set_state(MemberIndex member, const MemberState& next);
     // Updates the sets of suspect and gone members after a record has changed.
-    void update_sets(TimePoint now, MemberIndex member, Health before);
+    void update_health_sets(TimePoint now, MemberIndex member, Health before);
 
-    [[nodiscard]] size_t alive() const { return alive_; }
+    [[nodiscard]] size_t alive_count() const { return alive_count_; }
     // Equal at two members exactly if they hold the same health and incarnation of every member with a
     // nonzero incarnation, apart from collisions of the 64-bit hashes.
     [[nodiscard]] uint64_t digest() const { return digest_; }
@@ -55,11 +55,11 @@
 
     const Roster& roster_;
     std::vector<MemberState> members_;
-    size_t alive_ = 0;
+    size_t alive_count_ = 0;
     uint64_t digest_ = 0, version_ = 0;
     TimePoint started_;
     std::map<MemberIndex, TimePoint> suspect_since_;  // without members of incarnation zero
-    bool unheard_are_suspect_ = true;
+    bool unheard_not_yet_overdue_ = true;
     std::vector<MemberIndex> gone_;
 };
 
--- a/src/fleet/membership/membership.cpp
+++ b/src/fleet/membership/membership.cpp
@@ -11,10 +11,10 @@
 constexpr size_t draws_per_helper = 16;
 
 // In periods, each counted from the end of the one before.
-constexpr double silent_after = 3, suspect_after = 1.5, gone_after = 4;
-constexpr double stalled_after = 2;   // without a tick: this process was stalled
-constexpr double recently_heard = 2;  // recent enough to answer an indirect probe request at once
-constexpr double relayed_probe_lasts = 3;
+constexpr double silent_after_periods = 3, suspect_after_periods = 1.5, gone_after_periods = 4;
+constexpr double stalled_after_periods = 2;   // without a tick: this process was stalled
+constexpr double recently_heard_periods = 2;  // recent enough to answer an indirect probe request at once
+constexpr double relayed_probe_periods = 3;
 
 constexpr Duration first_exchange_backoff = seconds(1), max_exchange_backoff = seconds(60);
 
@@ -34,12 +34,12 @@
       random_(static_cast<uint32_t>(seed ^ seed >> 32)),
       view_(config.members)
 {
-    view_.set(self_, {incarnation, instance, Health::alive, 0});
+    view_.set_state(self_, {incarnation, instance, Health::alive, 0});
 }
 
 void Membership::start(TimePoint now)
 {
-    started_ = last_tick_ = heard_at_least_ = now;
+    started_ = last_tick_ = earliest_last_heard_ = now;
     view_.start(now);
     contacts_.clear();
     find_monitored_peers();
@@ -58,12 +58,12 @@
 {
     monitored_.clear();
     gossip_targets_.clear();
-    for (const auto& [ring, place] : config_.members.rings()) {
-        const size_t own_place = place[self_];
+    for (const auto& [ring, positions] : config_.members.rings()) {
+        const size_t own_position = positions[self_];
         const size_t forwards = 1, backwards = ring.size() - 1;
         for (const size_t step : {forwards, backwards}) {
-            size_t at = (own_place + step) % ring.size();
-            while (ring[at] != self_ && view_.of(ring[at]).health == Health::gone)
+            size_t at = (own_position + step) % ring.size();
+            while (ring[at] != self_ && view_.state_of(ring[at]).health == Health::gone)
                 at = (at + step) % ring.size();
             if (ring[at] == self_) continue;
             monitored_.push_back(ring[at]);
@@ -96,7 +96,7 @@
 
 MembershipUpdate Membership::update_of(MemberIndex member) const
 {
-    const MemberState& state = view_.of(member);
+    const MemberState& state = view_.state_of(member);
     return {config_.members[member].key, static_cast<uint8_t>(state.health), state.incarnation,
             state.instance, state.traffic_weight};
 }
@@ -105,13 +105,13 @@
 {
     MembershipUpdates state{{}, reply_requested};
     for (MemberIndex member = 0; member < view_.size(); ++member)
-        if (view_.of(member).incarnation) state.updates.push_back(update_of(member));
+        if (view_.state_of(member).incarnation) state.updates.push_back(update_of(member));
     return state;
 }
 
 void Membership::ping(TimePoint now, MemberIndex to, uint64_t acknowledges)
 {
-    const MemberState& receiver = view_.of(to);
+    const MemberState& receiver = view_.state_of(to);
     Ping ping;
     ping.number = ++last_ping_number_;
     ping.acknowledges = acknowledges;
@@ -142,7 +142,7 @@
     MemberState state = own_state();
     ++state.incarnation;
     state.traffic_weight = weight;
-    view_.set(self_, state);
+    view_.set_state(self_, state);
     gossip({update_of(self_)}, no_member);
 }
 
@@ -162,14 +162,14 @@
         refute(update);
         return false;
     }
-    const MemberState before = view_.of(member);
+    const MemberState before = view_.state_of(member);
     const bool is_newer = update.incarnation > before.incarnation ||
                           (update.incarnation == before.incarnation && update.health > before.health);
     if (!is_newer) return false;
     MemberState next = update;
     if (!next.instance) next.instance = before.instance;
-    view_.set(member, next);
-    view_.update_sets(now, member, before.health);
+    view_.set_state(member, next);
+    view_.update_health_sets(now, member, before.health);
     if (next.health == Health::alive)
         if (const auto contact = contacts_.find(member); contact != contacts_.end())
             contact->second.probing = false;
@@ -192,7 +192,7 @@
     const bool agrees =
         is_alive && (update.incarnation == state.incarnation || update.instance == state.instance);
     if (agrees) return;
-    view_.set(self_, {update.incarnation + 1, state.instance, state.health, state.traffic_weight});
+    view_.set_state(self_, {update.incarnation + 1, state.instance, state.health, state.traffic_weight});
     gossip({update_of(self_)}, no_member);
 }
 
@@ -203,7 +203,7 @@
     contact.probing = false;
     std::erase_if(relayed_probes_, [&](const RelayedProbe& probe) {
         if (probe.subject != from) return false;
-        send(probe.requester, IndirectProbeAck{config_.members[from].key, view_.of(from).incarnation});
+        send(probe.requester, IndirectProbeAck{config_.members[from].key, view_.state_of(from).incarnation});
         return true;
     });
 }
@@ -212,7 +212,7 @@
 {
     const MemberState sender{ping_received.incarnation, ping_received.instance, Health::alive,
                              ping_received.weight};
-    if (view_.of(from).incarnation < sender.incarnation && accept(now, from, sender))
+    if (view_.state_of(from).incarnation < sender.incarnation && accept(now, from, sender))
         gossip({update_of(from)}, from);
     const bool thinks_alive = ping_received.receiver_health == static_cast<uint8_t>(Health::alive);
     const bool must_refute = (!thinks_alive && ping_received.receiver_incarnation) ||
@@ -243,8 +243,8 @@
 {
     const auto subject = config_.member_of(request.member);
     if (!subject || *subject == self_) return;
-    if (now - last_heard(contact_of(*subject)) < period_ * recently_heard)
-        return send(from, IndirectProbeAck{request.member, view_.of(*subject).incarnation});
+    if (now - last_heard(contact_of(*subject)) < period_ * recently_heard_periods)
+        return send(from, IndirectProbeAck{request.member, view_.state_of(*subject).incarnation});
     relayed_probes_.push_back({*subject, from, now});
     ping(now, *subject);
 }
@@ -260,15 +260,15 @@
 
 void Membership::on_updates(TimePoint now, MemberIndex from, const MembershipUpdates& updates)
 {
-    std::vector<MembershipUpdate> news;
+    std::vector<MembershipUpdate> accepted;
     for (const MembershipUpdate& update : updates.updates) {
         const auto member = config_.member_of(update.member);
         if (!member || update.health > static_cast<uint8_t>(Health::gone)) continue;
         const MemberState state{update.incarnation, update.instance, static_cast<Health>(update.health),
                                 update.weight};
-        if (accept(now, *member, state)) news.push_back(update_of(*member));
+        if (accept(now, *member, state)) accepted.push_back(update_of(*member));
     }
-    gossip(news, from);
+    gossip(accepted, from);
     if (updates.reply_requested) send(from, full_state(false));
 }
 
@@ -277,58 +277,58 @@
 void Membership::tick(TimePoint now)
 {
     // After a stall of this process no member has been heard, which is not their fault.
-    if (now - last_tick_ > period_ * stalled_after) heard_at_least_ = now - period_;
+    if (now - last_tick_ > period_ * stalled_after_periods) earliest_last_heard_ = now - period_;
     last_tick_ = now;
     std::erase_if(relayed_probes_, [&](const RelayedProbe& probe) {
-        return now - probe.requested > period_ * relayed_probe_lasts;
+        return now - probe.requested > period_ * relayed_probe_periods;
     });
-    std::vector<MembershipUpdate> found = monitor_peers(now);
+    std::vector<MembershipUpdate> detected = monitor_peers(now);
     const auto gone_member = next_gone_member();
-    expire_suspects(now, found);
-    gossip(found, no_member);
+    expire_suspects(now, detected);
+    gossip(detected, no_member);
     ping_gone_member(now, gone_member);
 }
 
 std::vector<MembershipUpdate> Membership::monitor_peers(TimePoint now)
 {
-    std::vector<MembershipUpdate> found;
+    std::vector<MembershipUpdate> detected;
     const auto peers = monitored_;  // monitor() may change them
     const auto contacts = monitored_contacts_;
-    for (size_t i = 0; i < peers.size(); ++i) monitor(now, peers[i], *contacts[i], found);
-    return found;
+    for (size_t i = 0; i < peers.size(); ++i) monitor(now, peers[i], *contacts[i], detected);
+    return detected;
 }
 
 void Membership::monitor(TimePoint now, MemberIndex peer, Contact& contact,
-                         std::vector<MembershipUpdate>& found)
+                         std::vector<MembershipUpdate>& detected)
 {
     if (now - contact.last_ping >= period_) ping(now, peer);
-    if (view_.of(peer).health != Health::alive) return;
+    if (view_.state_of(peer).health != Health::alive) return;
     if (!contact.probing) {
-        if (now - last_heard(contact) > period_ * silent_after) probe_indirectly(now, peer, contact);
+        if (now - last_heard(contact) > period_ * silent_after_periods) probe_indirectly(now, peer, contact);
         return;
     }
-    if (now - contact.probe_started <= period_ * suspect_after) return;
+    if (now - contact.probe_started <= period_ * suspect_after_periods) return;
     contact.probing = false;
-    const MemberState state = view_.of(peer);
+    const MemberState state = view_.state_of(peer);
     if (accept(now, peer, {state.incarnation, 0, Health::suspect, state.traffic_weight}))
-        found.push_back(update_of(peer));
+        detected.push_back(update_of(peer));
 }
 
 void Membership::probe_indirectly(TimePoint now, MemberIndex peer, Contact& contact)
 {
     contact.probing = true;
     contact.probe_started = now;
-    for (const MemberIndex helper : draw_helpers(peer))
+    for (const MemberIndex helper : draw_probe_helpers(peer))
         send(helper, IndirectProbeRequest{config_.members[peer].key});
 }
 
-void Membership::expire_suspects(TimePoint now, std::vector<MembershipUpdate>& found)
+void Membership::expire_suspects(TimePoint now, std::vector<MembershipUpdate>& detected)
 {
-    for (const MemberIndex member : view_.overdue_suspects(now, period_ * gone_after)) {
-        const MemberState state = view_.of(member);
+    for (const MemberIndex member : view_.overdue_suspects(now, period_ * gone_after_periods)) {
+        const MemberState state = view_.state_of(member);
         const bool was_heard_of = state.incarnation > 0;
         if (accept(now, member, {state.incarnation, 0, Health::gone, state.traffic_weight}) && was_heard_of)
-            found.push_back(update_of(member));
+            detected.push_back(update_of(member));
     }
 }
 
@@ -349,21 +349,21 @@
 }
 
 // Up to three other alive members, drawn uniformly.
-std::vector<MemberIndex> Membership::draw_helpers(MemberIndex subject)
+std::vector<MemberIndex> Membership::draw_probe_helpers(MemberIndex subject)
 {
     std::vector<MemberIndex> drawn;
-    const auto suits = [&](MemberIndex member) {
-        return member != subject && member != self_ && view_.of(member).health == Health::alive &&
+    const auto is_candidate = [&](MemberIndex member) {
+        return member != subject && member != self_ && view_.state_of(member).health == Health::alive &&
                std::find(drawn.begin(), drawn.end(), member) == drawn.end();
     };
-    std::uniform_int_distribution<MemberIndex> any(0, static_cast<MemberIndex>(view_.size() - 1));
+    std::uniform_int_distribution<MemberIndex> any_member(0, static_cast<MemberIndex>(view_.size() - 1));
     for (size_t i = 0; i < indirect_probes * draws_per_helper && drawn.size() < indirect_probes; ++i)
-        if (const MemberIndex member = any(random_); suits(member)) drawn.push_back(member);
+        if (const MemberIndex member = any_member(random_); is_candidate(member)) drawn.push_back(member);
     if (drawn.size() == indirect_probes) return drawn;
     // Few members are alive: take the remaining ones in random order.
     std::vector<MemberIndex> remaining;
     for (MemberIndex member = 0; member < view_.size(); ++member)
-        if (suits(member)) remaining.push_back(member);
+        if (is_candidate(member)) remaining.push_back(member);
     std::shuffle(remaining.begin(), remaining.end(), random_);
     remaining.resize(std::min(remaining.size(), indirect_probes - drawn.size()));
     drawn.insert(drawn.end(), remaining.begin(), remaining.end());
--- a/src/fleet/membership/membership.h
+++ b/src/fleet/membership/membership.h
@@ -66,10 +66,10 @@
     [[nodiscard]] std::vector<Send> take_sends() { return std::exchange(sends_, {}); }
     [[nodiscard]] std::vector<HealthChange> take_health_changes() { return std::exchange(changes_, {}); }
 
-    [[nodiscard]] const MemberState& state_of(MemberIndex member) const { return view_.of(member); }
-    [[nodiscard]] const MemberState& own_state() const { return view_.of(self_); }
+    [[nodiscard]] const MemberState& state_of(MemberIndex member) const { return view_.state_of(member); }
+    [[nodiscard]] const MemberState& own_state() const { return view_.state_of(self_); }
     [[nodiscard]] Incarnation incarnation() const { return own_state().incarnation; }
-    [[nodiscard]] size_t alive_count() const { return view_.alive(); }
+    [[nodiscard]] size_t alive_count() const { return view_.alive_count(); }
     [[nodiscard]] uint64_t view_digest() const { return view_.digest(); }
     [[nodiscard]] uint64_t view_version() const { return view_.version(); }
     // Whether another process with this member's id has been seen.
@@ -106,20 +106,20 @@
     void refute(const MemberState& update);
     void reconcile(TimePoint now, MemberIndex from, uint64_t digest);
 
-    void monitor(TimePoint now, MemberIndex peer, Contact& contact, std::vector<MembershipUpdate>& found);
+    void monitor(TimePoint now, MemberIndex peer, Contact& contact, std::vector<MembershipUpdate>& detected);
     void probe_indirectly(TimePoint now, MemberIndex peer, Contact& contact);
     std::vector<MembershipUpdate> monitor_peers(TimePoint now);
-    void expire_suspects(TimePoint now, std::vector<MembershipUpdate>& found);
+    void expire_suspects(TimePoint now, std::vector<MembershipUpdate>& detected);
     void ping_gone_member(TimePoint now, std::optional<MemberIndex> member);
     std::optional<MemberIndex> next_gone_member() const;
-    std::vector<MemberIndex> draw_helpers(MemberIndex subject);
+    std::vector<MemberIndex> draw_probe_helpers(MemberIndex subject);
 
     void find_monitored_peers();
     bool is_monitored(MemberIndex member) const;
     Contact& contact_of(MemberIndex member);
     TimePoint last_heard(const Contact& contact) const
     {
-        return std::max(contact.last_heard, heard_at_least_);
+        return std::max(contact.last_heard, earliest_last_heard_);
     }
 
     const FleetConfig& config_;
@@ -130,7 +130,7 @@
     PingPayload payload_;
 
     std::unordered_map<MemberIndex, Contact> contacts_;
-    TimePoint heard_at_least_;  // no member counts as last heard before this time
+    TimePoint earliest_last_heard_;  // no member counts as last heard before this time
     std::vector<MemberIndex> monitored_, gossip_targets_;
     std::vector<Contact*> monitored_contacts_;  // same order as monitored_
     std::vector<RelayedProbe> relayed_probes_;
--- a/src/fleet/membership/roster.cpp
+++ b/src/fleet/membership/roster.cpp
@@ -14,7 +14,7 @@
     std::vector<MemberConfig> members;
     std::unordered_map<MemberKey, MemberIndex> by_key;
     size_t voters = 0;
-    std::once_flag rings_made;
+    std::once_flag rings_built;
     Rings rings;
 
     Data() = default;
@@ -23,10 +23,10 @@
     // Does not copy the rings, which change with every added member.
     Data(const Data& other) : members(other.members), by_key(other.by_key), voters(other.voters) {}
 
-    void make_rings();
+    void build_rings();
 };
 
-void Roster::Data::make_rings()
+void Roster::Data::build_rings()
 {
     for (size_t ring = 0; ring < ring_count; ++ring) {
         std::vector<std::pair<uint64_t, MemberIndex>> hashed;
@@ -35,12 +35,12 @@
             hashed.emplace_back(XXH3_64bits_withSeed(members[m].id.data(), members[m].id.size(), ring + 1),
                                 m);
         std::sort(hashed.begin(), hashed.end());
-        Ring& made = rings[ring];
-        made.order.reserve(members.size());
-        made.place.resize(members.size());
+        Ring& built = rings[ring];
+        built.members.reserve(members.size());
+        built.positions.resize(members.size());
         for (const auto& [hash, m] : hashed) {
-            made.place[m] = static_cast<uint32_t>(made.order.size());
-            made.order.push_back(m);
+            built.positions[m] = static_cast<uint32_t>(built.members.size());
+            built.members.push_back(m);
         }
     }
 }
@@ -49,8 +49,8 @@
 
 void Roster::push_back(MemberConfig member)
 {
-    const bool rings_made = !data_->rings[0].order.empty();
-    if (data_.use_count() > 1 || rings_made) data_ = std::make_shared<Data>(*data_);
+    const bool rings_built = !data_->rings[0].members.empty();
+    if (data_.use_count() > 1 || rings_built) data_ = std::make_shared<Data>(*data_);
     member.key = key_of(member.id);
     data_->by_key.emplace(member.key, static_cast<MemberIndex>(data_->members.size()));
     data_->voters += member.is_voter;
@@ -80,7 +80,7 @@
 
 const Roster::Rings& Roster::rings() const
 {
-    std::call_once(data_->rings_made, [this] { data_->make_rings(); });
+    std::call_once(data_->rings_built, [this] { data_->build_rings(); });
     return data_->rings;
 }
 
--- a/src/fleet/membership/roster.h
+++ b/src/fleet/membership/roster.h
@@ -32,8 +32,8 @@
     // All members in the order of a hash of their ids, which is the same at every member regardless of the
     // order of its fleet file.
     struct Ring {
-        std::vector<MemberIndex> order;
-        std::vector<uint32_t> place;  // of each member in `order`
+        std::vector<MemberIndex> members;
+        std::vector<uint32_t> positions;  // of each member in `members`
     };
     using Rings = std::array<Ring, ring_count>;
 
@@ -55,7 +55,7 @@
     // Built on first use.
     const Rings& rings() const;
 
-    bool shares_with(const Roster& other) const { return data_ == other.data_; }
+    bool shares_data_with(const Roster& other) const { return data_ == other.data_; }
 
   private:
     struct Data;
--- a/src/fleet/startup/member_snapshot.cpp
+++ b/src/fleet/startup/member_snapshot.cpp
@@ -57,8 +57,8 @@
     return std::move(*snapshot);
 }
 
-std::optional<SnapshotError> check_owner(const MemberSnapshot& snapshot, const std::string& fleet,
-                                         const std::string& member)
+std::optional<SnapshotError> check_snapshot_owner(const MemberSnapshot& snapshot, const std::string& fleet,
+                                                  const std::string& member)
 {
     if (snapshot.fleet != fleet) return SnapshotError{"it is of fleet '" + snapshot.fleet + "'"};
     if (snapshot.member != member) return SnapshotError{"it is of member '" + snapshot.member + "'"};
--- a/src/fleet/startup/member_snapshot.h
+++ b/src/fleet/startup/member_snapshot.h
@@ -50,7 +50,7 @@
 // Returns the whole snapshot or an error, never a part of it.
 std::variant<MemberSnapshot, SnapshotError> decode_member_snapshot(std::string_view bytes);
 // Returns nullopt if the snapshot belongs to this member.
-std::optional<SnapshotError> check_owner(const MemberSnapshot& snapshot, const std::string& fleet,
-                                         const std::string& member);
+std::optional<SnapshotError> check_snapshot_owner(const MemberSnapshot& snapshot, const std::string& fleet,
+                                                  const std::string& member);
 
 }  // namespace firtide::fleet
--- a/src/fleet/startup/snapshot_service.cpp
+++ b/src/fleet/startup/snapshot_service.cpp
@@ -14,39 +14,39 @@
 void SnapshotService::start()
 {
     last_write_ = context_.now;
-    first_incarnation_ = context_.membership.incarnation();
+    startup_incarnation_ = context_.membership.incarnation();
 }
 
 // ---- the snapshot of the last run ----
 
 void SnapshotService::on_loaded(SnapshotLoaded& loaded)
 {
-    if (const auto* error = std::get_if<SnapshotError>(&loaded.snapshot)) return refuse(*error);
+    if (const auto* error = std::get_if<SnapshotError>(&loaded.snapshot)) return reject(*error);
     auto* snapshot = std::get_if<MemberSnapshot>(&loaded.snapshot);
     if (!snapshot) {
-        history_.emplace_back("no snapshot");
+        restore_report_.emplace_back("no snapshot");
         return;
     }
-    if (const auto error = check_owner(*snapshot, context_.config.name, context_.config.id))
-        return refuse(*error);
-    trust(std::move(*snapshot), loaded.age);
+    if (const auto error = check_snapshot_owner(*snapshot, context_.config.name, context_.config.id))
+        return reject(*error);
+    restore(std::move(*snapshot), loaded.age);
 }
 
-void SnapshotService::refuse(const SnapshotError& error)
+void SnapshotService::reject(const SnapshotError& error)
 {
-    history_.push_back("refused snapshot: " + error.message);
+    restore_report_.push_back("refused snapshot: " + error.message);
     context_.log(LogEvent::Kind::fault, context_.config.id, "the snapshot is refused: " + error.message);
 }
 
-void SnapshotService::trust(MemberSnapshot snapshot, std::optional<Duration> age)
+void SnapshotService::restore(MemberSnapshot snapshot, std::optional<Duration> age)
 {
     context_.lease_client.restore_epochs(snapshot.seen_epochs);
     for (const SeenEpoch& seen : snapshot.seen_epochs) context_.fencing.observe_epoch(seen.duty, seen.epoch);
-    history_.push_back("trusted epochs of " + std::to_string(snapshot.seen_epochs.size()) + " duties");
-    history_.push_back("hint list version " + std::to_string(snapshot.list_version) + ", " +
-                       std::to_string(snapshot.list_text.size()) + " bytes");
-    history_.push_back("trusted " + std::to_string(snapshot.open_request_ids.size()) +
-                       " ids of what may have run");
+    restore_report_.push_back("trusted epochs of " + std::to_string(snapshot.seen_epochs.size()) + " duties");
+    restore_report_.push_back("hint list version " + std::to_string(snapshot.list_version) + ", " +
+                              std::to_string(snapshot.list_text.size()) + " bytes");
+    restore_report_.push_back("trusted " + std::to_string(snapshot.open_request_ids.size()) +
+                              " ids of what may have run");
     // Reductions keep expiring while the process is down; `age` is measured by a clock that keeps running,
     // too.
     std::erase_if(snapshot.reductions, [&](PersistedReduction& reduction) {
@@ -54,8 +54,8 @@
         reduction.remaining_us -= age->us;
         return reduction.remaining_us <= 0;
     });
-    history_.push_back(age ? "trusted " + std::to_string(snapshot.reductions.size()) + " reductions"
-                           : "refused reductions: the machine was started anew");
+    restore_report_.push_back(age ? "trusted " + std::to_string(snapshot.reductions.size()) + " reductions"
+                                  : "refused reductions: the machine was started anew");
     endpoints_.set_hint(snapshot.list_version, snapshot.list_text);
     context_.emit(ApplySnapshot{std::move(snapshot)});
 }
@@ -67,10 +67,10 @@
 {
     const bool is_early = context_.now - context_.started < context_.config.recovery->wait;
     const Incarnation incarnation = context_.membership.incarnation();
-    if (reported_outdated_disk_ || incarnation <= first_incarnation_ || !is_early) return;
+    if (reported_outdated_disk_ || incarnation <= startup_incarnation_ || !is_early) return;
     reported_outdated_disk_ = true;
-    history_.push_back("older than others have seen this member: as incarnation " +
-                       std::to_string(incarnation));
+    restore_report_.push_back("older than others have seen this member: as incarnation " +
+                              std::to_string(incarnation));
     context_.log(LogEvent::Kind::fault, context_.config.id,
                  "its disk is older than others have seen this member");
 }
@@ -129,7 +129,7 @@
     if (!context_.config.recovery) return "FAILURE the fleet file has no [recovery]\n";
     std::string text;
     for (const auto& line : choices_.observations().startup_status) text += line + "\n";
-    for (const auto& line : history_) text += "memory " + line + "\n";
+    for (const auto& line : restore_report_) text += "memory " + line + "\n";
     return text + "EOT\n";
 }
 
--- a/src/fleet/startup/snapshot_service.h
+++ b/src/fleet/startup/snapshot_service.h
@@ -25,8 +25,8 @@
     [[nodiscard]] std::string status() const;
 
   private:
-    void refuse(const SnapshotError& error);
-    void trust(MemberSnapshot snapshot, std::optional<Duration> age);
+    void reject(const SnapshotError& error);
+    void restore(MemberSnapshot snapshot, std::optional<Duration> age);
     void report_outdated_disk();
     FleetState fleet_state() const;
     MemberSnapshot make_snapshot();
@@ -34,8 +34,8 @@
     FleetContext& context_;
     EndpointListService& endpoints_;
     const SharedChoices& choices_;
-    std::vector<std::string> history_;  // what was restored and rejected
-    Incarnation first_incarnation_ = 0;
+    std::vector<std::string> restore_report_;  // what was restored and rejected
+    Incarnation startup_incarnation_ = 0;
     TimePoint last_write_;
     bool reported_outdated_disk_ = false;
 };
--- a/src/fleet/startup/startup_sequencer.cpp
+++ b/src/fleet/startup/startup_sequencer.cpp
@@ -8,13 +8,13 @@
 namespace
 {
 
-constexpr double warm_threshold = 0.95;      // of the capacity of all upstreams
-constexpr double headroom = 1.25;            // the baseline was below the highest rate that could be handled
-constexpr double min_admitted_share = 0.05;  // some traffic is needed to see what can be handled
-constexpr double max_takeover_factor = 3;    // of the baseline, if other balancers have not come back
-constexpr double reserved_for_value = 0.5;   // of the tokens, for the most valuable operations
-constexpr double empty_list_stages = 4;      // in units of the longest duration of a stage
-constexpr Duration burst_window = seconds(0.25);
+constexpr double warm_threshold = 0.95;       // of the capacity of all upstreams
+constexpr double headroom = 1.25;             // the baseline was below the highest rate that could be handled
+constexpr double min_admitted_share = 0.05;   // some traffic is needed to see what can be handled
+constexpr double max_takeover_factor = 3;     // of the baseline, if other balancers have not come back
+constexpr double reserved_token_share = 0.5;  // of the tokens, for the most valuable operations
+constexpr double empty_list_wait_factor = 4;  // in units of the longest duration of a stage
+constexpr Duration admission_burst_window = seconds(0.25);
 constexpr Duration settling_time = seconds(30);
 
 StartupStage next_of(StartupStage stage)
@@ -25,7 +25,7 @@
 std::string milliseconds_of(Duration span) { return std::to_string(span.us / 1000); }
 
 // What a stage waits for; null if it waits for nothing.
-const char* awaited_by(StartupStage stage)
+const char* wait_description(StartupStage stage)
 {
     switch (stage) {
         case StartupStage::peers: return "waits for half of the members";
@@ -56,7 +56,7 @@
 void StartupSequencer::start(TimePoint now)
 {
     last_refill_ = now;
-    record_of(StartupStage::disk).from = now;
+    record_of(StartupStage::disk).started_at = now;
 }
 
 // ---- stages ----
@@ -82,11 +82,11 @@
     while (stage_ != StartupStage::full) {
         StageRecord& record = record_of(stage_);
         const bool complete = is_complete(warm, listed);
-        if (!complete && now - record.from < max_duration()) return;
-        record.to = now;
+        if (!complete && now - record.started_at < max_duration()) return;
+        record.ended_at = now;
         record.timed_out = !complete;
         stage_ = next_of(stage_);
-        record_of(stage_).from = now;
+        record_of(stage_).started_at = now;
     }
 }
 
@@ -103,7 +103,7 @@
 bool StartupSequencer::accepts_empty_list(TimePoint now)
 {
     if (!empty_since_) empty_since_ = now;
-    return now - *empty_since_ > config_.wait * empty_list_stages;
+    return now - *empty_since_ > config_.wait * empty_list_wait_factor;
 }
 
 // ---- admission ----
@@ -123,12 +123,12 @@
 {
     if (admitted_share_ >= 1) return true;
     const double rate = admission_rate();
-    const double capacity = std::max(2.0, rate * burst_window.seconds());
+    const double capacity = std::max(2.0, rate * admission_burst_window.seconds());
     const double refill = rate * std::max(0.0, (now - last_refill_).seconds());
     tokens_ = std::min(capacity, tokens_ + refill);
     last_refill_ = now;
     // Less valuable operations need a fuller bucket, which leaves tokens for more valuable ones.
-    if (tokens_ < 1 + rank * reserved_for_value * (capacity - 1)) {
+    if (tokens_ < 1 + rank * reserved_token_share * (capacity - 1)) {
         ++rejected_;
         return false;
     }
@@ -138,7 +138,8 @@
 
 TrafficBaseline StartupSequencer::next_baseline(TimePoint now, const TrafficBaseline& seen) const
 {
-    const bool has_settled = stage_ == StartupStage::full && now - records_.back().from >= settling_time;
+    const bool has_settled =
+        stage_ == StartupStage::full && now - stage_records_.back().started_at >= settling_time;
     return has_settled || baseline_.accepted_rate <= seen.accepted_rate ? seen : baseline_;
 }
 
@@ -148,15 +149,16 @@
 {
     std::vector<std::string> lines;
     lines.push_back(std::string("stage ") + to_string(stage_) + " since_ms " +
-                    milliseconds_of(now - record_of(stage_).from) + " admitted_percent " +
+                    milliseconds_of(now - record_of(stage_).started_at) + " admitted_percent " +
                     std::to_string(static_cast<int>(admitted_share_ * 100)) + " turned_away " +
                     std::to_string(rejected_));
     for (StartupStage stage = StartupStage::disk; stage < stage_; stage = next_of(stage)) {
         const StageRecord& record = record_of(stage);
         lines.push_back(std::string("passed ") + to_string(stage) + " after_ms " +
-                        milliseconds_of(record.to - record.from) + (record.timed_out ? " gave up" : ""));
+                        milliseconds_of(record.ended_at - record.started_at) +
+                        (record.timed_out ? " gave up" : ""));
     }
-    if (const char* awaited = awaited_by(stage_))
+    if (const char* awaited = wait_description(stage_))
         lines.push_back(std::string(awaited) + ", no longer than " + milliseconds_of(max_duration()) + " ms");
     return lines;
 }
--- a/src/fleet/startup/startup_sequencer.h
+++ b/src/fleet/startup/startup_sequencer.h
@@ -71,12 +71,15 @@
     static constexpr size_t stage_count = static_cast<size_t>(StartupStage::full) + 1;
 
     struct StageRecord {
-        TimePoint from, to;
+        TimePoint started_at, ended_at;
         bool timed_out = false;
     };
 
-    StageRecord& record_of(StartupStage stage) { return records_[static_cast<size_t>(stage)]; }
-    const StageRecord& record_of(StartupStage stage) const { return records_[static_cast<size_t>(stage)]; }
+    StageRecord& record_of(StartupStage stage) { return stage_records_[static_cast<size_t>(stage)]; }
+    const StageRecord& record_of(StartupStage stage) const
+    {
+        return stage_records_[static_cast<size_t>(stage)];
+    }
     bool is_complete(double warm, double listed) const;
     void advance(TimePoint now, double warm, double listed);
     Duration max_duration() const { return stage_ == StartupStage::warming ? config_.warm : config_.wait; }
@@ -86,7 +89,7 @@
     FleetState fleet_;
     TrafficBaseline baseline_;
     StartupStage stage_ = StartupStage::disk;
-    std::array<StageRecord, stage_count> records_;
+    std::array<StageRecord, stage_count> stage_records_;
     TimePoint last_refill_;
     std::optional<TimePoint> empty_since_;
     bool list_received_ = false;
--- a/tests/adding_up.cpp
+++ b/tests/adding_up.cpp
@@ -81,7 +81,7 @@
     std::printf("by zones, 4 of the own and 2 beyond: %s\n",
                 yes(own >= 4 && used(z) - own >= 2 && used(z) <= 9));
 
-    SubsetSize w(seconds(10));
+    SubsetWidth w(seconds(10));
     TimePoint now{1'000'000};
     std::printf("-- width\nhalf is free: %s\n", w.adjust(now, 0.6, 0, false) ? "WIDER" : "as it was");
     for (int i = 0; i < 3; ++i) (void)w.adjust(now, 0, 0, false);
--- a/tests/list_replica.cpp
+++ b/tests/list_replica.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-using Result = EndpointReplica::Result;
+using Result = EndpointReplica::ApplyResult;
 
 constexpr MemberIndex first = 1, second = 2;
 constexpr Epoch epoch = 3;
@@ -138,7 +138,7 @@
     EndpointReplica holder{EndpointDeltaConfig{}}, member{EndpointDeltaConfig{}};
     apply_all(member, publish(holder, 1, lines_of(5)));
     member.corrupt("u1", line("u1", 9));
-    EXPECT_FALSE(member.intact());
+    EXPECT_FALSE(member.is_intact());
     EXPECT_EQ(member.apply(publish(holder, 2, lines_of(6))[0]), Result::diverged);
     EXPECT_EQ(member.revision(), (EndpointRevision{epoch, 1}));
 }
@@ -155,7 +155,7 @@
     EXPECT_EQ(member.apply(taken_over[0]), Result::adopted);
     expect_same(member, next);
     // The log still leads on from the earlier revision.
-    EXPECT_TRUE(member.reaches({epoch, 1}));
+    EXPECT_TRUE(member.can_catch_up_from({epoch, 1}));
 }
 
 TEST(EndpointReplica, NewHolderPublishesAnEmptyDeltaOfItsEpoch)
@@ -207,28 +207,28 @@
 {
     EndpointReplica holder{EndpointDeltaConfig{}};
     for (uint64_t number = 1; number <= 5; ++number) publish(holder, number, lines_of(number));
-    const auto missing = holder.since({epoch, 3});
+    const auto missing = holder.deltas_since({epoch, 3});
     ASSERT_EQ(missing.size(), 2u);
     EXPECT_EQ(missing[0].from, (EndpointRevision{epoch, 3}));
     EXPECT_EQ(missing[1].to, holder.revision());
-    EXPECT_TRUE(holder.since(holder.revision()).empty());
-    EXPECT_TRUE(holder.since({epoch - 1, 3}).empty()) << "of another line of revisions";
+    EXPECT_TRUE(holder.deltas_since(holder.revision()).empty());
+    EXPECT_TRUE(holder.deltas_since({epoch - 1, 3}).empty()) << "of another line of revisions";
 }
 
 TEST(EndpointReplica, LogKeepsNoMoreThanItsHistory)
 {
     EndpointReplica holder{EndpointDeltaConfig{3, seconds(1), 65536}};
     for (uint64_t number = 1; number <= 5; ++number) publish(holder, number, lines_of(number));
-    EXPECT_TRUE(holder.since({epoch, 1}).empty());
-    EXPECT_FALSE(holder.reaches({epoch, 1}));
-    EXPECT_EQ(holder.since({epoch, 2}).size(), 3u);
+    EXPECT_TRUE(holder.deltas_since({epoch, 1}).empty());
+    EXPECT_FALSE(holder.can_catch_up_from({epoch, 1}));
+    EXPECT_EQ(holder.deltas_since({epoch, 2}).size(), 3u);
 }
 
 TEST(EndpointReplica, AnswerHoldsAboutOneChunkOfDeltas)
 {
     EndpointReplica holder{EndpointDeltaConfig{1000, seconds(1), 1024}};
     for (uint64_t number = 1; number <= 100; ++number) publish(holder, number, lines_of(number));
-    const auto missing = holder.since({epoch, 1});
+    const auto missing = holder.deltas_since({epoch, 1});
     EXPECT_GT(missing.size(), 1u);
     EXPECT_LT(missing.size(), 20u);
 }
@@ -308,13 +308,13 @@
     {
         if (const auto* want = std::get_if<EndpointDeltaRequest>(&message)) {
             ++wants;
-            return by.handle(now, from, *want, Duration{});
+            return by.on_delta_request(now, from, *want, Duration{});
         }
         if (const auto* chunk = std::get_if<EndpointSnapshotChunk>(&message)) {
             ++chunks;
-            return (void)by.handle(now, from, *chunk);
+            return (void)by.on_snapshot_chunk(now, from, *chunk);
         }
-        by.handle(now, from, std::get<EndpointDelta>(message));
+        by.on_delta(now, from, std::get<EndpointDelta>(message));
     }
     void ping(TimePoint now)
     {
@@ -335,7 +335,7 @@
     expect_same(pair.member.replica(), pair.holder.replica());
     EXPECT_EQ(pair.wants, 1u);
     EXPECT_EQ(pair.chunks, 0u);
-    EXPECT_FALSE(pair.member.behind());
+    EXPECT_FALSE(pair.member.is_behind());
 }
 
 TEST(EndpointDistribution, LongRepairGoesOnWithoutWaiting)
@@ -385,10 +385,10 @@
     pair.member.replica().corrupt("u1", line("u1", 9));
     pair.holder.on_peer_revision(start, second, pair.member.replica().revision(),
                                  pair.member.replica().digest());
-    EXPECT_FALSE(pair.holder.behind());
+    EXPECT_FALSE(pair.holder.is_behind());
     pair.ping(start + seconds(2));
     expect_same(pair.member.replica(), pair.holder.replica());
-    EXPECT_TRUE(pair.member.replica().intact());
+    EXPECT_TRUE(pair.member.replica().is_intact());
     EXPECT_EQ(pair.chunks, 1u);
 }
 
@@ -413,8 +413,8 @@
 {
     EndpointDistribution behind{EndpointDeltaConfig{}};
     behind.publish(epoch, version(7), lines_of(5), {});
-    behind.handle(start, second, EndpointDeltaRequest{{epoch - 1, 4}, version(8), 1, false, {}, 0},
-                  Duration{});
+    behind.on_delta_request(start, second, EndpointDeltaRequest{{epoch - 1, 4}, version(8), 1, false, {}, 0},
+                            Duration{});
     EXPECT_TRUE(behind.take_sends().empty());
 }
 
@@ -424,7 +424,7 @@
 {
     EndpointDistribution holder{EndpointDeltaConfig{}};
     holder.publish(epoch, version(1), lines_of(50), {});
-    auto use = holder.take_use();
+    auto use = holder.take_list_update();
     ASSERT_TRUE(use);
     EXPECT_TRUE(use->is_full);
     EndpointMap used;
@@ -434,23 +434,23 @@
     auto lines = lines_of(49);
     lines["u7"] = line("u7", 2);
     holder.publish(epoch, version(2), lines, std::vector<std::string>{"u7", "u49"});
-    use = holder.take_use();
+    use = holder.take_list_update();
     ASSERT_TRUE(use);
     EXPECT_FALSE(use->is_full);
     EXPECT_EQ(use->version, 2u);
     EXPECT_LT(use->text.size(), 200u);
     net::apply_list_update(used, use->text);
     EXPECT_EQ(used, lines);
-    EXPECT_FALSE(holder.take_use());
+    EXPECT_FALSE(holder.take_list_update());
 }
 
 TEST(EndpointDistribution, NewVersionWithoutChangesIsTold)
 {
     EndpointDistribution holder{EndpointDeltaConfig{}};
     holder.publish(epoch, version(1), lines_of(5), {});
-    holder.take_use();
+    holder.take_list_update();
     EXPECT_EQ(holder.publish(epoch, version(2), lines_of(5), {}).size(), 1u);
-    const auto use = holder.take_use();
+    const auto use = holder.take_list_update();
     ASSERT_TRUE(use);
     EXPECT_EQ(use->version, 2u);
     EXPECT_TRUE(holder.publish(epoch, version(2), lines_of(5), {}).empty()) << "nothing is new";
@@ -463,10 +463,10 @@
     const auto deltas = holder.publish(epoch, version(1), lines_of(50), {});
     ASSERT_GT(deltas.size(), 1u);
     for (const EndpointDelta& delta : deltas) {
-        EXPECT_FALSE(member.take_use());
-        member.handle(start, first, delta);
+        EXPECT_FALSE(member.take_list_update());
+        member.on_delta(start, first, delta);
     }
-    EXPECT_TRUE(member.take_use());
+    EXPECT_TRUE(member.take_list_update());
 }
 
 TEST(EndpointDistribution, OwnNewerListStaysWhileTheFleetsChangesBelowIt)
@@ -474,16 +474,16 @@
     EndpointDistribution holder{EndpointDeltaConfig{}}, member{EndpointDeltaConfig{}};
     EndpointMap used;
     const auto take = [&] {
-        if (const auto use = member.take_use()) net::apply_list_update(used, use->text);
+        if (const auto use = member.take_list_update()) net::apply_list_update(used, use->text);
     };
     const auto hear = [&](const std::vector<EndpointDelta>& deltas) {
-        for (const EndpointDelta& delta : deltas) member.handle(start, first, delta);
+        for (const EndpointDelta& delta : deltas) member.on_delta(start, first, delta);
         take();
     };
     hear(holder.publish(epoch, version(1), {{"a", line("a", 1)}, {"b", line("b", 1)}}, {}));
     // `a` changes at version 2 and back at version 3, which this member knows from its own discovery.
     const EndpointMap newest{{"a", line("a", 1)}, {"b", line("b", 3)}};
-    member.use_local(version(3), newest);
+    member.use_local_list(version(3), newest);
     take();
     EXPECT_EQ(used, newest);
     hear(holder.publish(epoch, version(2), {{"a", line("a", 2)}, {"b", line("b", 1)}}, {}));
@@ -492,7 +492,7 @@
     EXPECT_FALSE(member.on_unchanged(start, first, {epoch, 2}));
     hear(holder.publish(epoch, version(3), newest, {}));
     EXPECT_EQ(used, newest);
-    EXPECT_FALSE(member.uses_local());
+    EXPECT_FALSE(member.uses_local_list());
     EXPECT_TRUE(member.on_unchanged(start, first, {epoch, 3}));
 }
 
@@ -511,7 +511,7 @@
 {
     EndpointDistribution holder{EndpointDeltaConfig{}};
     holder.publish(epoch, version(1), lines_of(5), {});
-    holder.skip();  // version 2, which added u5
+    holder.on_answer_rejected();  // version 2, which added u5
     holder.publish(epoch, version(3), lines_of(7), std::vector<std::string>{"u6"});
     EXPECT_EQ(holder.replica().endpoints(), lines_of(7));
 }
--- a/tests/members.cpp
+++ b/tests/members.cpp
@@ -65,7 +65,7 @@
 {
     const FleetConfig file = file_of(100);
     const FleetConfig other = for_another(file, 42);
-    EXPECT_TRUE(other.members.shares_with(file.members));
+    EXPECT_TRUE(other.members.shares_data_with(file.members));
     EXPECT_EQ(&other.members[7], &file.members[7]);
     EXPECT_EQ(&other.members.rings(), &file.members.rings());
 }
@@ -74,13 +74,13 @@
 {
     const FleetConfig file = file_of(3);
     FleetConfig other = file;
-    ASSERT_EQ(file.members.rings()[0].order.size(), 3u);
+    ASSERT_EQ(file.members.rings()[0].members.size(), 3u);
     other.members.push_back({"m3", 0, "", "", true, 0});
-    EXPECT_FALSE(other.members.shares_with(file.members));
+    EXPECT_FALSE(other.members.shares_data_with(file.members));
     EXPECT_EQ(file.members.size(), 3u);
     EXPECT_EQ(file.voters(), 3u);
     EXPECT_EQ(other.voters(), 4u);
-    EXPECT_EQ(other.members.rings()[0].order.size(), 4u);
+    EXPECT_EQ(other.members.rings()[0].members.size(), 4u);
     EXPECT_FALSE(file.member_of(std::string_view("m3")));
     EXPECT_EQ(other.member_of(std::string_view("m3")), 3u);
 }
@@ -101,8 +101,8 @@
 {
     const FleetConfig file = file_of(50);
     for (const auto& ring : file.members.rings()) {
-        ASSERT_EQ(ring.order.size(), 50u);
-        for (MemberIndex m = 0; m < 50; ++m) EXPECT_EQ(ring.order[ring.place[m]], m);
+        ASSERT_EQ(ring.members.size(), 50u);
+        for (MemberIndex m = 0; m < 50; ++m) EXPECT_EQ(ring.members[ring.positions[m]], m);
     }
 }
 
--- a/tests/recovery.cpp
+++ b/tests/recovery.cpp
@@ -45,9 +45,9 @@
     std::printf("more behind it: %s\n",
                 std::get<SnapshotError>(decode_member_snapshot(whole + "x")).message.c_str());
     std::printf("another fleet's: %s; another member's: %s; its own: '%s'\n",
-                check_owner(back, "core", "a")->message.c_str(),
-                check_owner(back, "edge", "b")->message.c_str(),
-                check_owner(back, "edge", "a").value_or(SnapshotError{}).message.c_str());
+                check_snapshot_owner(back, "core", "a")->message.c_str(),
+                check_snapshot_owner(back, "edge", "b")->message.c_str(),
+                check_snapshot_owner(back, "edge", "a").value_or(SnapshotError{}).message.c_str());
 }
 
 FleetConfig file()
