--- a/src/fleet/endpoints/endpoint_list_service.cpp
+++ b/src/fleet/endpoints/endpoint_list_service.cpp
@@ -63,7 +63,7 @@
     if (context_.now - confirmed_at_ <= context_.config.list->stale + poll_delay_) return;
     set_polling(true);
     context_.log(LogEvent::Kind::endpoint_list, "",
-                 "it is older than stated: discovery is asked by this member itself");
+                 "it is older than the configured maximum age: this member polls discovery itself");
 }
 
 // ---- lists from the fleet, as broadcasts ----
--- a/src/fleet/endpoints/endpoint_replica.cpp
+++ b/src/fleet/endpoints/endpoint_replica.cpp
@@ -29,40 +29,40 @@
     return XXH3_64bits_withSeed(text.data(), text.size(), XXH3_64bits(uid.data(), uid.size()));
 }
 
-uint64_t digest_of(const EndpointMap& texts)
+uint64_t digest_of(const EndpointMap& endpoints)
 {
-    uint64_t sum = 0;
-    for (const auto& [uid, text] : texts) sum += digest_of(uid, text);
-    return sum;
+    uint64_t digest = 0;
+    for (const auto& [uid, text] : endpoints) digest += digest_of(uid, text);
+    return digest;
 }
 
-EndpointChanges EndpointReplica::difference(const EndpointMap& whole) const
+EndpointChanges EndpointReplica::difference(const EndpointMap& new_endpoints) const
 {
     EndpointChanges changes;
-    auto held = state_.endpoints.begin();
+    auto current = state_.endpoints.begin();
     const auto end = state_.endpoints.end();
-    for (const auto& [uid, text] : whole) {
-        for (; held != end && held->first < uid; ++held) changes.removed.push_back(held->first);
-        const bool known = held != end && held->first == uid;
-        if (!known || held->second != text) changes.changed.push_back({uid, text});
-        if (known) ++held;
+    for (const auto& [uid, text] : new_endpoints) {
+        for (; current != end && current->first < uid; ++current) changes.removed.push_back(current->first);
+        const bool known = current != end && current->first == uid;
+        if (!known || current->second != text) changes.changed.push_back({uid, text});
+        if (known) ++current;
     }
-    for (; held != end; ++held) changes.removed.push_back(held->first);
+    for (; current != end; ++current) changes.removed.push_back(current->first);
     return changes;
 }
 
-EndpointChanges EndpointReplica::difference(const EndpointMap& whole,
+EndpointChanges EndpointReplica::difference(const EndpointMap& new_endpoints,
                                             const std::vector<std::string>& uids) const
 {
     EndpointChanges changes;
     for (const std::string& uid : uids) {
-        const auto held = state_.endpoints.find(uid);
-        const auto seen = whole.find(uid);
-        const bool is_held = held != state_.endpoints.end();
-        if (seen == whole.end()) {
-            if (is_held) changes.removed.push_back(uid);
-        } else if (!is_held || held->second != seen->second) {
-            changes.changed.push_back({uid, seen->second});
+        const auto current = state_.endpoints.find(uid);
+        const auto updated = new_endpoints.find(uid);
+        const bool is_known = current != state_.endpoints.end();
+        if (updated == new_endpoints.end()) {
+            if (is_known) changes.removed.push_back(uid);
+        } else if (!is_known || current->second != updated->second) {
+            changes.changed.push_back({uid, updated->second});
         }
     }
     return changes;
@@ -78,7 +78,7 @@
     if (state_.revision.epoch != epoch) digest_ = digest_of(state_.endpoints);
     std::vector<EndpointDelta> deltas(1);
     size_t bytes = 0;
-    const auto make_room = [&](size_t size) {
+    const auto start_new_delta_if_full = [&](size_t size) {
         if (bytes > 0 && bytes + size > config_.chunk) {
             deltas.emplace_back();
             bytes = 0;
@@ -86,11 +86,11 @@
         bytes += size;
     };
     for (EndpointEntry& entry : changes.changed) {
-        make_room(size_of(entry));
+        start_new_delta_if_full(size_of(entry));
         deltas.back().changed.push_back(std::move(entry));
     }
     for (std::string& uid : changes.removed) {
-        make_room(uid.size() + entry_overhead);
+        start_new_delta_if_full(uid.size() + entry_overhead);
         deltas.back().removed.push_back(std::move(uid));
     }
     for (EndpointDelta& delta : deltas) {
@@ -107,15 +107,15 @@
 uint64_t EndpointReplica::digest_after(const EndpointDelta& delta) const
 {
     uint64_t digest = digest_;
-    const auto take_out = [&](const std::string& uid) {
-        const auto held = state_.endpoints.find(uid);
-        if (held != state_.endpoints.end()) digest -= digest_of(uid, held->second);
+    const auto subtract_digest = [&](const std::string& uid) {
+        const auto current = state_.endpoints.find(uid);
+        if (current != state_.endpoints.end()) digest -= digest_of(uid, current->second);
     };
     for (const EndpointEntry& entry : delta.changed) {
-        take_out(entry.uid);
+        subtract_digest(entry.uid);
         digest += digest_of(entry.uid, entry.text);
     }
-    for (const std::string& uid : delta.removed) take_out(uid);
+    for (const std::string& uid : delta.removed) subtract_digest(uid);
     return digest;
 }
 
@@ -188,18 +188,18 @@
 
 std::vector<EndpointSnapshotChunk> EndpointReplica::snapshot() const
 {
-    EndpointSnapshotChunk head;
-    head.revision = state_.revision;
-    head.version = state_.version;
-    head.digest = state_.digest;
-    head.partial = state_.partial;
-    std::vector<EndpointSnapshotChunk> chunks{head};
+    EndpointSnapshotChunk header;
+    header.revision = state_.revision;
+    header.version = state_.version;
+    header.digest = state_.digest;
+    header.partial = state_.partial;
+    std::vector<EndpointSnapshotChunk> chunks{header};
     size_t bytes = 0;
     for (const auto& [uid, text] : state_.endpoints) {
         EndpointEntry entry{uid, text};
         if (bytes > 0 && bytes + size_of(entry) > config_.chunk) {
-            head.index = static_cast<uint32_t>(chunks.size());
-            chunks.push_back(head);
+            header.index = static_cast<uint32_t>(chunks.size());
+            chunks.push_back(header);
             bytes = 0;
         }
         bytes += size_of(entry);
--- a/src/fleet/endpoints/endpoint_replica.h
+++ b/src/fleet/endpoints/endpoint_replica.h
@@ -31,7 +31,7 @@
 
 // The digest of one entry. The digest of a state is the sum over its entries, in any order.
 uint64_t digest_of(const std::string& uid, const std::string& text);
-uint64_t digest_of(const EndpointMap& texts);
+uint64_t digest_of(const EndpointMap& endpoints);
 
 class EndpointReplica
 {
@@ -53,10 +53,10 @@
     bool partial() const { return state_.partial; }
     const EndpointMap& endpoints() const { return state_.endpoints; }
 
-    // The changes that turn this replica's entries into `whole`.
-    EndpointChanges difference(const EndpointMap& whole) const;
+    // The changes that turn this replica's entries into `new_endpoints`.
+    EndpointChanges difference(const EndpointMap& new_endpoints) const;
     // The same if only the entries of `uids` can differ.
-    EndpointChanges difference(const EndpointMap& whole, const std::vector<std::string>& uids) const;
+    EndpointChanges difference(const EndpointMap& new_endpoints, const std::vector<std::string>& uids) const;
 
     // Publishes changes as holder at `epoch`: splits them into deltas of about one chunk, applies the deltas
     // and returns them. The first delta of an epoch may be empty.
--- a/src/fleet/endpoints/endpoint_text.cpp
+++ b/src/fleet/endpoints/endpoint_text.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-std::string quoted(const std::string& text)
+std::string json_string(const std::string& text)
 {
     std::string out = "\"";
     for (const char c : text) {
@@ -24,9 +24,9 @@
     return out + '"';
 }
 
-std::string begin_list(uint64_t version, bool all)
+std::string begin_list(uint64_t version, bool is_full)
 {
-    return R"({"rev":)" + std::to_string(version) + R"(,"all":)" + (all ? "true" : "false") +
+    return R"({"rev":)" + std::to_string(version) + R"(,"all":)" + (is_full ? "true" : "false") +
            R"(,"targets":[)";
 }
 
@@ -38,21 +38,23 @@
 
 }  // namespace
 
-std::string encode_full_list(uint64_t version, const EndpointMap& texts)
+std::string encode_full_list(uint64_t version, const EndpointMap& endpoints)
 {
-    std::string out = begin_list(version, true);
-    for (const auto& [uid, line] : texts) add_target(out, line);
-    return out + "]}";
+    std::string list = begin_list(version, true);
+    for (const auto& [uid, target] : endpoints) add_target(list, target);
+    return list + "]}";
 }
 
-std::string encode_list_changes(uint64_t version, const std::set<std::string>& uids, const EndpointMap& texts)
+std::string encode_list_changes(uint64_t version, const std::set<std::string>& uids,
+                                const EndpointMap& endpoints)
 {
-    std::string out = begin_list(version, false);
+    std::string list = begin_list(version, false);
     for (const std::string& uid : uids) {
-        const auto at = texts.find(uid);
-        add_target(out, at != texts.end() ? at->second : R"({"state":"gone","uid":)" + quoted(uid) + "}");
+        const auto found = endpoints.find(uid);
+        add_target(list, found != endpoints.end() ? found->second
+                                                  : R"({"state":"gone","uid":)" + json_string(uid) + "}");
     }
-    return out + "]}";
+    return list + "]}";
 }
 
 }  // namespace firtide::fleet
--- a/src/fleet/endpoints/endpoint_text.h
+++ b/src/fleet/endpoints/endpoint_text.h
@@ -12,10 +12,10 @@
 // The JSON text of each target, by uid.
 using EndpointMap = std::map<std::string, std::string>;
 
-std::string encode_full_list(uint64_t version, const EndpointMap& texts);
+std::string encode_full_list(uint64_t version, const EndpointMap& endpoints);
 
-// Entries of `uids` that `texts` does not have are written as gone.
+// Entries of `uids` that `endpoints` does not have are written as gone.
 std::string encode_list_changes(uint64_t version, const std::set<std::string>& uids,
-                                const EndpointMap& texts);
+                                const EndpointMap& endpoints);
 
 }  // namespace firtide::fleet
--- a/src/fleet/startup/member_snapshot.cpp
+++ b/src/fleet/startup/member_snapshot.cpp
@@ -44,16 +44,16 @@
     Header header;
     if (bytes.size() < sizeof header) return SnapshotError{"it is cut short"};
     std::memcpy(&header, bytes.data(), sizeof header);
-    if (header.magic != Header{}.magic) return SnapshotError{"it is no snapshot"};
+    if (header.magic != Header{}.magic) return SnapshotError{"it is not a snapshot"};
     const auto payload = bytes.substr(sizeof header);
     if (payload.size() < header.length) return SnapshotError{"it is cut short"};
     if (payload.size() > header.length || checksum_of(header, payload) != header.checksum)
         return SnapshotError{"it is damaged"};
     // Only after the checksum, so that a damaged format number is not taken for a newer format.
     if (header.format != member_snapshot_format)
-        return SnapshotError{"its format " + std::to_string(header.format) + " is not known here"};
+        return SnapshotError{"its format " + std::to_string(header.format) + " is not supported"};
     auto snapshot = unpack<MemberSnapshot>(payload);
-    if (!snapshot) return SnapshotError{"it holds something else"};
+    if (!snapshot) return SnapshotError{"its payload is not a member snapshot"};
     return std::move(*snapshot);
 }
 
--- a/src/fleet/startup/snapshot_service.cpp
+++ b/src/fleet/startup/snapshot_service.cpp
@@ -55,7 +55,7 @@
         return reduction.remaining_us <= 0;
     });
     restore_report_.push_back(age ? "trusted " + std::to_string(snapshot.reductions.size()) + " reductions"
-                                  : "refused reductions: the machine was started anew");
+                                  : "refused reductions: the machine was rebooted");
     endpoints_.set_hint(snapshot.list_version, snapshot.list_text);
     context_.emit(ApplySnapshot{std::move(snapshot)});
 }
