--- a/tests/recovery.cpp
+++ b/tests/recovery.cpp
@@ -11,46 +11,50 @@
 namespace
 {
 
-MemberSnapshot some()
+MemberSnapshot sample_snapshot()
 {
-    MemberSnapshot m;
-    m.fleet = "edge", m.member = "a", m.incarnation = 7, m.boot_id = "this", m.written_at_boot_us = 5;
-    m.list_version = 3, m.list_text = "a list", m.accepted_rate = 100, m.total_capacity = 4, m.peer_count = 3;
-    m.reductions = {{11, 0.5F, 1'000'000}};
-    m.seen_epochs = {{"list", 9}, {"report", 4}};
-    m.open_request_ids = {"id-1"};
-    return m;
+    MemberSnapshot snapshot;
+    snapshot.fleet = "edge", snapshot.member = "a", snapshot.incarnation = 7, snapshot.boot_id = "this",
+    snapshot.written_at_boot_us = 5;
+    snapshot.list_version = 3, snapshot.list_text = "a list", snapshot.accepted_rate = 100,
+    snapshot.total_capacity = 4, snapshot.peer_count = 3;
+    snapshot.reductions = {{11, 0.5F, 1'000'000}};
+    snapshot.seen_epochs = {{"list", 9}, {"report", 4}};
+    snapshot.open_request_ids = {"id-1"};
+    return snapshot;
 }
 
-void files()
+void print_snapshot_encoding()
 {
-    const auto whole = encode_member_snapshot(some());
-    const auto back = std::get<MemberSnapshot>(decode_member_snapshot(whole));
-    std::printf("-- the snapshot\nback: list %llu, epoch %llu, open %s\n",
-                static_cast<unsigned long long>(back.list_version),
-                static_cast<unsigned long long>(back.seen_epochs[0].epoch), back.open_request_ids[0].c_str());
-    size_t cut = 0, flipped = 0;
-    for (size_t n = 0; n < whole.size(); ++n) {
-        const auto shorter = decode_member_snapshot(std::string_view(whole).substr(0, n));
-        cut += std::holds_alternative<SnapshotError>(shorter);
+    const auto encoded = encode_member_snapshot(sample_snapshot());
+    const auto decoded = std::get<MemberSnapshot>(decode_member_snapshot(encoded));
+    std::printf("-- the snapshot\ndecoded: list %llu, epoch %llu, open %s\n",
+                static_cast<unsigned long long>(decoded.list_version),
+                static_cast<unsigned long long>(decoded.seen_epochs[0].epoch),
+                decoded.open_request_ids[0].c_str());
+    size_t truncated_rejected = 0, flipped_rejected = 0;
+    for (size_t n = 0; n < encoded.size(); ++n) {
+        const auto truncated = decode_member_snapshot(std::string_view(encoded).substr(0, n));
+        truncated_rejected += std::holds_alternative<SnapshotError>(truncated);
         for (int bit = 0; bit < 8; ++bit) {
-            std::string other = whole;
-            other[n] = static_cast<char>(other[n] ^ (1 << bit));
-            const auto got = decode_member_snapshot(other);
-            flipped += std::holds_alternative<SnapshotError>(got);
+            std::string damaged = encoded;
+            damaged[n] = static_cast<char>(damaged[n] ^ (1 << bit));
+            const auto decoded_damaged = decode_member_snapshot(damaged);
+            flipped_rejected += std::holds_alternative<SnapshotError>(decoded_damaged);
         }
     }
-    std::printf("cut at every byte: %s refused; every bit flipped: %s refused\n",
-                cut == whole.size() ? "all" : "NOT ALL", flipped == whole.size() * 8 ? "all" : "NOT ALL");
-    std::printf("more behind it: %s\n",
-                std::get<SnapshotError>(decode_member_snapshot(whole + "x")).message.c_str());
-    std::printf("another fleet's: %s; another member's: %s; its own: '%s'\n",
-                check_snapshot_owner(back, "core", "a")->message.c_str(),
-                check_snapshot_owner(back, "edge", "b")->message.c_str(),
-                check_snapshot_owner(back, "edge", "a").value_or(SnapshotError{}).message.c_str());
+    std::printf("truncated at every byte: %s rejected; every bit flipped: %s rejected\n",
+                truncated_rejected == encoded.size() ? "all" : "NOT ALL",
+                flipped_rejected == encoded.size() * 8 ? "all" : "NOT ALL");
+    std::printf("trailing byte: %s\n",
+                std::get<SnapshotError>(decode_member_snapshot(encoded + "x")).message.c_str());
+    std::printf("of another fleet: %s; of another member: %s; its own: '%s'\n",
+                check_snapshot_owner(decoded, "core", "a")->message.c_str(),
+                check_snapshot_owner(decoded, "edge", "b")->message.c_str(),
+                check_snapshot_owner(decoded, "edge", "a").value_or(SnapshotError{}).message.c_str());
 }
 
-FleetConfig file()
+FleetConfig recovery_config()
 {
     FleetConfig f;
     f.name = "edge", f.id = "a";
@@ -61,154 +65,157 @@
     return f;
 }
 
-void believed(const char* what, SnapshotLoaded recalled)
+void print_restored(const char* what, SnapshotLoaded loaded)
 {
-    const FleetConfig f = file();
+    const FleetConfig f = recovery_config();
     Fleet fleet(f, 1, 1, 1);
     const TimePoint now{1'000'000};
     std::printf("%s:", what);
-    const auto effects = fleet.reduce(now, std::move(recalled));
+    const auto effects = fleet.reduce(now, std::move(loaded));
     for (const FleetEffect& e : effects)
-        if (const auto* use = std::get_if<ApplySnapshot>(&e))
-            std::printf(" used, %zu reductions;", use->snapshot.reductions.size());
+        if (const auto* apply = std::get_if<ApplySnapshot>(&e))
+            std::printf(" applied, %zu reductions;", apply->snapshot.reductions.size());
     (void)fleet.reduce(now, StartupEvent{});
     for (const FleetEffect& e : fleet.reduce(now, AdminRequest{1, "show-recovery", "", ""}))
         if (const auto* r = std::get_if<Reply>(&e))
             std::printf(" %s\n", r->text.substr(0, r->text.find('\n')).c_str());
 }
 
-void lists()
+void print_list_hints()
 {
-    const FleetConfig f = file();
+    const FleetConfig f = recovery_config();
     Fleet fleet(f, 1, 1, 1);
     TimePoint now{1'000'000};
-    (void)fleet.reduce(now, SnapshotLoaded{some(), {}});
+    (void)fleet.reduce(now, SnapshotLoaded{sample_snapshot(), {}});
     (void)fleet.reduce(now, StartupEvent{});
-    const auto takes = [&](uint64_t version) {
-        bool taken = false;
+    const auto apply_version = [&](uint64_t version) {
+        bool applied = false;
         for (const FleetEffect& e : fleet.reduce(now, EndpointListFetched{"here", version, "list"}))
-            taken = taken || std::get_if<ApplyEndpointList>(&e);
-        return taken ? "taken" : "not taken";
+            applied = applied || std::get_if<ApplyEndpointList>(&e);
+        return applied ? "applied" : "not applied";
     };
-    std::printf("-- lists\nolder than what is remembered: %s\n", takes(2));
-    std::printf("as new: %s\n", takes(3));
+    std::printf("-- lists\nolder than the hint: %s\n", apply_version(2));
+    std::printf("same version as the hint: %s\n", apply_version(3));
     Fleet later(f, 1, 1, 1);
-    (void)later.reduce(now, SnapshotLoaded{some(), {}});
+    (void)later.reduce(now, SnapshotLoaded{sample_snapshot(), {}});
     (void)later.reduce(now, StartupEvent{});
     now = now + f.recovery->wait * 4 + seconds(1);
-    bool taken = false;
+    bool applied = false;
     for (const FleetEffect& e : later.reduce(now, EndpointListFetched{"here", 2, "list"}))
-        taken = taken || std::get_if<ApplyEndpointList>(&e);
-    std::printf("an older one that is all there is, after a while: %s\n", taken ? "taken" : "NOT TAKEN");
+        applied = applied || std::get_if<ApplyEndpointList>(&e);
+    std::printf("older than the hint, after the hint has expired: %s\n", applied ? "applied" : "NOT APPLIED");
 }
 
-void stages()
+void print_startup_stages()
 {
-    std::printf("-- stages, alone in the world\n");
-    StartupSequencer r{StartupConfig{}};
+    std::printf("-- stages, no other member up\n");
+    StartupSequencer alone{StartupConfig{}};
     TimePoint now{1'000'000};
-    r.start(now);
-    FleetState alone{9, 1, false, 2, 0};
-    r.set_fleet_state(alone);
+    alone.start(now);
+    FleetState only_self{9, 1, false, 2, 0};
+    alone.set_fleet_state(only_self);
     StartupStage last = StartupStage::disk;
     for (int i = 0; i < 1000; ++i, now = now + seconds(0.1)) {
-        r.tick(now, 10, 10, false);
-        if (r.stage() == last) continue;
-        last = r.stage();
-        std::printf("%s at %.1f s, %s\n", to_string(last), i * 0.1, r.is_ready() ? "ready" : "not ready");
+        alone.tick(now, 10, 10, false);
+        if (alone.stage() == last) continue;
+        last = alone.stage();
+        std::printf("%s at %.1f s, %s\n", to_string(last), i * 0.1, alone.is_ready() ? "ready" : "not ready");
     }
-    std::printf("-- all there, upstreams cold\n");
-    StartupSequencer s{StartupConfig{}};
+    std::printf("-- all members up, upstreams cold\n");
+    StartupSequencer all_up{StartupConfig{}};
     now = TimePoint{1'000'000};
-    s.start(now);
-    s.set_baseline({100, 10, 9});
-    s.set_fleet_state({9, 9, true, 2, 2});
+    all_up.start(now);
+    all_up.set_baseline({100, 10, 9});
+    all_up.set_fleet_state({9, 9, true, 2, 2});
     for (const double warm : {1.0, 5.0, 9.6}) {
-        size_t admitted_share = 0, least = 0;
+        size_t most_valuable = 0, least_valuable = 0;
         // 500 requests arrive per second, of two kinds.
         for (int i = 0; i < 1000; ++i, now = now + seconds(0.01)) {
-            if (i % 10 == 0) s.tick(now, warm, 10, true);
-            for (int n = 0; n < 5; ++n) (n % 2 ? least : admitted_share) += s.try_admit(now, n % 2);
+            if (i % 10 == 0) all_up.tick(now, warm, 10, true);
+            for (int n = 0; n < 5; ++n)
+                (n % 2 ? least_valuable : most_valuable) += all_up.try_admit(now, n % 2);
         }
-        std::printf("warm %.0f %%: %s, admits %.0f a second, of the least valuable %s\n", warm * 10,
-                    to_string(s.stage()), static_cast<double>(admitted_share + least) / 10,
-                    least * 4 < admitted_share ? "few" : "as many");
+        std::printf("warm %.0f %%: %s, admits %.0f per second, of the least valuable operations %s\n",
+                    warm * 10, to_string(all_up.stage()),
+                    static_cast<double>(most_valuable + least_valuable) / 10,
+                    least_valuable * 4 < most_valuable ? "few" : "as many");
     }
-    StartupSequencer t{StartupConfig{}};
+    StartupSequencer third_up{StartupConfig{}};
     now = TimePoint{1'000'000};
-    t.start(now);
-    t.set_baseline({100, 10, 9});
-    t.set_fleet_state({9, 3, true, 2, 2});
-    size_t admitted_share = 0;
+    third_up.start(now);
+    third_up.set_baseline({100, 10, 9});
+    third_up.set_fleet_state({9, 3, true, 2, 2});
+    size_t admitted = 0;
     for (int i = 0; i < 1000; ++i, now = now + seconds(0.01)) {
-        if (i % 10 == 0) t.tick(now, 4, 10, true);
-        for (int n = 0; n < 10; ++n) admitted_share += t.try_admit(now, 0);
+        if (i % 10 == 0) third_up.tick(now, 4, 10, true);
+        for (int n = 0; n < 10; ++n) admitted += third_up.try_admit(now, 0);
     }
-    std::printf("six of nine did not come back: each admits %.0f a second at 40 %%\n",
-                static_cast<double>(admitted_share) / 10);
+    std::printf(
+        "six of nine balancers are down: each other admits %.0f per second at 40 %% of the capacity\n",
+        static_cast<double>(admitted) / 10);
 }
 
-void what_may_have_run()
+void print_requests_in_flight()
 {
-    std::printf("-- what was in flight\n");
-    ServiceConfig setup;
-    setup.settings = firtide::TracingHost::make_settings(
+    std::printf("-- requests in flight before the restart\n");
+    ServiceConfig config;
+    config.settings = firtide::TracingHost::make_settings(
         firtide::TracingHost::make_operation(Idempotency::non_idempotent));
-    setup.settings.operations.push_back(firtide::TracingHost::make_operation(Idempotency::idempotent));
-    setup.operation_names = {"order", "read"};
-    net::Reducer reducer(setup, 1, "here:1");
+    config.settings.operations.push_back(firtide::TracingHost::make_operation(Idempotency::idempotent));
+    config.operation_names = {"order", "read"};
+    net::Reducer reducer(config, 1, "here:1");
     reducer.join_fleet({});
     reducer.enable_staged_startup({});
     TimePoint now{1'000'000};
     net::RequestId caller = 0;
-    const auto tell = [&](net::Event event) {
+    const auto reduce = [&](net::Event event) {
         now = now + seconds(0.01);
         return reducer.reduce(now, std::move(event));
     };
-    const auto ask = [&](uint32_t operation, const char* id) {
-        std::string got = "waits";
+    const auto request = [&](uint32_t operation, const char* id) {
+        std::string outcome = "waits";
         for (const auto& e :
-             tell(net::RequestReceived{++caller, {"POST", "/x", id, operation, 0, seconds(2), {}, ""}})) {
-            if (const auto* a = std::get_if<net::SendResponse>(&e))
-                got = "answered " + std::to_string(a->response.status);
-            if (std::get_if<net::ConnectUpstream>(&e)) got = "forwarded";
+             reduce(net::RequestReceived{++caller, {"POST", "/x", id, operation, 0, seconds(2), {}, ""}})) {
+            if (const auto* response = std::get_if<net::SendResponse>(&e))
+                outcome = "answered " + std::to_string(response->response.status);
+            if (std::get_if<net::ConnectUpstream>(&e)) outcome = "forwarded";
         }
-        return got;
+        return outcome;
     };
-    tell(net::ServiceStarted{});
-    tell(net::SnapshotRestored{some()});
-    std::printf("a hint of a list: %s\n",
-                (tell(net::EndpointListRestored{{{"u", "1.1.1.1:1", EndpointPhase::ready, 0, 0, 1, {}}}}),
+    reduce(net::ServiceStarted{});
+    reduce(net::SnapshotRestored{sample_snapshot()});
+    std::printf("with a hint of the list only: %s\n",
+                (reduce(net::EndpointListRestored{{{"u", "1.1.1.1:1", EndpointPhase::ready, 0, 0, 1, {}}}}),
                  reducer.ready() ? "READY" : "not ready yet"));
-    std::printf("an id that may have run: %s; of what may be repeated: %s; another id: %s\n",
-                ask(0, "id-1").c_str(), ask(1, "id-1").c_str(), ask(0, "id-2").c_str());
-    tell(net::EndpointListUpdated{true, {}});
-    std::printf("an empty list leaves %zu\n", reducer.statistics().hosts_listed);
-    tell(net::EndpointListUpdated{true, {{"u", "1.1.1.1:1", EndpointPhase::ready, 0, 0, 1, {}}}});
+    std::printf("id that may have run, not idempotent: %s; idempotent: %s; another id: %s\n",
+                request(0, "id-1").c_str(), request(1, "id-1").c_str(), request(0, "id-2").c_str());
+    reduce(net::EndpointListUpdated{true, {}});
+    std::printf("upstreams after an empty list: %zu\n", reducer.statistics().hosts_listed);
+    reduce(net::EndpointListUpdated{true, {{"u", "1.1.1.1:1", EndpointPhase::ready, 0, 0, 1, {}}}});
     for (int i = 0; i < 12; ++i)
-        for (const auto& e : tell(net::Tick{}))
+        for (const auto& e : reduce(net::Tick{}))
             if (const auto* o = std::get_if<LocalObservations>(&e); o && i > 8)
-                std::printf("a loss in the middle: %.0f a second among %u are remembered\n", o->accepted_rate,
-                            o->peer_count),
+                std::printf("baseline for a restart during startup: %.0f per second among %u\n",
+                            o->accepted_rate, o->peer_count),
                     i = 12;
-    std::printf("a list that was told: %s\n", reducer.ready() ? "ready" : "NOT READY");
+    std::printf("with a list from discovery: %s\n", reducer.ready() ? "ready" : "NOT READY");
 }
 
 }  // namespace
 
 int main()
 {
-    files();
-    std::printf("-- what is believed\n");
-    believed("nothing there", {});
-    believed("damaged", {SnapshotError{"it is damaged"}, {}});
-    auto other = some();
+    print_snapshot_encoding();
+    std::printf("-- what is restored\n");
+    print_restored("no file", {});
+    print_restored("damaged", {SnapshotError{"it is damaged"}, {}});
+    auto other = sample_snapshot();
     other.member = "b";
-    believed("another member's", {other, seconds(0.1)});
-    believed("the machine has gone on", {some(), seconds(0.1)});
-    believed("for longer than its reductions", {some(), seconds(5)});
-    believed("the machine was started anew", {some(), {}});
-    lists();
-    stages();
-    what_may_have_run();
+    print_restored("of another member", {other, seconds(0.1)});
+    print_restored("same boot", {sample_snapshot(), seconds(0.1)});
+    print_restored("same boot, reductions expired", {sample_snapshot(), seconds(5)});
+    print_restored("after a reboot", {sample_snapshot(), {}});
+    print_list_hints();
+    print_startup_stages();
+    print_requests_in_flight();
 }
