--- a/tests/list_deltas.cpp
+++ b/tests/list_deltas.cpp
@@ -14,14 +14,14 @@
 
 constexpr uint64_t seed = 7;
 
-struct Sent {
-    size_t deltas = 0, chunks = 0, wants = 0;
+struct SentMessages {
+    size_t deltas = 0, chunks = 0, requests = 0;
 };
 
-class Lists
+class ListCluster
 {
   public:
-    explicit Lists(SimulatedCluster::Options options) : cluster(std::move(options), seed)
+    explicit ListCluster(SimulatedCluster::Options options) : cluster(std::move(options), seed)
     {
         cluster.on_effect = [this](size_t, FleetEffect& effect) { count(effect); };
         for (size_t i = 0; i < cluster.size(); ++i) cluster.start(i);
@@ -41,14 +41,14 @@
         const auto all = cluster.holders("list");
         return all.size() == 1 ? all[0] : SIZE_MAX;
     }
-    size_t other_than(size_t node) const { return (node + 1) % cluster.size(); }
+    size_t member_other_than(size_t node) const { return (node + 1) % cluster.size(); }
     const EndpointReplica& replica(size_t node) { return *cluster.fleet(node).replica(); }
-    std::string shown(size_t node) { return cluster.show(node); }
+    std::string show_fleet(size_t node) { return cluster.show(node); }
 
     // All running members have the holder's list, which is the newest one of discovery.
-    void expect_all_alike()
+    void expect_convergence()
     {
-        ASSERT_NE(holder(), SIZE_MAX) << "list is held by nobody";
+        ASSERT_NE(holder(), SIZE_MAX) << "no member holds the duty list";
         const EndpointReplica& published = replica(holder());
         EXPECT_EQ(published.version().number, version);
         EXPECT_EQ(published.endpoints(), cluster.discovery_lines(version));
@@ -63,7 +63,7 @@
     }
 
     SimulatedCluster cluster;
-    Sent sent;
+    SentMessages sent;
     uint64_t version = 1;
 
   private:
@@ -79,32 +79,32 @@
     {
         sent.deltas += std::get_if<EndpointDelta>(&message) != nullptr;
         sent.chunks += std::get_if<EndpointSnapshotChunk>(&message) != nullptr;
-        sent.wants += std::get_if<EndpointDeltaRequest>(&message) != nullptr;
+        sent.requests += std::get_if<EndpointDeltaRequest>(&message) != nullptr;
     }
 };
 
-SimulatedCluster::Options options(size_t members = 7, EndpointDeltaConfig deltas = {})
+SimulatedCluster::Options make_options(size_t members = 7, EndpointDeltaConfig deltas = {})
 {
-    SimulatedCluster::Options o;
-    o.members = members;
-    o.duties = 1;
-    o.list = true;
-    o.deltas = deltas;
-    return o;
+    SimulatedCluster::Options options;
+    options.members = members;
+    options.duties = 1;
+    options.list = true;
+    options.deltas = deltas;
+    return options;
 }
 
 TEST(ListDeltas, ChangesReachAllMembers)
 {
-    Lists lists(options());
+    ListCluster lists(make_options());
     lists.change(20);
-    lists.expect_all_alike();
+    lists.expect_convergence();
     EXPECT_EQ(lists.sent.chunks, 0u);
-    EXPECT_EQ(lists.sent.wants, 0u) << "nothing was lost, so nothing is repaired";
+    EXPECT_EQ(lists.sent.requests, 0u) << "nothing was lost, so nothing is repaired";
 }
 
-TEST(ListDeltas, OneMemberAsksDiscovery)
+TEST(ListDeltas, OneMemberPollsDiscovery)
 {
-    Lists lists(options());
+    ListCluster lists(make_options());
     const auto before = lists.cluster.count.list_calls;
     lists.change(10);
     const double calls = static_cast<double>(lists.cluster.count.list_calls - before);
@@ -113,12 +113,12 @@
 
 uint64_t bytes_of_changes(size_t entries, uint64_t changes)
 {
-    auto o = options();
-    o.list_entries = entries;
-    Lists lists(o);
+    auto options = make_options();
+    options.list_entries = entries;
+    ListCluster lists(options);
     const auto before = lists.cluster.count.list_bytes;
     lists.change(changes);
-    lists.expect_all_alike();
+    lists.expect_convergence();
     return (lists.cluster.count.list_bytes - before) / changes;
 }
 
@@ -133,36 +133,36 @@
 
 TEST(ListDeltas, LargeListComesInChunksAndDeltasOfBoundedSize)
 {
-    auto o = options(5, {1000, seconds(0.5), 2048});
-    o.list_entries = 2000;
-    Lists lists(o);
+    auto options = make_options(5, {1000, seconds(0.5), 2048});
+    options.list_entries = 2000;
+    ListCluster lists(options);
     lists.cluster.run(seconds(20));
-    lists.expect_all_alike();
+    lists.expect_convergence();
     lists.change(3);
-    lists.expect_all_alike();
+    lists.expect_convergence();
 }
 
 TEST(ListDeltas, LostRepeatedAndLateMessagesAreRepaired)
 {
-    Lists lists(options());
+    ListCluster lists(make_options());
     for (size_t a = 0; a < lists.cluster.size(); ++a)
         for (size_t b = 0; b < lists.cluster.size(); ++b) {
             Link& link = lists.cluster.link(a, b);
             link.loss = 0.25, link.repeat = 0.3, link.most = seconds(0.4);
         }
     lists.change(60, seconds(0.3));
-    EXPECT_GT(lists.sent.wants, 0u);
+    EXPECT_GT(lists.sent.requests, 0u);
     lists.cluster.heal();
     lists.cluster.run(seconds(10));
-    lists.expect_all_alike();
+    lists.expect_convergence();
 }
 
 TEST(ListDeltas, HolderKilledWhileItPublishes)
 {
-    Lists lists(options());
+    ListCluster lists(make_options());
     const size_t holder = lists.holder();
     // Only one member receives its last delta.
-    const size_t only = lists.other_than(holder);
+    const size_t only = lists.member_other_than(holder);
     for (size_t i = 0; i < lists.cluster.size(); ++i)
         if (i != holder && i != only) lists.cluster.link(holder, i).cut = true;
     lists.cluster.discovery_is(++lists.version);
@@ -171,49 +171,49 @@
     lists.change(1);
     lists.cluster.run(seconds(15));
     EXPECT_NE(lists.holder(), holder);
-    lists.expect_all_alike();
+    lists.expect_convergence();
     lists.cluster.heal();
     lists.cluster.start(holder);
     lists.cluster.run(seconds(10));
-    lists.expect_all_alike();
+    lists.expect_convergence();
 }
 
-TEST(ListDeltas, NewHolderGoesOnFromItsReplicaWithoutSnapshots)
+TEST(ListDeltas, NewHolderContinuesFromItsReplicaWithoutSnapshots)
 {
-    auto o = options();
-    o.list_entries = 500;
-    Lists lists(o);
+    auto options = make_options();
+    options.list_entries = 500;
+    ListCluster lists(options);
     const auto before = lists.cluster.count.list_bytes;
     lists.cluster.crash(lists.holder());
     lists.cluster.run(seconds(10));
     lists.change(2);
-    lists.expect_all_alike();
+    lists.expect_convergence();
     EXPECT_EQ(lists.sent.chunks, 0u);
     EXPECT_LT(lists.cluster.count.list_bytes - before, 20'000u) << "the list itself is 20 KB";
 }
 
-TEST(ListDeltas, RestartedMemberGetsASnapshotOfANeighbour)
+TEST(ListDeltas, RestartedMemberGetsASnapshotFromANeighbour)
 {
-    auto o = options(7, {2, seconds(0.5), 1024});
-    o.list_entries = 500;
-    Lists lists(o);
+    auto options = make_options(7, {2, seconds(0.5), 1024});
+    options.list_entries = 500;
+    ListCluster lists(options);
     lists.change(10);
-    const size_t member = lists.other_than(lists.holder());
+    const size_t member = lists.member_other_than(lists.holder());
     lists.cluster.crash(member);
     lists.change(3);
     lists.cluster.start(member);
     lists.cluster.run(seconds(5));
-    lists.expect_all_alike();
+    lists.expect_convergence();
     EXPECT_GT(lists.sent.chunks, 10u);
 }
 
 TEST(ListDeltas, HolderThatHasJustStartedIsRepairedBeforeItPublishes)
 {
-    auto o = options();
-    o.list_entries = 500;
-    Lists lists(o);
+    auto options = make_options();
+    options.list_entries = 500;
+    ListCluster lists(options);
     lists.change(5);
-    const size_t next = lists.other_than(lists.holder());
+    const size_t next = lists.member_other_than(lists.holder());
     lists.cluster.crash(next);
     lists.cluster.run(seconds(1));
     const auto before = lists.cluster.count.list_bytes;
@@ -226,39 +226,39 @@
     ASSERT_EQ(lists.holder(), next);
     lists.change(2);
     lists.cluster.run(seconds(5));
-    lists.expect_all_alike();
+    lists.expect_convergence();
     EXPECT_LT(lists.cluster.count.list_bytes - before, 100'000u)
         << "the list is 20 KB: once for this member, and not three times for each of the others";
 }
 
 TEST(ListDeltas, MemberBehindIsRepairedByDeltasWithinTheHistory)
 {
-    Lists lists(options());
-    const size_t member = lists.other_than(lists.holder());
+    ListCluster lists(make_options());
+    const size_t member = lists.member_other_than(lists.holder());
     lists.cluster.isolate(member, true);
     lists.change(3, seconds(0.5));
     lists.cluster.isolate(member, false);
     lists.cluster.run(seconds(6));
-    lists.expect_all_alike();
-    EXPECT_GT(lists.sent.wants, 0u);
+    lists.expect_convergence();
+    EXPECT_GT(lists.sent.requests, 0u);
     EXPECT_EQ(lists.sent.chunks, 0u);
 }
 
 TEST(ListDeltas, MemberBehindTheHistoryIsRepairedByASnapshot)
 {
-    Lists lists(options(7, {2, seconds(0.5), 1024}));
-    const size_t member = lists.other_than(lists.holder());
+    ListCluster lists(make_options(7, {2, seconds(0.5), 1024}));
+    const size_t member = lists.member_other_than(lists.holder());
     lists.cluster.isolate(member, true);
     lists.change(10);
     lists.cluster.isolate(member, false);
     lists.cluster.run(seconds(6));
-    lists.expect_all_alike();
+    lists.expect_convergence();
     EXPECT_GT(lists.sent.chunks, 0u);
 }
 
-TEST(ListDeltas, HalvesThatWereApartAgreeAgain)
+TEST(ListDeltas, PartitionsAgreeAfterHealing)
 {
-    Lists lists(options(6));
+    ListCluster lists(make_options(6));
     const auto cut = [&](bool on) {
         for (size_t a = 0; a < 2; ++a)
             for (size_t b = 2; b < lists.cluster.size(); ++b)
@@ -270,14 +270,14 @@
     EXPECT_GE(lists.cluster.list_of(0) + 2, lists.version);
     cut(false);
     lists.cluster.run(seconds(15));
-    lists.expect_all_alike();
+    lists.expect_convergence();
 }
 
-TEST(ListDeltas, OldAgentOfANewHolderBringsNothingBack)
+TEST(ListDeltas, OutdatedDiscoveryAgentOfANewHolderRestoresNothing)
 {
-    Lists lists(options());
+    ListCluster lists(make_options());
     lists.change(10);
-    const size_t next = lists.other_than(lists.holder());
+    const size_t next = lists.member_other_than(lists.holder());
     lists.cluster.discovery_of(next, lists.version - 6);
     lists.cluster.ask(lists.holder(), "hand-over", "list", "m" + std::to_string(next + 1));
     lists.cluster.run(seconds(3));
@@ -287,36 +287,36 @@
     lists.cluster.run(seconds(5));
     lists.change(2);
     lists.cluster.run(seconds(3));
-    lists.expect_all_alike();
+    lists.expect_convergence();
 }
 
 TEST(ListDeltas, DivergedReplicaIsReplaced)
 {
-    Lists lists(options());
+    ListCluster lists(make_options());
     lists.change(3);
-    const size_t member = lists.other_than(lists.holder());
+    const size_t member = lists.member_other_than(lists.holder());
     lists.cluster.corrupt_list(member, "u1", "{}");
     lists.cluster.run(seconds(5));
     EXPECT_GT(lists.sent.chunks, 0u);
-    lists.expect_all_alike();
+    lists.expect_convergence();
 }
 
-TEST(ListDeltas, ShowFleetTellsRevisionEntriesAndWhetherItIsBehind)
+TEST(ListDeltas, ShowFleetReportsRevisionEntriesAndWhetherItIsBehind)
 {
-    Lists lists(options());
+    ListCluster lists(make_options());
     lists.change(3);
     const EndpointReplica& replica = lists.replica(0);
     const auto line = "list revision " + std::to_string(replica.revision().epoch) + "." +
                       std::to_string(replica.revision().number) + " entries " +
                       std::to_string(replica.endpoints().size()) + " behind no\n";
-    EXPECT_NE(lists.shown(0).find(line), std::string::npos) << lists.shown(0);
+    EXPECT_NE(lists.show_fleet(0).find(line), std::string::npos) << lists.show_fleet(0);
 }
 
-TEST(ListDeltas, NothingOfItIsThereWithoutItsTable)
+TEST(ListDeltas, NoReplicaWithoutTheDeltasTable)
 {
-    auto o = options();
-    o.deltas.reset();
-    SimulatedCluster cluster(o, seed);
+    auto options = make_options();
+    options.deltas.reset();
+    SimulatedCluster cluster(options, seed);
     for (size_t i = 0; i < cluster.size(); ++i) cluster.start(i);
     cluster.run(seconds(10));
     EXPECT_EQ(cluster.fleet(0).replica(), nullptr);
@@ -325,14 +325,14 @@
     EXPECT_TRUE(cluster.broken().empty());
 }
 
-TEST(ListDeltas, WalksThroughFaultsEndAlike)
+TEST(ListDeltas, RandomizedRunsWithFaultsConverge)
 {
-    RandomizedRun walking;
-    walking.options = options(5, {8, seconds(0.5), 256});
-    for (uint64_t walk_seed = 1; walk_seed <= 12; ++walk_seed) {
-        const auto walked = run_randomized(walking, walk_seed);
-        for (const Broken& broken : walked.broken)
-            ADD_FAILURE() << "seed " << walk_seed << ": " << broken.rule;
+    RandomizedRun run;
+    run.options = make_options(5, {8, seconds(0.5), 256});
+    for (uint64_t run_seed = 1; run_seed <= 12; ++run_seed) {
+        const auto result = run_randomized(run, run_seed);
+        for (const Broken& broken : result.broken)
+            ADD_FAILURE() << "seed " << run_seed << ": " << broken.rule;
     }
 }
 
--- a/tests/list_replica.cpp
+++ b/tests/list_replica.cpp
@@ -20,25 +20,25 @@
 
 EndpointListVersion version(uint64_t number, const std::string& source = "agent") { return {source, number}; }
 
-std::string line(const std::string& uid, int port = 1)
+std::string target_text(const std::string& uid, int port = 1)
 {
     return R"({"endpoint":"127.0.0.1:)" + std::to_string(port) + R"(","state":"ready","uid":")" + uid + "\"}";
 }
 
-EndpointMap lines_of(size_t count, int port = 1)
+EndpointMap make_endpoints(size_t count, int port = 1)
 {
-    EndpointMap lines;
+    EndpointMap endpoints;
     for (size_t i = 0; i < count; ++i) {
         const auto uid = "u" + std::to_string(i);
-        lines[uid] = line(uid, port);
+        endpoints[uid] = target_text(uid, port);
     }
-    return lines;
+    return endpoints;
 }
 
-std::vector<EndpointDelta> publish(EndpointReplica& replica, uint64_t number, const EndpointMap& lines,
+std::vector<EndpointDelta> publish(EndpointReplica& replica, uint64_t number, const EndpointMap& endpoints,
                                    Epoch at = epoch)
 {
-    return replica.publish(at, version(number), replica.difference(lines));
+    return replica.publish(at, version(number), replica.difference(endpoints));
 }
 
 void apply_all(EndpointReplica& replica, const std::vector<EndpointDelta>& deltas)
@@ -56,7 +56,7 @@
 
 // ---- deltas ----
 
-TEST(EndpointReplica, DifferenceNamesWhatIsNewChangedAndGone)
+TEST(EndpointReplica, DifferenceListsNewChangedAndRemovedEntries)
 {
     EndpointReplica replica{EndpointDeltaConfig{}};
     publish(replica, 1, {{"a", "1"}, {"b", "1"}, {"d", "1"}});
@@ -67,7 +67,7 @@
     EXPECT_EQ(changes.removed, std::vector<std::string>{"d"});
 }
 
-TEST(EndpointReplica, DifferenceOfNamedUidsIsThatOfTheWhole)
+TEST(EndpointReplica, DifferenceLimitedToUidsEqualsTheFullDifference)
 {
     EndpointReplica replica{EndpointDeltaConfig{}};
     publish(replica, 1, {{"a", "1"}, {"b", "1"}, {"d", "1"}});
@@ -94,8 +94,8 @@
 TEST(EndpointReplica, DeltasInOrderAreApplied)
 {
     EndpointReplica holder{EndpointDeltaConfig{}}, member{EndpointDeltaConfig{}};
-    apply_all(member, publish(holder, 1, lines_of(5)));
-    apply_all(member, publish(holder, 2, lines_of(4, 2)));
+    apply_all(member, publish(holder, 1, make_endpoints(5)));
+    apply_all(member, publish(holder, 2, make_endpoints(4, 2)));
     apply_all(member, publish(holder, 3, {}));
     expect_same(member, holder);
     EXPECT_EQ(member.revision(), (EndpointRevision{epoch, 3}));
@@ -106,28 +106,28 @@
 TEST(EndpointReplica, DeltaAfterAGapIsNotApplied)
 {
     EndpointReplica holder{EndpointDeltaConfig{}}, member{EndpointDeltaConfig{}};
-    apply_all(member, publish(holder, 1, lines_of(5)));
-    publish(holder, 2, lines_of(6));
-    const auto third = publish(holder, 3, lines_of(7));
+    apply_all(member, publish(holder, 1, make_endpoints(5)));
+    publish(holder, 2, make_endpoints(6));
+    const auto third = publish(holder, 3, make_endpoints(7));
     EXPECT_EQ(member.apply(third[0]), Result::behind);
     EXPECT_EQ(member.revision(), (EndpointRevision{epoch, 1}));
-    EXPECT_EQ(member.endpoints(), lines_of(5));
+    EXPECT_EQ(member.endpoints(), make_endpoints(5));
 }
 
 TEST(EndpointReplica, RepeatedDeltaIsStale)
 {
     EndpointReplica holder{EndpointDeltaConfig{}}, member{EndpointDeltaConfig{}};
-    const auto deltas = publish(holder, 1, lines_of(5));
+    const auto deltas = publish(holder, 1, make_endpoints(5));
     apply_all(member, deltas);
     EXPECT_EQ(member.apply(deltas[0]), Result::stale);
 }
 
-TEST(EndpointReplica, OlderListOfTheSameSourceIsRefused)
+TEST(EndpointReplica, OlderListOfTheSameSourceIsRejected)
 {
     EndpointReplica holder{EndpointDeltaConfig{}}, member{EndpointDeltaConfig{}},
         behind{EndpointDeltaConfig{}};
-    apply_all(member, publish(holder, 8, lines_of(5)));
-    const auto older = behind.publish(epoch + 1, version(7), behind.difference(lines_of(6)));
+    apply_all(member, publish(holder, 8, make_endpoints(5)));
+    const auto older = behind.publish(epoch + 1, version(7), behind.difference(make_endpoints(6)));
     EXPECT_EQ(member.apply(older[0]), Result::older);
     EXPECT_EQ(member.version(), version(8));
     EXPECT_FALSE(version(7, "another").older_than(version(8)));
@@ -136,23 +136,23 @@
 TEST(EndpointReplica, DeltaWithAnotherDigestIsNotApplied)
 {
     EndpointReplica holder{EndpointDeltaConfig{}}, member{EndpointDeltaConfig{}};
-    apply_all(member, publish(holder, 1, lines_of(5)));
-    member.corrupt("u1", line("u1", 9));
+    apply_all(member, publish(holder, 1, make_endpoints(5)));
+    member.corrupt("u1", target_text("u1", 9));
     EXPECT_FALSE(member.is_intact());
-    EXPECT_EQ(member.apply(publish(holder, 2, lines_of(6))[0]), Result::diverged);
+    EXPECT_EQ(member.apply(publish(holder, 2, make_endpoints(6))[0]), Result::diverged);
     EXPECT_EQ(member.revision(), (EndpointRevision{epoch, 1}));
 }
 
-TEST(EndpointReplica, StateThatIsHeldAlreadyIsAdoptedAtItsRevision)
+TEST(EndpointReplica, KnownStateIsAdoptedAtItsNewRevision)
 {
     EndpointReplica holder{EndpointDeltaConfig{}}, member{EndpointDeltaConfig{}}, next{EndpointDeltaConfig{}};
-    const auto once = publish(holder, 1, lines_of(5));
+    const auto once = publish(holder, 1, make_endpoints(5));
     apply_all(member, once);
     apply_all(next, once);
-    apply_all(member, publish(holder, 2, lines_of(6)));
+    apply_all(member, publish(holder, 2, make_endpoints(6)));
     // The next holder missed version 2 and gets it from discovery.
-    const auto taken_over = publish(next, 2, lines_of(6), epoch + 1);
-    EXPECT_EQ(member.apply(taken_over[0]), Result::adopted);
+    const auto published = publish(next, 2, make_endpoints(6), epoch + 1);
+    EXPECT_EQ(member.apply(published[0]), Result::adopted);
     expect_same(member, next);
     // The log still leads on from the earlier revision.
     EXPECT_TRUE(member.can_catch_up_from({epoch, 1}));
@@ -161,19 +161,19 @@
 TEST(EndpointReplica, NewHolderPublishesAnEmptyDeltaOfItsEpoch)
 {
     EndpointReplica holder{EndpointDeltaConfig{}}, next{EndpointDeltaConfig{}};
-    apply_all(next, publish(holder, 1, lines_of(500)));
-    const auto taken_over = publish(next, 1, lines_of(500), epoch + 1);
-    ASSERT_EQ(taken_over.size(), 1u);
-    EXPECT_TRUE(taken_over[0].changed.empty() && taken_over[0].removed.empty());
-    EXPECT_EQ(holder.apply(taken_over[0]), Result::applied);
+    apply_all(next, publish(holder, 1, make_endpoints(500)));
+    const auto published = publish(next, 1, make_endpoints(500), epoch + 1);
+    ASSERT_EQ(published.size(), 1u);
+    EXPECT_TRUE(published[0].changed.empty() && published[0].removed.empty());
+    EXPECT_EQ(holder.apply(published[0]), Result::applied);
     expect_same(holder, next);
 }
 
 TEST(EndpointReplica, LargeChangeIsSplitIntoChunks)
 {
-    const EndpointDeltaConfig rule{1000, seconds(1), 1024};
-    EndpointReplica holder{rule}, member{rule};
-    const auto deltas = publish(holder, 1, lines_of(200));
+    const EndpointDeltaConfig config{1000, seconds(1), 1024};
+    EndpointReplica holder{config}, member{config};
+    const auto deltas = publish(holder, 1, make_endpoints(200));
     ASSERT_GT(deltas.size(), 10u);
     for (const EndpointDelta& delta : deltas) {
         EXPECT_LE(encode_payload(delta).size(), 1024u + 200u);
@@ -186,13 +186,13 @@
 
 TEST(EndpointReplica, NewEntriesComeBeforeRemovals)
 {
-    const EndpointDeltaConfig rule{1000, seconds(1), 1024};
-    EndpointReplica holder{rule}, member{rule};
-    apply_all(member, publish(holder, 1, lines_of(100)));
+    const EndpointDeltaConfig config{1000, seconds(1), 1024};
+    EndpointReplica holder{config}, member{config};
+    apply_all(member, publish(holder, 1, make_endpoints(100)));
     EndpointMap others;
     for (size_t i = 0; i < 100; ++i) {
         const auto uid = "v" + std::to_string(i);
-        others[uid] = line(uid);
+        others[uid] = target_text(uid);
     }
     for (const EndpointDelta& delta : publish(holder, 2, others)) {
         ASSERT_EQ(member.apply(delta), Result::applied);
@@ -203,49 +203,49 @@
 
 // ---- the log and snapshots ----
 
-TEST(EndpointReplica, LogHasWhatFollowsARevision)
+TEST(EndpointReplica, LogReturnsDeltasSinceARevision)
 {
     EndpointReplica holder{EndpointDeltaConfig{}};
-    for (uint64_t number = 1; number <= 5; ++number) publish(holder, number, lines_of(number));
+    for (uint64_t number = 1; number <= 5; ++number) publish(holder, number, make_endpoints(number));
     const auto missing = holder.deltas_since({epoch, 3});
     ASSERT_EQ(missing.size(), 2u);
     EXPECT_EQ(missing[0].from, (EndpointRevision{epoch, 3}));
     EXPECT_EQ(missing[1].to, holder.revision());
     EXPECT_TRUE(holder.deltas_since(holder.revision()).empty());
-    EXPECT_TRUE(holder.deltas_since({epoch - 1, 3}).empty()) << "of another line of revisions";
+    EXPECT_TRUE(holder.deltas_since({epoch - 1, 3}).empty()) << "of another epoch";
 }
 
-TEST(EndpointReplica, LogKeepsNoMoreThanItsHistory)
+TEST(EndpointReplica, LogIsLimitedToItsHistory)
 {
     EndpointReplica holder{EndpointDeltaConfig{3, seconds(1), 65536}};
-    for (uint64_t number = 1; number <= 5; ++number) publish(holder, number, lines_of(number));
+    for (uint64_t number = 1; number <= 5; ++number) publish(holder, number, make_endpoints(number));
     EXPECT_TRUE(holder.deltas_since({epoch, 1}).empty());
     EXPECT_FALSE(holder.can_catch_up_from({epoch, 1}));
     EXPECT_EQ(holder.deltas_since({epoch, 2}).size(), 3u);
 }
 
-TEST(EndpointReplica, AnswerHoldsAboutOneChunkOfDeltas)
+TEST(EndpointReplica, DeltasSinceARevisionAreLimitedToAboutOneChunk)
 {
     EndpointReplica holder{EndpointDeltaConfig{1000, seconds(1), 1024}};
-    for (uint64_t number = 1; number <= 100; ++number) publish(holder, number, lines_of(number));
+    for (uint64_t number = 1; number <= 100; ++number) publish(holder, number, make_endpoints(number));
     const auto missing = holder.deltas_since({epoch, 1});
     EXPECT_GT(missing.size(), 1u);
     EXPECT_LT(missing.size(), 20u);
 }
 
-EndpointSnapshot assembled(const std::vector<EndpointSnapshotChunk>& chunks)
+EndpointSnapshot assemble(const std::vector<EndpointSnapshotChunk>& chunks)
 {
-    EndpointSnapshot whole{chunks[0].revision, chunks[0].version, chunks[0].digest, chunks[0].partial, {}};
+    EndpointSnapshot snapshot{chunks[0].revision, chunks[0].version, chunks[0].digest, chunks[0].partial, {}};
     for (const EndpointSnapshotChunk& chunk : chunks)
-        for (const EndpointEntry& entry : chunk.entries) whole.endpoints[entry.uid] = entry.text;
-    return whole;
+        for (const EndpointEntry& entry : chunk.entries) snapshot.endpoints[entry.uid] = entry.text;
+    return snapshot;
 }
 
-TEST(EndpointReplica, SnapshotInChunksMakesTheSameReplica)
+TEST(EndpointReplica, ReplicaFromSnapshotChunksEqualsItsSource)
 {
-    const EndpointDeltaConfig rule{1000, seconds(1), 1024};
-    EndpointReplica holder{rule}, member{rule};
-    publish(holder, 1, lines_of(200));
+    const EndpointDeltaConfig config{1000, seconds(1), 1024};
+    EndpointReplica holder{config}, member{config};
+    publish(holder, 1, make_endpoints(200));
     const auto chunks = holder.snapshot();
     ASSERT_GT(chunks.size(), 10u);
     for (size_t i = 0; i < chunks.size(); ++i) {
@@ -253,37 +253,37 @@
         EXPECT_EQ(chunks[i].count, chunks.size());
         EXPECT_LE(encode_payload(chunks[i]).size(), 1024u + 200u);
     }
-    const auto changes = member.replace(assembled(chunks));
+    const auto changes = member.replace(assemble(chunks));
     ASSERT_TRUE(changes);
     EXPECT_EQ(changes->changed.size(), 200u);
     expect_same(member, holder);
 }
 
-TEST(EndpointReplica, SnapshotTellsNothingButWhatDiffers)
+TEST(EndpointReplica, SnapshotReportsOnlyDifferences)
 {
     EndpointReplica holder{EndpointDeltaConfig{}}, member{EndpointDeltaConfig{}};
-    apply_all(member, publish(holder, 1, lines_of(200)));
-    auto lines = lines_of(199);
-    lines["u7"] = line("u7", 2);
-    publish(holder, 2, lines);
-    const auto changes = member.replace(assembled(holder.snapshot()));
+    apply_all(member, publish(holder, 1, make_endpoints(200)));
+    auto endpoints = make_endpoints(199);
+    endpoints["u7"] = target_text("u7", 2);
+    publish(holder, 2, endpoints);
+    const auto changes = member.replace(assemble(holder.snapshot()));
     ASSERT_TRUE(changes);
     ASSERT_EQ(changes->changed.size(), 1u);
     EXPECT_EQ(changes->changed[0].uid, "u7");
     EXPECT_EQ(changes->removed, std::vector<std::string>{"u199"});
 }
 
-TEST(EndpointReplica, SnapshotThatIsWrongOrOlderIsRefused)
+TEST(EndpointReplica, WrongOrOlderSnapshotIsRejected)
 {
     EndpointReplica holder{EndpointDeltaConfig{}}, member{EndpointDeltaConfig{}};
-    apply_all(member, publish(holder, 2, lines_of(5)));
-    auto wrong = assembled(holder.snapshot());
+    apply_all(member, publish(holder, 2, make_endpoints(5)));
+    auto wrong = assemble(holder.snapshot());
     wrong.endpoints.erase("u1");
     EXPECT_FALSE(member.replace(wrong));
-    auto earlier = assembled(holder.snapshot());
+    auto earlier = assemble(holder.snapshot());
     earlier.revision = {epoch - 1, 9};
     EXPECT_FALSE(member.replace(earlier));
-    auto older = assembled(holder.snapshot());
+    auto older = assemble(holder.snapshot());
     older.revision = {epoch, 9};
     older.version.number = 1;
     EXPECT_FALSE(member.replace(older));
@@ -294,24 +294,24 @@
 
 // Delivers the messages of both members to each other until neither sends any.
 struct Pair {
-    explicit Pair(const EndpointDeltaConfig& rule) : holder(rule), member(rule) {}
+    explicit Pair(const EndpointDeltaConfig& config) : holder(config), member(config) {}
 
     void settle(TimePoint now)
     {
         for (bool more = true; more;) {
             more = false;
-            for (Send& send : member.take_sends()) more = true, hear(now, holder, second, send.message);
-            for (Send& send : holder.take_sends()) more = true, hear(now, member, first, send.message);
+            for (Send& send : member.take_sends()) more = true, deliver(now, holder, second, send.message);
+            for (Send& send : holder.take_sends()) more = true, deliver(now, member, first, send.message);
         }
     }
-    void hear(TimePoint now, EndpointDistribution& by, MemberIndex from, Message& message)
+    void deliver(TimePoint now, EndpointDistribution& by, MemberIndex from, Message& message)
     {
-        if (const auto* want = std::get_if<EndpointDeltaRequest>(&message)) {
-            ++wants;
-            return by.on_delta_request(now, from, *want, Duration{});
+        if (const auto* request = std::get_if<EndpointDeltaRequest>(&message)) {
+            ++request_count;
+            return by.on_delta_request(now, from, *request, Duration{});
         }
         if (const auto* chunk = std::get_if<EndpointSnapshotChunk>(&message)) {
-            ++chunks;
+            ++chunk_count;
             return (void)by.on_snapshot_chunk(now, from, *chunk);
         }
         by.on_delta(now, from, std::get<EndpointDelta>(message));
@@ -323,96 +323,96 @@
     }
 
     EndpointDistribution holder, member;
-    size_t wants = 0, chunks = 0;
+    size_t request_count = 0, chunk_count = 0;
 };
 
 TEST(EndpointDistribution, PingOfANewerRevisionIsRepairedByDeltas)
 {
     Pair pair{EndpointDeltaConfig{}};
-    pair.holder.publish(epoch, version(1), lines_of(5), {});
-    pair.holder.publish(epoch, version(2), lines_of(6), {});
+    pair.holder.publish(epoch, version(1), make_endpoints(5), {});
+    pair.holder.publish(epoch, version(2), make_endpoints(6), {});
     pair.ping(start);
     expect_same(pair.member.replica(), pair.holder.replica());
-    EXPECT_EQ(pair.wants, 1u);
-    EXPECT_EQ(pair.chunks, 0u);
+    EXPECT_EQ(pair.request_count, 1u);
+    EXPECT_EQ(pair.chunk_count, 0u);
     EXPECT_FALSE(pair.member.is_behind());
 }
 
-TEST(EndpointDistribution, LongRepairGoesOnWithoutWaiting)
+TEST(EndpointDistribution, LongRepairContinuesWithoutWaiting)
 {
     Pair pair{EndpointDeltaConfig{1000, seconds(1), 1024}};
     for (uint64_t number = 1; number <= 100; ++number)
-        pair.holder.publish(epoch, version(number), lines_of(number), {});
+        pair.holder.publish(epoch, version(number), make_endpoints(number), {});
     pair.ping(start);
     expect_same(pair.member.replica(), pair.holder.replica());
-    EXPECT_GT(pair.wants, 3u);
-    EXPECT_EQ(pair.chunks, 0u);
+    EXPECT_GT(pair.request_count, 3u);
+    EXPECT_EQ(pair.chunk_count, 0u);
 }
 
-TEST(EndpointDistribution, RevisionBeforeTheHistoryIsRepairedByASnapshot)
+TEST(EndpointDistribution, RevisionOlderThanTheLogIsRepairedByASnapshot)
 {
     Pair pair{EndpointDeltaConfig{3, seconds(1), 1024}};
     for (uint64_t number = 1; number <= 10; ++number)
-        pair.holder.publish(epoch, version(number), lines_of(100 + number), {});
+        pair.holder.publish(epoch, version(number), make_endpoints(100 + number), {});
     pair.ping(start);
     expect_same(pair.member.replica(), pair.holder.replica());
-    EXPECT_GT(pair.chunks, 5u);
+    EXPECT_GT(pair.chunk_count, 5u);
 }
 
-TEST(EndpointDistribution, SnapshotThatIsBeingSentStaysWhileItsSenderGoesOn)
+TEST(EndpointDistribution, SnapshotBeingSentIsUnaffectedByNewRevisions)
 {
     Pair pair{EndpointDeltaConfig{3, seconds(1), 1024}};
     for (uint64_t number = 1; number <= 10; ++number)
-        pair.holder.publish(epoch, version(number), lines_of(100 + number), {});
+        pair.holder.publish(epoch, version(number), make_endpoints(100 + number), {});
     pair.member.on_peer_revision(start, first, pair.holder.replica().revision(),
                                  pair.holder.replica().digest());
     for (int chunk = 0; chunk < 2; ++chunk) {
-        for (Send& send : pair.member.take_sends()) pair.hear(start, pair.holder, second, send.message);
-        for (Send& send : pair.holder.take_sends()) pair.hear(start, pair.member, first, send.message);
+        for (Send& send : pair.member.take_sends()) pair.deliver(start, pair.holder, second, send.message);
+        for (Send& send : pair.holder.take_sends()) pair.deliver(start, pair.member, first, send.message);
     }
-    pair.holder.publish(epoch, version(11), lines_of(50), {});
+    pair.holder.publish(epoch, version(11), make_endpoints(50), {});
     pair.settle(start);
     EXPECT_EQ(pair.member.replica().version(), version(10));
     pair.ping(start + seconds(1));
     expect_same(pair.member.replica(), pair.holder.replica());
 }
 
-TEST(EndpointDistribution, EqualRevisionWithAnotherDigestIsRepairedAtWhoIsWrong)
+TEST(EndpointDistribution, EqualRevisionWithAnotherDigestIsRepairedAtTheCorruptReplica)
 {
     Pair pair{EndpointDeltaConfig{}};
-    pair.holder.publish(epoch, version(1), lines_of(5), {});
+    pair.holder.publish(epoch, version(1), make_endpoints(5), {});
     pair.ping(start);
-    pair.member.replica().corrupt("u1", line("u1", 9));
+    pair.member.replica().corrupt("u1", target_text("u1", 9));
     pair.holder.on_peer_revision(start, second, pair.member.replica().revision(),
                                  pair.member.replica().digest());
     EXPECT_FALSE(pair.holder.is_behind());
     pair.ping(start + seconds(2));
     expect_same(pair.member.replica(), pair.holder.replica());
     EXPECT_TRUE(pair.member.replica().is_intact());
-    EXPECT_EQ(pair.chunks, 1u);
+    EXPECT_EQ(pair.chunk_count, 1u);
 }
 
-TEST(EndpointDistribution, WhoDoesNotAnswerIsAskedAgainOnlyAfterAnother)
+TEST(EndpointDistribution, UnansweredRequestIsSentToAnotherMemberNext)
 {
-    const EndpointDeltaConfig rule;
-    EndpointDistribution member(rule);
+    const EndpointDeltaConfig config;
+    EndpointDistribution member(config);
     member.on_peer_revision(start, first, {epoch, 5}, 7);
     member.on_peer_revision(start, second, {epoch, 5}, 7);
     auto sends = member.take_sends();
     ASSERT_EQ(sends.size(), 1u);
     EXPECT_EQ(sends[0].to, first);
-    member.tick(start + rule.repair * 0.5);
-    EXPECT_TRUE(member.take_sends().empty()) << "one is outstanding";
-    member.tick(start + rule.repair);
+    member.tick(start + config.repair * 0.5);
+    EXPECT_TRUE(member.take_sends().empty()) << "a request is outstanding";
+    member.tick(start + config.repair);
     sends = member.take_sends();
     ASSERT_EQ(sends.size(), 1u);
     EXPECT_EQ(sends[0].to, second);
 }
 
-TEST(EndpointDistribution, OlderListIsNotSentToWhoHasANewerOne)
+TEST(EndpointDistribution, OlderListIsNotSentToAMemberWithANewerOne)
 {
     EndpointDistribution behind{EndpointDeltaConfig{}};
-    behind.publish(epoch, version(7), lines_of(5), {});
+    behind.publish(epoch, version(7), make_endpoints(5), {});
     behind.on_delta_request(start, second, EndpointDeltaRequest{{epoch - 1, 4}, version(8), 1, false, {}, 0},
                             Duration{});
     EXPECT_TRUE(behind.take_sends().empty());
@@ -420,47 +420,47 @@
 
 // ---- what the balancer uses ----
 
-TEST(EndpointDistribution, BalancerIsToldTheWholeListOnceAndThenChanges)
+TEST(EndpointDistribution, BalancerGetsTheFullListOnceAndThenChanges)
 {
     EndpointDistribution holder{EndpointDeltaConfig{}};
-    holder.publish(epoch, version(1), lines_of(50), {});
-    auto use = holder.take_list_update();
-    ASSERT_TRUE(use);
-    EXPECT_TRUE(use->is_full);
+    holder.publish(epoch, version(1), make_endpoints(50), {});
+    auto update = holder.take_list_update();
+    ASSERT_TRUE(update);
+    EXPECT_TRUE(update->is_full);
     EndpointMap used;
-    net::apply_list_update(used, use->text);
-    EXPECT_EQ(used, lines_of(50));
-
-    auto lines = lines_of(49);
-    lines["u7"] = line("u7", 2);
-    holder.publish(epoch, version(2), lines, std::vector<std::string>{"u7", "u49"});
-    use = holder.take_list_update();
-    ASSERT_TRUE(use);
-    EXPECT_FALSE(use->is_full);
-    EXPECT_EQ(use->version, 2u);
-    EXPECT_LT(use->text.size(), 200u);
-    net::apply_list_update(used, use->text);
-    EXPECT_EQ(used, lines);
+    net::apply_list_update(used, update->text);
+    EXPECT_EQ(used, make_endpoints(50));
+
+    auto endpoints = make_endpoints(49);
+    endpoints["u7"] = target_text("u7", 2);
+    holder.publish(epoch, version(2), endpoints, std::vector<std::string>{"u7", "u49"});
+    update = holder.take_list_update();
+    ASSERT_TRUE(update);
+    EXPECT_FALSE(update->is_full);
+    EXPECT_EQ(update->version, 2u);
+    EXPECT_LT(update->text.size(), 200u);
+    net::apply_list_update(used, update->text);
+    EXPECT_EQ(used, endpoints);
     EXPECT_FALSE(holder.take_list_update());
 }
 
-TEST(EndpointDistribution, NewVersionWithoutChangesIsTold)
+TEST(EndpointDistribution, NewVersionWithoutChangesIsReported)
 {
     EndpointDistribution holder{EndpointDeltaConfig{}};
-    holder.publish(epoch, version(1), lines_of(5), {});
+    holder.publish(epoch, version(1), make_endpoints(5), {});
     holder.take_list_update();
-    EXPECT_EQ(holder.publish(epoch, version(2), lines_of(5), {}).size(), 1u);
-    const auto use = holder.take_list_update();
-    ASSERT_TRUE(use);
-    EXPECT_EQ(use->version, 2u);
-    EXPECT_TRUE(holder.publish(epoch, version(2), lines_of(5), {}).empty()) << "nothing is new";
+    EXPECT_EQ(holder.publish(epoch, version(2), make_endpoints(5), {}).size(), 1u);
+    const auto update = holder.take_list_update();
+    ASSERT_TRUE(update);
+    EXPECT_EQ(update->version, 2u);
+    EXPECT_TRUE(holder.publish(epoch, version(2), make_endpoints(5), {}).empty()) << "nothing is new";
 }
 
-TEST(EndpointDistribution, VersionThatHasComeInPartIsNotUsed)
+TEST(EndpointDistribution, PartiallyReceivedVersionIsNotUsed)
 {
-    const EndpointDeltaConfig rule{1000, seconds(1), 1024};
-    EndpointDistribution holder(rule), member(rule);
-    const auto deltas = holder.publish(epoch, version(1), lines_of(50), {});
+    const EndpointDeltaConfig config{1000, seconds(1), 1024};
+    EndpointDistribution holder(config), member(config);
+    const auto deltas = holder.publish(epoch, version(1), make_endpoints(50), {});
     ASSERT_GT(deltas.size(), 1u);
     for (const EndpointDelta& delta : deltas) {
         EXPECT_FALSE(member.take_list_update());
@@ -469,28 +469,28 @@
     EXPECT_TRUE(member.take_list_update());
 }
 
-TEST(EndpointDistribution, OwnNewerListStaysWhileTheFleetsChangesBelowIt)
+TEST(EndpointDistribution, NewerLocalListStaysInUseWhileTheFleetsListChanges)
 {
     EndpointDistribution holder{EndpointDeltaConfig{}}, member{EndpointDeltaConfig{}};
     EndpointMap used;
     const auto take = [&] {
-        if (const auto use = member.take_list_update()) net::apply_list_update(used, use->text);
+        if (const auto update = member.take_list_update()) net::apply_list_update(used, update->text);
     };
-    const auto hear = [&](const std::vector<EndpointDelta>& deltas) {
+    const auto receive = [&](const std::vector<EndpointDelta>& deltas) {
         for (const EndpointDelta& delta : deltas) member.on_delta(start, first, delta);
         take();
     };
-    hear(holder.publish(epoch, version(1), {{"a", line("a", 1)}, {"b", line("b", 1)}}, {}));
+    receive(holder.publish(epoch, version(1), {{"a", target_text("a", 1)}, {"b", target_text("b", 1)}}, {}));
     // `a` changes at version 2 and back at version 3, which this member knows from its own discovery.
-    const EndpointMap newest{{"a", line("a", 1)}, {"b", line("b", 3)}};
+    const EndpointMap newest{{"a", target_text("a", 1)}, {"b", target_text("b", 3)}};
     member.use_local_list(version(3), newest);
     take();
     EXPECT_EQ(used, newest);
-    hear(holder.publish(epoch, version(2), {{"a", line("a", 2)}, {"b", line("b", 1)}}, {}));
+    receive(holder.publish(epoch, version(2), {{"a", target_text("a", 2)}, {"b", target_text("b", 1)}}, {}));
     EXPECT_EQ(used, newest);
     EXPECT_EQ(member.version(), version(3));
     EXPECT_FALSE(member.on_unchanged(start, first, {epoch, 2}));
-    hear(holder.publish(epoch, version(3), newest, {}));
+    receive(holder.publish(epoch, version(3), newest, {}));
     EXPECT_EQ(used, newest);
     EXPECT_FALSE(member.uses_local_list());
     EXPECT_TRUE(member.on_unchanged(start, first, {epoch, 3}));
@@ -498,36 +498,37 @@
 
 TEST(EndpointDistribution, NewHolderWithoutAReplicaWaitsForRepair)
 {
-    const EndpointDeltaConfig rule;
-    EndpointDistribution holder(rule);
+    const EndpointDeltaConfig config;
+    EndpointDistribution holder(config);
     EXPECT_TRUE(holder.must_wait_to_publish(start, epoch, start));
-    EXPECT_FALSE(holder.must_wait_to_publish(start + rule.repair, epoch, start)) << "nobody has a list";
+    EXPECT_FALSE(holder.must_wait_to_publish(start + config.repair, epoch, start)) << "nobody has a list";
     holder.on_peer_revision(start, first, {epoch - 1, 4}, 7);
-    EXPECT_TRUE(holder.must_wait_to_publish(start + rule.repair, epoch, start)) << "another has one";
-    EXPECT_FALSE(holder.must_wait_to_publish(start + rule.repair * 3, epoch, start)) << "and does not answer";
+    EXPECT_TRUE(holder.must_wait_to_publish(start + config.repair, epoch, start)) << "another member has one";
+    EXPECT_FALSE(holder.must_wait_to_publish(start + config.repair * 3, epoch, start))
+        << "the other member does not answer";
 }
 
-TEST(EndpointDistribution, ChangesThatDoNotFollowThePublishedAnswerAreNotTrusted)
+TEST(EndpointDistribution, ChangesNotBasedOnThePublishedAnswerAreIgnored)
 {
     EndpointDistribution holder{EndpointDeltaConfig{}};
-    holder.publish(epoch, version(1), lines_of(5), {});
+    holder.publish(epoch, version(1), make_endpoints(5), {});
     holder.on_answer_rejected();  // version 2, which added u5
-    holder.publish(epoch, version(3), lines_of(7), std::vector<std::string>{"u6"});
-    EXPECT_EQ(holder.replica().endpoints(), lines_of(7));
+    holder.publish(epoch, version(3), make_endpoints(7), std::vector<std::string>{"u6"});
+    EXPECT_EQ(holder.replica().endpoints(), make_endpoints(7));
 }
 
-TEST(ListText, UidsAreQuoted)
+TEST(EndpointText, UidsAreQuoted)
 {
     const std::string uid = "a\"b\\c\n";
-    EndpointMap lines{{uid, "x"}};
-    net::apply_list_update(lines, encode_list_changes(1, {uid}, {}));
-    EXPECT_TRUE(lines.empty());
+    EndpointMap endpoints{{uid, "x"}};
+    net::apply_list_update(endpoints, encode_list_changes(1, {uid}, {}));
+    EXPECT_TRUE(endpoints.empty());
 }
 
 // ---- messages ----
 
 template <class T>
-std::optional<T> over_the_wire(const T& message)
+std::optional<T> encode_and_decode(const T& message)
 {
     FrameReader reader;
     reader.take(encode_frame(message, 0));
@@ -536,25 +537,25 @@
     return got ? std::optional(*got) : std::nullopt;
 }
 
-TEST(ListMessages, ComeAsTheyWereSent)
+TEST(ListMessages, AreUnchangedByEncodingAndDecoding)
 {
     EndpointReplica holder{EndpointDeltaConfig{}};
-    auto delta = publish(holder, 1, lines_of(3))[0];
+    auto delta = publish(holder, 1, make_endpoints(3))[0];
     delta.answer = true, delta.more = true, delta.age_us = 5;
-    const auto got = over_the_wire(delta);
+    const auto got = encode_and_decode(delta);
     ASSERT_TRUE(got);
     EXPECT_EQ(pack(*got), pack(delta));
-    const EndpointDeltaRequest want{{1, 2}, version(3), 4, true, {5, 6}, 7};
-    const auto wanted = over_the_wire(want);
-    ASSERT_TRUE(wanted);
-    EXPECT_EQ(pack(*wanted), pack(want));
+    const EndpointDeltaRequest request{{1, 2}, version(3), 4, true, {5, 6}, 7};
+    const auto decoded_request = encode_and_decode(request);
+    ASSERT_TRUE(decoded_request);
+    EXPECT_EQ(pack(*decoded_request), pack(request));
     const auto chunk = holder.snapshot()[0];
-    const auto chunk_got = over_the_wire(chunk);
-    ASSERT_TRUE(chunk_got);
-    EXPECT_EQ(pack(*chunk_got), pack(chunk));
+    const auto decoded_chunk = encode_and_decode(chunk);
+    ASSERT_TRUE(decoded_chunk);
+    EXPECT_EQ(pack(*decoded_chunk), pack(chunk));
 }
 
-TEST(ListMessages, EarlierKindsKeepTheirNumbers)
+TEST(ListMessages, KeepTheirWireNumbers)
 {
     EXPECT_EQ(Message(QuotaResponse{}).index(), 19u);
     EXPECT_EQ(Message(EndpointDelta{}).index(), 20u);
@@ -578,7 +579,7 @@
                    list_epoch, weight)
 };
 
-TEST(ListMessages, PingsOfBuildsWithoutDigestsAreUnderstoodBothWays)
+TEST(ListMessages, PingsOfBuildsWithoutDigestsAreDecodedBothWays)
 {
     PingWithoutDigest before;
     before.number = 9, before.weight = 4;
@@ -604,11 +605,11 @@
     return text + more;
 }
 
-std::string fault_of(const std::string& more)
+std::string error_of(const std::string& more)
 {
     const auto got = decode_fleet_config(fleet_file(more));
-    const auto* fault = std::get_if<ConfigError>(&got);
-    return fault ? to_string(*fault) : "none";
+    const auto* error = std::get_if<ConfigError>(&got);
+    return error ? to_string(*error) : "none";
 }
 
 TEST(DeltasTable, IsOffWithoutItAndHasDefaults)
@@ -633,10 +634,10 @@
     EXPECT_EQ(chunk("\"1MB\""), 1048576u);
 }
 
-TEST(DeltasTable, FaultsNameLineAndKey)
+TEST(DeltasTable, ErrorsNameLineAndKey)
 {
-    EXPECT_EQ(fault_of("[deltas]\n"), "line 18: deltas: says nothing without [list]");
-    const auto with_list = [](const std::string& key) { return fault_of("[list]\n[deltas]\n" + key + "\n"); };
+    EXPECT_EQ(error_of("[deltas]\n"), "line 18: deltas: says nothing without [list]");
+    const auto with_list = [](const std::string& key) { return error_of("[list]\n[deltas]\n" + key + "\n"); };
     EXPECT_EQ(with_list("hystory = 5"), "line 20: deltas.hystory: unknown key");
     EXPECT_EQ(with_list("history = 0"),
               "line 20: deltas.history: a whole number from 1 to 1000000 is expected");
