--- a/src/fleet/endpoints/endpoint_list_service.cpp
+++ b/src/fleet/endpoints/endpoint_list_service.cpp
@@ -15,7 +15,7 @@
 constexpr double max_poll_spread = 0.5;              // of the configured maximum age
 // Of the configured maximum age: the list counts as no older than this when the holder changes.
 constexpr double max_age_after_change = 0.5;
-constexpr double hint_lifetime_factor = 4;  // in units of the longest duration of a startup stage
+constexpr double hint_lifetime_factor = 4;  // in units of `recovery.wait`
 constexpr size_t max_pushed_deltas = 4;     // receivers request further ones, so that no send queue overflows
 
 }  // namespace
--- a/src/fleet/endpoints/endpoint_view.cpp
+++ b/src/fleet/endpoints/endpoint_view.cpp
@@ -217,8 +217,9 @@
     if (!same) return true;
     if (next.capacity == shown.capacity) return false;
     // A capacity that is fully restored is always shown, however small the step.
-    const bool is_whole = next.capacity == endpoints_[upstream].listed_state.capacity;
-    return is_whole || std::abs(next.capacity - shown.capacity) > min_visible_change * shown.capacity;
+    const bool is_fully_restored = next.capacity == endpoints_[upstream].listed_state.capacity;
+    return is_fully_restored ||
+           std::abs(next.capacity - shown.capacity) > min_visible_change * shown.capacity;
 }
 
 std::vector<EndpointState> EndpointView::update(TimePoint now, const Reduction& reduction)
--- a/src/fleet/endpoints/subset.cpp
+++ b/src/fleet/endpoints/subset.cpp
@@ -12,6 +12,7 @@
 
 constexpr double min_weight = 0.1;        // upstreams with a lower weight are not used
 constexpr double min_peer_weight = 0.05;  // relative to the mean
+// Shares of the subset that carry no reduction.
 constexpr double widen_below_free = 0.6, narrow_above_free = 0.8;
 constexpr uint32_t max_steps = 16;
 constexpr Duration step_interval = seconds(0.2);
@@ -21,7 +22,7 @@
 
 // A ring of upstreams in the order of their hashed ids, each as long as its size.
 struct Ring {
-    std::vector<std::pair<uint64_t, size_t>> order;  // ring position, index in the list
+    std::vector<std::pair<uint64_t, size_t>> entries;  // ring position, index in the list
     double length = 0;
 };
 
@@ -31,10 +32,10 @@
     Ring ring;
     for (size_t i = 0; i < candidates.size(); ++i) {
         if (candidates[i].size <= 0 || !included(candidates[i])) continue;
-        ring.order.emplace_back(ring_position(candidates[i].id), i);
+        ring.entries.emplace_back(ring_position(candidates[i].id), i);
         ring.length += candidates[i].size;
     }
-    std::sort(ring.order.begin(), ring.order.end());
+    std::sort(ring.entries.begin(), ring.entries.end());
     return ring;
 }
 
@@ -62,22 +63,22 @@
     return before / all;
 }
 
-// Adds the upstreams under an arc as long as `wanted` upstreams of average size.
+// Adds the upstreams under an arc as long as `upstream_count` upstreams of average size.
 void add_arc_weights(SubsetWeights& weights, const Ring& ring, const std::vector<SubsetCandidate>& candidates,
-                     double start, double wanted)
+                     double start, double upstream_count)
 {
-    if (ring.order.empty()) return;
+    if (ring.entries.empty()) return;
     const double from = start * ring.length;
-    const double arc = std::min(1.0, wanted / static_cast<double>(ring.order.size())) * ring.length;
+    const double arc = std::min(1.0, upstream_count / static_cast<double>(ring.entries.size())) * ring.length;
     double at = 0;
-    for (const auto& [position, place] : ring.order) {
-        const double size = candidates[place].size;
+    for (const auto& [position, index] : ring.entries) {
+        const double size = candidates[index].size;
         double covered = 0;
         // The arc may wrap around the end of the ring.
-        for (const double turn : {0.0, ring.length})
-            covered += std::max(0.0, std::min(at + size + turn, from + arc) - std::max(at + turn, from));
+        for (const double wrap : {0.0, ring.length})
+            covered += std::max(0.0, std::min(at + size + wrap, from + arc) - std::max(at + wrap, from));
         const double weight = std::min(1.0, covered / size);
-        if (weight >= min_weight) weights[place] = std::max(weights[place], weight);
+        if (weight >= min_weight) weights[index] = std::max(weights[index], weight);
         at += size;
     }
 }
@@ -89,7 +90,7 @@
 {
     const auto any = [](const auto&) { return true; };
     const auto in_own_zone = [](const auto& each) { return each.own_zone; };
-    const auto beyond = [](const auto& each) { return !each.own_zone; };
+    const auto outside_own_zone = [](const auto& each) { return !each.own_zone; };
     SubsetWeights weights(candidates.size(), 0);
     if (!config.zones) {
         add_arc_weights(weights, ring_of(candidates, any), candidates, arc_start(peers, self, any),
@@ -98,7 +99,7 @@
     }
     add_arc_weights(weights, ring_of(candidates, in_own_zone), candidates,
                     arc_start(peers, self, in_own_zone), config.size * widening);
-    add_arc_weights(weights, ring_of(candidates, beyond), candidates, arc_start(peers, self, any),
+    add_arc_weights(weights, ring_of(candidates, outside_own_zone), candidates, arc_start(peers, self, any),
                     config.beyond * widening);
     return weights;
 }
--- a/src/fleet/startup/startup_sequencer.h
+++ b/src/fleet/startup/startup_sequencer.h
@@ -57,9 +57,9 @@
     [[nodiscard]] bool accepts_empty_list(TimePoint now);
     void on_nonempty_list() { empty_since_.reset(); }
 
-    // The baseline for the next start: the traffic of this run once service has been full for a while,
-    // otherwise the baseline of this start. A second outage during startup must not make its low traffic the
-    // baseline.
+    // The baseline for the next start: the traffic of this run if it is higher, or once service has been full
+    // for a while, otherwise the baseline of this start. A second outage during startup must not make its low
+    // traffic the baseline.
     [[nodiscard]] TrafficBaseline next_baseline(TimePoint now, const TrafficBaseline& seen) const;
 
     [[nodiscard]] StartupStage stage() const { return stage_; }
