--- a/tests/adding_up.cpp
+++ b/tests/adding_up.cpp
@@ -204,7 +204,7 @@
         member.client.emplace(config, static_cast<size_t>(n * (1 - missing_share)), member.instance);
         member.up = true;
     };
-    for (Member& member : all) start(o);
+    for (Member& member : all) start(member);
     QuotaAllocator allocator(config, 0.02);
     Epoch epoch = 1;
     struct DelayedResponse {
@@ -229,7 +229,7 @@
         for (size_t i = 0; i < n; ++i) {
             Member& member = all[i];
             if (roll() < 0.002) member.up = false;
-            if (!member.up && roll() < 0.02) start(o);
+            if (!member.up && roll() < 0.02) start(member);
             if (!member.up || now < member.next) continue;
             member.next = now + seconds(0.2 + 0.1 * roll());
             member.client->record_demand(now, {{name, static_cast<uint32_t>(roll() * 40)}});
