--- a/src/fleet/endpoints/endpoint_distribution.h
+++ b/src/fleet/endpoints/endpoint_distribution.h
@@ -90,7 +90,7 @@
         EndpointSnapshot snapshot;
         uint32_t next_chunk = 0, chunk_count = 0;
         size_t bytes = 0;
-        uint32_t unanswered_requests = 0;  // unanswered requests in a row
+        uint32_t unanswered_requests = 0;  // in a row
     };
     // A snapshot that is being sent. It stays unchanged while the replica advances.
     struct OutgoingSnapshot {
--- a/src/fleet/endpoints/subset.h
+++ b/src/fleet/endpoints/subset.h
@@ -40,13 +40,14 @@
 class SubsetWidth
 {
   public:
-    // `narrow_after`: time without need for the present width before it narrows by one step.
+    // `narrowing_delay`: time without need for the present width before it narrows by one step.
     explicit SubsetWidth(Duration narrowing_delay) : narrowing_delay_(narrowing_delay) {}
 
     [[nodiscard]] double widening() const { return static_cast<double>(1U << steps_); }
     [[nodiscard]] uint32_t steps() const { return steps_; }
     // `free`: the share of the subset that carries no reduction; `narrower_free`: the same for the subset one
-    // step narrower; `is_whole_list`: the subset covers all upstreams. Returns whether the width has changed.
+    // step narrower; `covers_whole_list`: the subset covers all upstreams. Returns whether the width has
+    // changed.
     [[nodiscard]] bool adjust(TimePoint now, double free, double narrower_free, bool covers_whole_list);
 
   private:
--- a/src/fleet/membership/member_view.h
+++ b/src/fleet/membership/member_view.h
@@ -32,7 +32,7 @@
 
     [[nodiscard]] const MemberState& state_of(MemberIndex member) const { return members_[member]; }
     [[nodiscard]] size_t size() const { return members_.size(); }
-    // The only function that changes a record.
+    // All changes of a single record go through this function.
     void set_state(MemberIndex member, const MemberState& next);
     // Updates the sets of suspect and gone members after a record has changed.
     void update_health_sets(TimePoint now, MemberIndex member, Health before);
