--- a/src/fleet/endpoints/endpoint_view.cpp
+++ b/src/fleet/endpoints/endpoint_view.cpp
@@ -10,11 +10,11 @@
 
 constexpr Duration observation_interval = seconds(0.1);
 constexpr Duration doubling_time = seconds(0.5);  // of a capacity that recovers
-constexpr double min_capacity_factor =
-    0.02;                                    // keeps enough traffic to notice that the upstream has recovered
+// Keeps enough traffic to notice that the upstream has recovered.
+constexpr double min_capacity_factor = 0.02;
 constexpr double min_visible_change = 0.05;  // relative; smaller capacity changes are not shown to the module
-constexpr Duration min_start_distance =
-    seconds(5);  // reported start times closer than this are the same start
+// Reported start times closer than this are the same start.
+constexpr Duration min_start_distance = seconds(5);
 // Capacity factor of an upstream in slow start that has no token now, used while most upstreams are in slow
 // start. It is picked only if nothing else is available, and then the budget decides. If it were hidden, it
 // would be missing from the module's estimate of total capacity.
--- a/src/fleet/startup/startup_sequencer.cpp
+++ b/src/fleet/startup/startup_sequencer.cpp
@@ -9,7 +9,7 @@
 {
 
 constexpr double warm_threshold = 0.95;       // of the capacity of all upstreams
-constexpr double headroom = 1.25;             // the baseline was below the highest rate that could be handled
+constexpr double headroom = 1.25;             // over the baseline, which is below the highest possible rate
 constexpr double min_admitted_share = 0.05;   // some traffic is needed to see what can be handled
 constexpr double max_takeover_factor = 3;     // of the baseline, if other balancers have not come back
 constexpr double reserved_token_share = 0.5;  // of the tokens, for the most valuable operations
