--- a/src/fleet/endpoints/endpoint_replica.cpp
+++ b/src/fleet/endpoints/endpoint_replica.cpp
@@ -10,7 +10,7 @@
 {
 
 constexpr size_t max_log_bytes = 8 << 20;
-constexpr size_t entry_overhead = 8;  // of one in a message, at most
+constexpr size_t entry_overhead = 8;  // upper bound of the encoding overhead of one entry
 
 size_t size_of(const EndpointEntry& entry) { return entry.uid.size() + entry.text.size() + entry_overhead; }
 
@@ -29,54 +29,56 @@
     return XXH3_64bits_withSeed(text.data(), text.size(), XXH3_64bits(uid.data(), uid.size()));
 }
 
-uint64_t digest_of(const EndpointMap& texts)
+uint64_t digest_of(const EndpointMap& endpoints)
 {
-    uint64_t sum = 0;
-    for (const auto& [uid, text] : texts) sum += digest_of(uid, text);
-    return sum;
+    uint64_t digest = 0;
+    for (const auto& [uid, text] : endpoints) digest += digest_of(uid, text);
+    return digest;
 }
 
-EndpointChanges EndpointReplica::difference(const EndpointMap& whole) const
+EndpointChanges EndpointReplica::difference(const EndpointMap& new_endpoints) const
 {
     EndpointChanges changes;
-    auto held = state_.endpoints.begin();
+    auto current = state_.endpoints.begin();
     const auto end = state_.endpoints.end();
-    for (const auto& [uid, text] : whole) {
-        for (; held != end && held->first < uid; ++held) changes.removed.push_back(held->first);
-        const bool known = held != end && held->first == uid;
-        if (!known || held->second != text) changes.changed.push_back({uid, text});
-        if (known) ++held;
+    for (const auto& [uid, text] : new_endpoints) {
+        for (; current != end && current->first < uid; ++current) changes.removed.push_back(current->first);
+        const bool known = current != end && current->first == uid;
+        if (!known || current->second != text) changes.changed.push_back({uid, text});
+        if (known) ++current;
     }
-    for (; held != end; ++held) changes.removed.push_back(held->first);
+    for (; current != end; ++current) changes.removed.push_back(current->first);
     return changes;
 }
 
-EndpointChanges EndpointReplica::difference(const EndpointMap& whole,
+EndpointChanges EndpointReplica::difference(const EndpointMap& new_endpoints,
                                             const std::vector<std::string>& uids) const
 {
     EndpointChanges changes;
     for (const std::string& uid : uids) {
-        const auto held = state_.endpoints.find(uid);
-        const auto seen = whole.find(uid);
-        const bool is_held = held != state_.endpoints.end();
-        if (seen == whole.end()) {
-            if (is_held) changes.removed.push_back(uid);
-        } else if (!is_held || held->second != seen->second) {
-            changes.changed.push_back({uid, seen->second});
+        const auto current = state_.endpoints.find(uid);
+        const auto updated = new_endpoints.find(uid);
+        const bool is_known = current != state_.endpoints.end();
+        if (updated == new_endpoints.end()) {
+            if (is_known) changes.removed.push_back(uid);
+        } else if (!is_known || current->second != updated->second) {
+            changes.changed.push_back({uid, updated->second});
         }
     }
     return changes;
 }
 
-// New entries come before removals: no state in between has fewer upstreams than both ends.
+// New entries precede removals, so no intermediate state has fewer upstreams than the smaller of the old and
+// the new list.
 std::vector<EndpointDelta> EndpointReplica::publish(Epoch epoch, const EndpointListVersion& version,
                                                     EndpointChanges changes)
 {
-    // What a new holder states has to be what it holds, whatever it was told before.
+    // The digest that a new holder publishes must be that of the entries it has, whatever digests it received
+    // before.
     if (state_.revision.epoch != epoch) digest_ = digest_of(state_.endpoints);
     std::vector<EndpointDelta> deltas(1);
     size_t bytes = 0;
-    const auto make_room = [&](size_t size) {
+    const auto start_new_delta_if_full = [&](size_t size) {
         if (bytes > 0 && bytes + size > config_.chunk) {
             deltas.emplace_back();
             bytes = 0;
@@ -84,11 +86,11 @@
         bytes += size;
     };
     for (EndpointEntry& entry : changes.changed) {
-        make_room(size_of(entry));
+        start_new_delta_if_full(size_of(entry));
         deltas.back().changed.push_back(std::move(entry));
     }
     for (std::string& uid : changes.removed) {
-        make_room(uid.size() + entry_overhead);
+        start_new_delta_if_full(uid.size() + entry_overhead);
         deltas.back().removed.push_back(std::move(uid));
     }
     for (EndpointDelta& delta : deltas) {
@@ -97,7 +99,7 @@
         delta.partial = &delta != &deltas.back();
         delta.version = delta.partial ? state_.version : version;
         delta.digest = digest_after(delta);
-        advance(delta);
+        apply_unchecked(delta);
     }
     return deltas;
 }
@@ -105,19 +107,19 @@
 uint64_t EndpointReplica::digest_after(const EndpointDelta& delta) const
 {
     uint64_t digest = digest_;
-    const auto take_out = [&](const std::string& uid) {
-        const auto held = state_.endpoints.find(uid);
-        if (held != state_.endpoints.end()) digest -= digest_of(uid, held->second);
+    const auto subtract_digest = [&](const std::string& uid) {
+        const auto current = state_.endpoints.find(uid);
+        if (current != state_.endpoints.end()) digest -= digest_of(uid, current->second);
     };
     for (const EndpointEntry& entry : delta.changed) {
-        take_out(entry.uid);
+        subtract_digest(entry.uid);
         digest += digest_of(entry.uid, entry.text);
     }
-    for (const std::string& uid : delta.removed) take_out(uid);
+    for (const std::string& uid : delta.removed) subtract_digest(uid);
     return digest;
 }
 
-void EndpointReplica::advance(const EndpointDelta& delta)
+void EndpointReplica::apply_unchecked(const EndpointDelta& delta)
 {
     for (const EndpointEntry& entry : delta.changed) state_.endpoints[entry.uid] = entry.text;
     for (const std::string& uid : delta.removed) state_.endpoints.erase(uid);
@@ -125,10 +127,10 @@
     state_.version = delta.version;
     state_.partial = delta.partial;
     state_.digest = digest_ = delta.digest;
-    keep(delta);
+    append_to_log(delta);
 }
 
-void EndpointReplica::keep(EndpointDelta delta)
+void EndpointReplica::append_to_log(EndpointDelta delta)
 {
     delta.answer = delta.more = false;
     delta.age_us = 0;
@@ -140,25 +142,26 @@
     }
 }
 
-EndpointReplica::Result EndpointReplica::apply(const EndpointDelta& delta)
+EndpointReplica::ApplyResult EndpointReplica::apply(const EndpointDelta& delta)
 {
-    if (delta.to <= state_.revision) return Result::stale;
-    if (delta.version.older_than(state_.version)) return Result::older;
+    if (delta.to <= state_.revision) return ApplyResult::stale;
+    if (delta.version.older_than(state_.version)) return ApplyResult::older;
     if (delta.from == state_.revision) {
-        if (digest_after(delta) != delta.digest) return Result::diverged;
-        advance(delta);
-        return Result::applied;
+        if (digest_after(delta) != delta.digest) return ApplyResult::diverged;
+        apply_unchecked(delta);
+        return ApplyResult::applied;
     }
-    if (delta.digest != digest_) return Result::behind;
+    if (delta.digest != digest_) return ApplyResult::behind;
     EndpointDelta bridge = delta;
     bridge.from = state_.revision;
     bridge.changed.clear();
     bridge.removed.clear();
-    advance(bridge);
-    return Result::adopted;
+    apply_unchecked(bridge);
+    return ApplyResult::adopted;
 }
 
-std::deque<EndpointDelta>::const_iterator EndpointReplica::logged_after(const EndpointRevision& from) const
+std::deque<EndpointDelta>::const_iterator EndpointReplica::find_logged_after(
+    const EndpointRevision& from) const
 {
     const auto at =
         std::lower_bound(log_.begin(), log_.end(), from,
@@ -166,16 +169,16 @@
     return at != log_.end() && at->from == from ? at : log_.end();
 }
 
-bool EndpointReplica::reaches(const EndpointRevision& from) const
+bool EndpointReplica::can_catch_up_from(const EndpointRevision& from) const
 {
-    return from == state_.revision || logged_after(from) != log_.end();
+    return from == state_.revision || find_logged_after(from) != log_.end();
 }
 
-std::vector<EndpointDelta> EndpointReplica::since(const EndpointRevision& from) const
+std::vector<EndpointDelta> EndpointReplica::deltas_since(const EndpointRevision& from) const
 {
     std::vector<EndpointDelta> deltas;
     size_t bytes = 0;
-    for (auto next = logged_after(from); next != log_.end(); ++next) {
+    for (auto next = find_logged_after(from); next != log_.end(); ++next) {
         bytes += size_of(*next);
         if (!deltas.empty() && bytes > config_.chunk) break;
         deltas.push_back(*next);
@@ -185,18 +188,18 @@
 
 std::vector<EndpointSnapshotChunk> EndpointReplica::snapshot() const
 {
-    EndpointSnapshotChunk head;
-    head.revision = state_.revision;
-    head.version = state_.version;
-    head.digest = state_.digest;
-    head.partial = state_.partial;
-    std::vector<EndpointSnapshotChunk> chunks{head};
+    EndpointSnapshotChunk header;
+    header.revision = state_.revision;
+    header.version = state_.version;
+    header.digest = state_.digest;
+    header.partial = state_.partial;
+    std::vector<EndpointSnapshotChunk> chunks{header};
     size_t bytes = 0;
     for (const auto& [uid, text] : state_.endpoints) {
         EndpointEntry entry{uid, text};
         if (bytes > 0 && bytes + size_of(entry) > config_.chunk) {
-            head.index = static_cast<uint32_t>(chunks.size());
-            chunks.push_back(head);
+            header.index = static_cast<uint32_t>(chunks.size());
+            chunks.push_back(header);
             bytes = 0;
         }
         bytes += size_of(entry);
--- a/src/fleet/startup/member_snapshot.cpp
+++ b/src/fleet/startup/member_snapshot.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-// Little-endian. The checksum covers the header without it, and all that follows.
+// Little-endian. The checksum covers the rest of the header and the payload.
 struct Header {
     std::array<char, 8> magic = {'F', 'I', 'R', 'T', 'S', 'N', 'A', 'P'};
     uint32_t format = member_snapshot_format;
@@ -44,21 +44,21 @@
     Header header;
     if (bytes.size() < sizeof header) return SnapshotError{"it is cut short"};
     std::memcpy(&header, bytes.data(), sizeof header);
-    if (header.magic != Header{}.magic) return SnapshotError{"it is no snapshot"};
+    if (header.magic != Header{}.magic) return SnapshotError{"it is not a snapshot"};
     const auto payload = bytes.substr(sizeof header);
     if (payload.size() < header.length) return SnapshotError{"it is cut short"};
     if (payload.size() > header.length || checksum_of(header, payload) != header.checksum)
         return SnapshotError{"it is damaged"};
-    // Only after the checksum: a damaged number is no newer format.
+    // Only after the checksum, so that a damaged format number is not taken for a newer format.
     if (header.format != member_snapshot_format)
-        return SnapshotError{"its format " + std::to_string(header.format) + " is not known here"};
+        return SnapshotError{"its format " + std::to_string(header.format) + " is not supported"};
     auto snapshot = unpack<MemberSnapshot>(payload);
-    if (!snapshot) return SnapshotError{"it holds something else"};
+    if (!snapshot) return SnapshotError{"its payload is not a member snapshot"};
     return std::move(*snapshot);
 }
 
-std::optional<SnapshotError> check_owner(const MemberSnapshot& snapshot, const std::string& fleet,
-                                         const std::string& member)
+std::optional<SnapshotError> check_snapshot_owner(const MemberSnapshot& snapshot, const std::string& fleet,
+                                                  const std::string& member)
 {
     if (snapshot.fleet != fleet) return SnapshotError{"it is of fleet '" + snapshot.fleet + "'"};
     if (snapshot.member != member) return SnapshotError{"it is of member '" + snapshot.member + "'"};
--- a/src/fleet/startup/snapshot_service.h
+++ b/src/fleet/startup/snapshot_service.h
@@ -1,5 +1,5 @@
-// A member's own past: takes in the snapshot of its last run, and writes a new one again and again. Where the
-// fleet file has [recovery].
+// Restores the snapshot of this member's last run and writes new ones periodically, if the fleet file has
+// [recovery].
 #pragma once
 
 #include <string>
@@ -15,7 +15,7 @@
 class SnapshotService
 {
   public:
-    // All must outlive the service.
+    // All arguments must outlive the service.
     SnapshotService(FleetContext& context, EndpointListService& endpoints, const SharedChoices& choices);
 
     void start();
@@ -25,8 +25,8 @@
     [[nodiscard]] std::string status() const;
 
   private:
-    void refuse(const SnapshotError& error);
-    void trust(MemberSnapshot snapshot, std::optional<Duration> age);
+    void reject(const SnapshotError& error);
+    void restore(MemberSnapshot snapshot, std::optional<Duration> age);
     void report_outdated_disk();
     FleetState fleet_state() const;
     MemberSnapshot make_snapshot();
@@ -34,8 +34,8 @@
     FleetContext& context_;
     EndpointListService& endpoints_;
     const SharedChoices& choices_;
-    std::vector<std::string> history_;  // what was trusted and refused of the snapshot
-    Incarnation first_incarnation_ = 0;
+    std::vector<std::string> restore_report_;  // what was restored and rejected
+    Incarnation startup_incarnation_ = 0;
     TimePoint last_write_;
     bool reported_outdated_disk_ = false;
 };
