--- a/src/base/config_error.h
+++ b/src/base/config_error.h
@@ -1,4 +1,4 @@
-// What is wrong in an operator file, and where.
+// An error in an operator's file, and its location.
 #pragma once
 
 #include <cstdint>
@@ -18,9 +18,9 @@
 };
 
 // "line 3: limits.clients: ..."
-inline std::string to_string(const ConfigError& fault)
+inline std::string to_string(const ConfigError& error)
 {
-    return "line " + std::to_string(fault.location.line) + ": " + fault.location.key + ": " + fault.message;
+    return "line " + std::to_string(error.location.line) + ": " + error.location.key + ": " + error.message;
 }
 
 }  // namespace firtide
--- a/src/base/descriptor.h
+++ b/src/base/descriptor.h
@@ -1,4 +1,4 @@
-// Owner of a file descriptor.
+// RAII owner of a file descriptor.
 #pragma once
 
 #include <unistd.h>
@@ -8,7 +8,7 @@
 namespace firtide
 {
 
-// Closes its descriptor when it goes out of scope. A negative descriptor is none.
+// Closes its descriptor on destruction. A negative value means no descriptor.
 class Descriptor
 {
   public:
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -1,4 +1,4 @@
-// Points in time and spans between them: two types that cannot be mixed up.
+// Points in time and durations, as two types that cannot be mixed up.
 #pragma once
 
 #include <compare>
@@ -22,8 +22,8 @@
     int64_t us = 0;
 
     auto operator<=>(const TimePoint&) const = default;
-    TimePoint operator+(Duration span) const { return {us + span.us}; }
-    TimePoint operator-(Duration span) const { return {us - span.us}; }
+    TimePoint operator+(Duration duration) const { return {us + duration.us}; }
+    TimePoint operator-(Duration duration) const { return {us - duration.us}; }
     Duration operator-(TimePoint earlier) const { return {us - earlier.us}; }
 };
 
--- a/src/base/toml_table.h
+++ b/src/base/toml_table.h
@@ -1,4 +1,4 @@
-// Reading operator files: a table whose keys are all known, each value checked where it is read.
+// Reads operators' TOML files: a table refuses unknown keys, and each value is checked where it is read.
 #pragma once
 
 #include <toml++/toml.h>
@@ -15,7 +15,8 @@
 namespace firtide
 {
 
-// A fault in an operator file: ends the reading, and is a value again where that began.
+// An error in an operator's file. Thrown while the file is read; the function that began to read it catches
+// it and returns the ConfigError.
 struct TomlConfigError {
     ConfigError error;
 };
@@ -30,7 +31,7 @@
 class TomlTable
 {
   public:
-    // Guards against a misspelt key that is taken for a default.
+    // Throws for a key that is not in `known`: a misspelt key would otherwise silently leave the default.
     TomlTable(const toml::table& from, std::string path, std::initializer_list<std::string_view> known)
         : from_(from), path_(std::move(path))
     {
@@ -59,18 +60,18 @@
             throw_config_error(full_key(key), line_of(*node), "a text is expected");
         return value->get();
     }
-    bool boolean(std::string_view key, bool absent) const
+    bool boolean(std::string_view key, bool default_value) const
     {
         const auto* node = from_.get(key);
-        if (!node) return absent;
+        if (!node) return default_value;
         if (!node->is_boolean())
             throw_config_error(full_key(key), line_of(*node), "true or false is expected");
         return node->as_boolean()->get();
     }
-    uint32_t integer(std::string_view key, uint32_t absent, uint32_t least, uint32_t most) const
+    uint32_t integer(std::string_view key, uint32_t default_value, uint32_t least, uint32_t most) const
     {
         const auto* node = from_.get(key);
-        if (!node) return absent;
+        if (!node) return default_value;
         const auto* value = node->as_integer();
         if (!value || value->get() < least || value->get() > most)
             throw_config_error(full_key(key), line_of(*node),
@@ -78,10 +79,10 @@
                                    std::to_string(most) + " is expected");
         return static_cast<uint32_t>(value->get());
     }
-    double number(std::string_view key, double absent, double least, double most) const
+    double number(std::string_view key, double default_value, double least, double most) const
     {
         const auto* node = from_.get(key);
-        if (!node) return absent;
+        if (!node) return default_value;
         const auto value = node->value<double>();
         if (!node->is_number() || !value || !(*value >= least && *value <= most))
             throw_config_error(
@@ -89,27 +90,28 @@
                 "a number from " + short_text(least) + " to " + short_text(most) + " is expected");
         return *value;
     }
-    Duration milliseconds(std::string_view key, Duration absent) const
+    Duration milliseconds(std::string_view key, Duration default_value) const
     {
-        return Duration{int64_t{1000} * integer(key, static_cast<uint32_t>(absent.us / 1000), 1, 3'600'000)};
+        return Duration{int64_t{1000} *
+                        integer(key, static_cast<uint32_t>(default_value.us / 1000), 1, 3'600'000)};
     }
-    // A whole number of bytes, or as "64KB" or "1MB".
-    uint32_t byte_size(std::string_view key, uint32_t absent, uint32_t least, uint32_t most) const
+    // A whole number of bytes, or a size such as "64KB" or "1MB".
+    uint32_t byte_size(std::string_view key, uint32_t default_value, uint32_t least, uint32_t most) const
     {
         const auto* node = from_.get(key);
-        if (!node) return absent;
+        if (!node) return default_value;
         int64_t value = 0, unit = 1;
         if (const auto* number = node->as_integer()) {
             value = number->get();
         } else {
-            const auto said = string(key);
-            const char* end = said.data() + said.size();
-            const auto read = std::from_chars(said.data(), end, value);
+            const auto text = string(key);
+            const char* end = text.data() + text.size();
+            const auto read = std::from_chars(text.data(), end, value);
             const std::string_view name_of_unit(read.ptr, static_cast<size_t>(end - read.ptr));
             unit = name_of_unit == "KB" ? 1024 : name_of_unit == "MB" ? 1024 * 1024 : 0;
             if (read.ec != std::errc{} || unit == 0)
                 throw_config_error(full_key(key), line(key),
-                                   "a size as 65536, \"64KB\" or \"1MB\" is expected, not '" + said + "'");
+                                   "a size as 65536, \"64KB\" or \"1MB\" is expected, not '" + text + "'");
         }
         if (value < least / unit || value > most / unit || value * unit < least)
             throw_config_error(
@@ -117,41 +119,41 @@
                 "must be from " + std::to_string(least) + " to " + std::to_string(most) + " bytes");
         return static_cast<uint32_t>(value * unit);
     }
-    // As "250ms", "3s" or "2m".
-    Duration duration(std::string_view key, Duration absent, Duration least, Duration most) const
+    // A duration such as "250ms", "3s" or "2m".
+    Duration duration(std::string_view key, Duration default_value, Duration least, Duration most) const
     {
-        if (!has(key)) return absent;
-        const auto said = string(key);
+        if (!has(key)) return default_value;
+        const auto text = string(key);
         double value = 0;
-        const char* end = said.data() + said.size();
-        const auto read = std::from_chars(said.data(), end, value);
+        const char* end = text.data() + text.size();
+        const auto read = std::from_chars(text.data(), end, value);
         const std::string_view unit(read.ptr, static_cast<size_t>(end - read.ptr));
         const double times = unit == "ms" ? 1e-3 : unit == "s" ? 1 : unit == "m" ? 60 : 0;
         if (read.ec != std::errc{} || times == 0)
             throw_config_error(full_key(key), line(key),
-                               "a time as \"250ms\", \"3s\" or \"2m\" is expected, not '" + said + "'");
-        const Duration got = firtide::seconds(value * times);
-        if (got < least || got > most)
+                               "a time as \"250ms\", \"3s\" or \"2m\" is expected, not '" + text + "'");
+        const Duration result = firtide::seconds(value * times);
+        if (result < least || result > most)
             throw_config_error(full_key(key), line(key),
                                "must be from " + short_text(seconds_of(least)) + " to " +
                                    short_text(seconds_of(most)) + " s");
-        return got;
+        return result;
     }
-    // An IPv4 address and a port, as it stands; whether it can be had shows when it is used.
+    // An IPv4 address and a port, as written. Whether the address can be used shows only when it is used.
     std::string endpoint(std::string_view key) const
     {
-        const auto said = string(key);
-        const auto colon = said.rfind(':');
+        const auto text = string(key);
+        const auto colon = text.rfind(':');
         uint32_t port = 0;
-        const char* end = said.data() + said.size();
+        const char* end = text.data() + text.size();
         if (colon == std::string::npos || colon == 0 ||
-            std::from_chars(said.data() + colon + 1, end, port).ptr != end || port == 0 || port > 65535)
-            throw_config_error(full_key(key), line(key), "address:port is expected, not '" + said + "'");
-        return said;
+            std::from_chars(text.data() + colon + 1, end, port).ptr != end || port == 0 || port > 65535)
+            throw_config_error(full_key(key), line(key), "address:port is expected, not '" + text + "'");
+        return text;
     }
-    // Each table of an array of tables; none where the key is absent.
-    template <class Each>
-    void for_each_table(std::string_view key, Each what) const
+    // Calls `visit` for each table of an array of tables; for none if the key is absent.
+    template <class Visit>
+    void for_each_table(std::string_view key, Visit visit) const
     {
         const auto* node = from_.get(key);
         if (!node) return;
@@ -162,7 +164,7 @@
         for (size_t i = 0; i < all->size(); ++i) {
             const auto* table = all->get(i)->as_table();
             if (!table) throw_config_error(full_key(key), line_of(*all->get(i)), "a table is expected");
-            what(*table, full_key(key) + "[" + std::to_string(i) + "]");
+            visit(*table, full_key(key) + "[" + std::to_string(i) + "]");
         }
     }
     const toml::table* table(std::string_view key) const
@@ -174,8 +176,8 @@
     }
 
   private:
-    // As it was written: a division rounds to the nearest, so 50 ms are 0.05 and no less.
-    static double seconds_of(Duration span) { return static_cast<double>(span.us) / 1e6; }
+    // Divides, because a division rounds to the nearest value: 50 ms print as 0.05, as they were written.
+    static double seconds_of(Duration value) { return static_cast<double>(value.us) / 1e6; }
     static std::string short_text(double value)
     {
         char bytes[32];
--- a/src/io/event.h
+++ b/src/io/event.h
@@ -1,4 +1,4 @@
-// Owners for libevent's objects.
+// RAII owners of libevent objects.
 #pragma once
 
 #include <event2/bufferevent.h>
@@ -27,13 +27,13 @@
 using EventPtr = std::unique_ptr<event, FreeWith<event_free>>;
 using BuffereventPtr = std::unique_ptr<bufferevent, FreeWith<bufferevent_free>>;
 
-inline timeval to_timeval(Duration span)
+inline timeval to_timeval(Duration duration)
 {
-    const auto us = span.us < 0 ? 0 : span.us;
+    const auto us = duration.us < 0 ? 0 : duration.us;
     return {static_cast<time_t>(us / 1'000'000), static_cast<suseconds_t>(us % 1'000'000)};
 }
 
-// The loop's clock never goes back.
+// The event loop's clock, which is monotonic.
 inline TimePoint monotonic_now()
 {
     using namespace std::chrono;
--- a/src/io/log.h
+++ b/src/io/log.h
@@ -1,5 +1,4 @@
-// The log: lines on standard error about the program's life; nothing per invocation unless debug is asked
-// for.
+// The log, on standard error. Below the level debug nothing is logged per invocation.
 #pragma once
 
 #include <spdlog/spdlog.h>
@@ -9,10 +8,10 @@
 namespace firtide
 {
 
-// Levels: debug, info, warn, error. False where there is no such level.
+// Levels: debug, info, warn, error. Returns false for an unknown level.
 bool init_logging(const std::string& name, const std::string& level);
 
-// A line as it stands, for what other programs read; where the level takes in info.
+// Writes a line without a prefix, for other programs to read, if the level includes info.
 void log_raw_line(const std::string& line);
 
 }  // namespace firtide
