--- a/src/net/admin_server.cpp
+++ b/src/net/admin_server.cpp
@@ -13,12 +13,13 @@
 namespace
 {
 
-constexpr size_t most_open = 12;            // the longest silent goes first
-constexpr size_t most_ignored = 16 * 1024;  // bytes behind a line
-constexpr size_t most_line = 256;           // bytes
-constexpr Duration whole_line = seconds(5);
-constexpr Duration lets_go = seconds(1);  // to be read to its end by the caller
-constexpr int first_priority = 0;
+// Beyond it, the oldest connection that awaits no fleet reply is closed.
+constexpr size_t max_connections = 12;
+constexpr size_t max_ignored_bytes = 16 * 1024;  // input after the command line
+constexpr size_t max_line_bytes = 256;
+constexpr Duration line_timeout = seconds(5);
+constexpr Duration lingering_close_timeout = seconds(1);  // for the client to read the reply
+constexpr int highest_priority = 0;
 
 const char* name_of(ServingState serving_state)
 {
@@ -30,20 +31,20 @@
     }
 }
 
-void figure(std::string& out, std::string_view name, uint64_t value, char kind)
+void append_metric(std::string& out, std::string_view name, uint64_t value, char kind)
 {
     out.append("node.").append(name).append(":").append(std::to_string(value)).append("|");
     out.push_back(kind);
     out.push_back('\n');
 }
 
-std::vector<std::string> words_of(std::string_view line)
+std::vector<std::string> split_words(std::string_view line)
 {
     std::vector<std::string> words;
-    for (size_t at = 0; at < line.size();) {
-        const auto end = std::min(line.find_first_of(" \t\r", at), line.size());
-        if (end > at) words.emplace_back(line.substr(at, end - at));
-        at = end + 1;
+    for (size_t begin = 0; begin < line.size();) {
+        const auto end = std::min(line.find_first_of(" \t\r", begin), line.size());
+        if (end > begin) words.emplace_back(line.substr(begin, end - begin));
+        begin = end + 1;
     }
     return words;
 }
@@ -60,162 +61,168 @@
     return {};
 }
 
-std::string encode_admin_result(const AdminCommandResult& obeyed)
+std::string encode_admin_result(const AdminCommandResult& result)
 {
-    std::string out = obeyed.success ? "SUCCESS " : "FAILURE ";
-    out.append(name_of(obeyed.serving_state)).append("\n");
-    if (!obeyed.statistics) return out;
-    const ServiceStatistics& f = *obeyed.statistics;
+    std::string out = result.success ? "SUCCESS " : "FAILURE ";
+    out.append(name_of(result.serving_state)).append("\n");
+    if (!result.statistics) return out;
+    const ServiceStatistics& f = *result.statistics;
     for (const auto& [name, n] : f.outcomes_by_operation) {
-        figure(out, "success." + name, n.success, 'c');
-        figure(out, "busy." + name, n.busy, 'c');
-        figure(out, "failure." + name, n.failure, 'c');
+        append_metric(out, "success." + name, n.success, 'c');
+        append_metric(out, "busy." + name, n.busy, 'c');
+        append_metric(out, "failure." + name, n.failure, 'c');
     }
-    figure(out, "backend_calls", f.backend_calls, 'c');
-    figure(out, "inflight", f.inflight, 'g');
-    figure(out, "hosts_listed", f.hosts_listed, 'g');
-    figure(out, "hosts_down", f.hosts_down, 'g');
+    append_metric(out, "backend_calls", f.backend_calls, 'c');
+    append_metric(out, "inflight", f.inflight, 'g');
+    append_metric(out, "hosts_listed", f.hosts_listed, 'g');
+    append_metric(out, "hosts_down", f.hosts_down, 'g');
     return out.append("EOT\n");
 }
 
-// Lives as long as the connection.
+// One connection, from accept to close.
 struct AdminServer::Connection {
     AdminServer* owner = nullptr;
-    Place self;
+    ConnectionIterator self;
     Descriptor socket;
-    EventPtr reading;
+    EventPtr read_event;
     std::string line;
-    AdminConnectionId caller = 0;  // its line has come
+    AdminConnectionId caller = 0;  // 0 until its command line has been received
     bool answered = false;
-    bool waits = false;  // for an answer that may take its time
-    size_t ignored = 0;
+    bool awaits_fleet_reply = false;  // for the reply to a fleet command, which may take a while
+    size_t ignored_bytes = 0;
 };
 
-AdminServer::AdminServer(event_base* base, const Address& address, std::function<void(Event)> tell)
-    : base_(base), tell_(std::move(tell))
+AdminServer::AdminServer(event_base* base, const Address& address, std::function<void(Event)> post_event)
+    : base_(base), post_event_(std::move(post_event))
 {
-    sockaddr_storage at{};
-    int length = sizeof at;
+    sockaddr_storage socket_address{};
+    int length = sizeof socket_address;
     const auto text = to_string(address);
-    if (evutil_parse_sockaddr_port(text.c_str(), reinterpret_cast<sockaddr*>(&at), &length) != 0)
-        throw ConfigException("mgmt: '" + text + "' is no numeric address");
-    listener_ = Descriptor(socket(at.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+    if (evutil_parse_sockaddr_port(text.c_str(), reinterpret_cast<sockaddr*>(&socket_address), &length) != 0)
+        throw ConfigException("mgmt: '" + text + "' is not a numeric address");
+    listener_ = Descriptor(socket(socket_address.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     const int on = 1;
     if (listener_.fd() < 0 || setsockopt(listener_.fd(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on) != 0 ||
-        bind(listener_.fd(), reinterpret_cast<sockaddr*>(&at), static_cast<socklen_t>(length)) != 0 ||
+        bind(listener_.fd(), reinterpret_cast<sockaddr*>(&socket_address), static_cast<socklen_t>(length)) !=
+            0 ||
         listen(listener_.fd(), 64) != 0)
         throw ConfigException("mgmt: cannot listen on " + text + ": " +
                               evutil_socket_error_to_string(EVUTIL_SOCKET_ERROR()));
-    accepting_.reset(event_new(
+    accept_event_.reset(event_new(
         base_, listener_.fd(), EV_READ | EV_PERSIST,
-        [](evutil_socket_t, short, void* self) { static_cast<AdminServer*>(self)->accept(); }, this));
-    event_priority_set(accepting_.get(), first_priority);
-    event_add(accepting_.get(), nullptr);
+        [](evutil_socket_t, short, void* self) { static_cast<AdminServer*>(self)->accept_connections(); },
+        this));
+    event_priority_set(accept_event_.get(), highest_priority);
+    event_add(accept_event_.get(), nullptr);
 }
 
 AdminServer::~AdminServer() = default;
 
-void AdminServer::accept()
+void AdminServer::accept_connections()
 {
-    for (size_t n = 0; n < most_open; ++n) {
+    for (size_t n = 0; n < max_connections; ++n) {
         Descriptor socket(accept4(listener_.fd(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
         if (socket.fd() < 0) return;
-        // Guards against callers that connect and say nothing: the others are let in all the same.
-        if (open_.size() >= most_open) {
-            const auto silent =
-                std::find_if(open_.begin(), open_.end(), [](const Connection& c) { return !c.waits; });
-            if (silent == open_.end()) continue;
-            open_.erase(silent);
+        // Clients that connect and send nothing must not keep others out.
+        if (connections_.size() >= max_connections) {
+            const auto oldest = std::find_if(connections_.begin(), connections_.end(),
+                                             [](const Connection& c) { return !c.awaits_fleet_reply; });
+            if (oldest == connections_.end()) continue;
+            connections_.erase(oldest);
         }
-        open_.emplace_back();
-        const Place at = std::prev(open_.end());
-        at->owner = this;
-        at->self = at;
-        at->socket = std::move(socket);
-        at->reading.reset(event_new(
-            base_, at->socket.fd(), EV_READ | EV_TIMEOUT | EV_PERSIST,
+        connections_.emplace_back();
+        const ConnectionIterator it = std::prev(connections_.end());
+        it->owner = this;
+        it->self = it;
+        it->socket = std::move(socket);
+        it->read_event.reset(event_new(
+            base_, it->socket.fd(), EV_READ | EV_TIMEOUT | EV_PERSIST,
             [](evutil_socket_t, short what, void* arg) {
                 auto* c = static_cast<Connection*>(arg);
-                if (what & EV_READ) return c->owner->readable(c->self);
-                if (c->answered) return (void)c->owner->open_.erase(c->self);
-                if (c->waits) return;
-                c->owner->reply(c->self, "FAILURE no line came\n");
+                if (what & EV_READ) return c->owner->on_readable(c->self);
+                if (c->answered) return (void)c->owner->connections_.erase(c->self);
+                if (c->awaits_fleet_reply) return;
+                c->owner->send_reply(c->self, "FAILURE no line came\n");
             },
-            &*at));
-        event_priority_set(at->reading.get(), first_priority);
-        const auto wait = to_timeval(whole_line);
-        event_add(at->reading.get(), &wait);
+            &*it));
+        event_priority_set(it->read_event.get(), highest_priority);
+        const auto wait = to_timeval(line_timeout);
+        event_add(it->read_event.get(), &wait);
     }
 }
 
-void AdminServer::readable(Place at)
+void AdminServer::on_readable(ConnectionIterator it)
 {
     char bytes[512];
-    const auto n = recv(at->socket.fd(), bytes, sizeof bytes, 0);
+    const auto n = recv(it->socket.fd(), bytes, sizeof bytes, 0);
     if (n < 0 && (errno == EAGAIN || errno == EINTR)) return;
-    if (n <= 0 && (at->line.empty() || at->caller || at->answered)) {
-        const auto left = at->waits && !at->answered ? at->caller : 0;
-        open_.erase(at);
-        if (left) left_(left);
+    if (n <= 0 && (it->line.empty() || it->caller || it->answered)) {
+        const auto disconnected = it->awaits_fleet_reply && !it->answered ? it->caller : 0;
+        connections_.erase(it);
+        if (disconnected) on_disconnect_(disconnected);
         return;
     }
-    if (at->answered || at->caller) {
-        // What comes behind the line is nothing. Guards against floods that are read without end.
-        if ((at->ignored += static_cast<size_t>(n)) > most_ignored) open_.erase(at);
+    if (it->answered || it->caller) {
+        // Input after the command line is ignored, up to a limit, so that a flood is not read without end.
+        if ((it->ignored_bytes += static_cast<size_t>(n)) > max_ignored_bytes) connections_.erase(it);
         return;
     }
-    if (n > 0) at->line.append(bytes, static_cast<size_t>(n));
-    const auto end = at->line.find('\n');
-    if (end == std::string::npos && n > 0 && at->line.size() <= most_line) return;
-    if (std::min(end, at->line.size()) > most_line) return reply(at, "FAILURE the line is too long\n");
-    const auto line = std::string_view(at->line).substr(0, end);
-    at->caller = next_++;
-    if (const auto order = decode_admin_command(line)) return tell_(AdminCommandReceived{at->caller, *order});
-    if (ordered_) {
-        // What is waited for comes when it comes; the caller may leave meanwhile.
-        at->waits = true;
-        if (ordered_(at->caller, words_of(line))) return;
-        at->waits = false;
-        at->caller = 0;
-        return reply(
-            at,
+    if (n > 0) it->line.append(bytes, static_cast<size_t>(n));
+    const auto end = it->line.find('\n');
+    if (end == std::string::npos && n > 0 && it->line.size() <= max_line_bytes) return;
+    if (std::min(end, it->line.size()) > max_line_bytes)
+        return send_reply(it, "FAILURE the line is too long\n");
+    const auto line = std::string_view(it->line).substr(0, end);
+    it->caller = next_connection_id_++;
+    if (const auto command = decode_admin_command(line))
+        return post_event_(AdminCommandReceived{it->caller, *command});
+    if (handle_fleet_command_) {
+        // The reply may come much later, and the client may disconnect before it.
+        it->awaits_fleet_reply = true;
+        if (handle_fleet_command_(it->caller, split_words(line))) return;
+        it->awaits_fleet_reply = false;
+        it->caller = 0;
+        return send_reply(
+            it,
             "FAILURE unknown call; known are ready, show-stat, drain, resume, drain permit, show-fleet, "
             "transfer-duty DUTY [ID], add-voter ID, remove-voter ID\n");
     }
-    at->caller = 0;
-    reply(at, "FAILURE unknown call; known are ready, show-stat, drain, resume\n");
+    it->caller = 0;
+    send_reply(it, "FAILURE unknown call; known are ready, show-stat, drain, resume\n");
 }
 
-void AdminServer::fleet_orders(
-    std::function<bool(AdminConnectionId, const std::vector<std::string>&)> ordered,
-    std::function<void(AdminConnectionId)> left)
+void AdminServer::set_fleet_command_handler(
+    std::function<bool(AdminConnectionId, const std::vector<std::string>&)> handle_command,
+    std::function<void(AdminConnectionId)> on_disconnect)
 {
-    ordered_ = std::move(ordered);
-    left_ = std::move(left);
+    handle_fleet_command_ = std::move(handle_command);
+    on_disconnect_ = std::move(on_disconnect);
 }
 
 void AdminServer::answer(AdminConnectionId caller, const std::string& text)
 {
-    const auto at =
-        std::find_if(open_.begin(), open_.end(), [&](const Connection& c) { return c.caller == caller; });
-    if (at != open_.end()) reply(at, text);
+    const auto it = std::find_if(connections_.begin(), connections_.end(),
+                                 [&](const Connection& c) { return c.caller == caller; });
+    if (it != connections_.end()) send_reply(it, text);
 }
 
-void AdminServer::answer(const AdminCommandResult& obeyed)
+void AdminServer::answer(const AdminCommandResult& result)
 {
-    answer(obeyed.connection, encode_admin_result(obeyed));
+    answer(result.connection, encode_admin_result(result));
 }
 
-// An answer is small: what the kernel does not take at once has no reader.
-void AdminServer::reply(Place at, const std::string& text)
+// A reply is small: what the kernel does not accept at once is for a client that does not read, and is
+// dropped.
+void AdminServer::send_reply(ConnectionIterator it, const std::string& text)
 {
-    (void)!send(at->socket.fd(), text.data(), text.size(), MSG_NOSIGNAL);
-    shutdown(at->socket.fd(), SHUT_WR);
-    // Guards against an answer that is lost to a reset: what still comes is read for a moment.
-    at->answered = true;
-    at->waits = false;
-    const auto wait = to_timeval(lets_go);
-    event_add(at->reading.get(), &wait);
+    (void)!send(it->socket.fd(), text.data(), text.size(), MSG_NOSIGNAL);
+    shutdown(it->socket.fd(), SHUT_WR);
+    // Further input is read for a moment: closing with unread input would reset the connection and could
+    // lose the reply.
+    it->answered = true;
+    it->awaits_fleet_reply = false;
+    const auto wait = to_timeval(lingering_close_timeout);
+    event_add(it->read_event.get(), &wait);
 }
 
 }  // namespace firtide::net
--- a/src/net/attempt_outcome.cpp
+++ b/src/net/attempt_outcome.cpp
@@ -8,7 +8,7 @@
     if (response.status == 200) return AttemptResult::succeeded;
     const bool unavailable = response.status == 503 || response.status == 504;
     if (unavailable && response.declined) return AttemptResult::declined;
-    // What a bad client asks is not the upstream's fault, and is not asked of another one.
+    // A client's bad request is not the upstream's fault, and is not sent to another one.
     if (response.status >= 400 && response.status < 500) return AttemptResult::invalid_request;
     return AttemptResult::errored;
 }
--- a/src/net/attempt_outcome.h
+++ b/src/net/attempt_outcome.h
@@ -1,4 +1,4 @@
-// What the end of an attempt proves: the one place where an answer or a broken connection becomes a result
+// Classifies how an attempt ended: the only place where a response or a connection error becomes a result
 // for the decision module.
 #pragma once
 
@@ -8,9 +8,9 @@
 namespace firtide::net
 {
 
-// A 503 that does not say that it was declined may have run.
+// A 503 that is not marked as declined may come from a request that was executed.
 AttemptResult result_of(const Response& response);
-// Nothing ran before the last byte was written.
+// A request is not executed before its last byte is written.
 AttemptResult result_of(ConnectionError error);
 
 }  // namespace firtide::net
--- a/src/net/config.h
+++ b/src/net/config.h
@@ -1,4 +1,4 @@
-// The configuration: read, checked and given its defaults in this one place.
+// The configuration: read, validated and given its defaults here only.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 namespace firtide::net
 {
 
-// What is wrong, with the key at fault in the text.
+// An invalid configuration. The text names the key.
 struct ConfigException : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
@@ -22,28 +22,30 @@
     std::string name = "firtide";
     Address listen, discovery;
     std::optional<Address> management;  // for operators
-    std::optional<int> passed_socket;   // the callers' listening socket, where the platform holds it
-    std::string shared_folder;          // with the other process of an upgrade, on that socket
+    std::optional<int> passed_socket;   // the callers' listening socket, if the platform passes it in
+    std::string shared_folder;          // shared with the other process of a hot restart on that socket
     uint64_t seed = 0;
-    size_t descriptors = 1024;
-    size_t bodies = 0;  // bytes that callers may have here together, out of limits.memory_mb
+    size_t max_descriptors = 1024;
+    size_t max_body_memory = 0;  // bytes of all bodies together, derived from limits.memory_mb
     ServiceConfig service_config;
-    // What holds from start to end, by key, and the settings that may change while serving, as text.
-    std::vector<std::pair<std::string, std::string>> fixed;
-    std::string settings;
-    bool peers = false;  // messages to other balancers are allowed; they are not carried on sockets
-    std::string known;   // the list as it was last had, in discovery's form; empty: none
+    // The values that cannot change while the program runs, by key, and the settings, which can, as JSON
+    // text.
+    std::vector<std::pair<std::string, std::string>> fixed_values;
+    std::string settings_text;
+    // Messages to other balancers are allowed; this program does not send any.
+    bool allows_peer_messages = false;
+    std::string known_list;  // the list as last known, in discovery's format; empty: none
 };
 
-// What the environment says (NODE_NAME, NODE_LISTEN, NODE_DISCOVERY) fills what the file leaves out.
+// The environment (NODE_NAME, NODE_LISTEN, NODE_DISCOVERY, NODE_MGMT) supplies what the file omits.
 Config read_config(const std::string& path);
 Config decode_config(const std::string& text);
 
-// Throws BadConfig with the key of what cannot change in a running program.
+// Throws ConfigException with the key if a value differs that cannot change in a running program.
 void check_reloadable(const Config& running, const Config& next);
 
 std::string to_string(const Address& address);
-// Throws BadConfig where the descriptor is no listening TCP socket.
+// Throws ConfigException if the descriptor is not a listening TCP socket.
 void check_passed_socket(const Config& config);
 Address decode_address(const std::string& text, const std::string& key);
 
--- a/src/net/connection_budget.h
+++ b/src/net/connection_budget.h
@@ -1,5 +1,5 @@
-// Descriptors that one side, callers or upstreams, may have: so many of its own, and no more than leave the
-// other side's room. Two processes of one balancer have a half each.
+// Limits how many descriptors one side, callers or upstreams, may use: by a limit of its own, and by a
+// total for both sides. Two processes of one balancer get half each.
 #pragma once
 
 #include <cstddef>
@@ -12,20 +12,23 @@
 class ConnectionBudget
 {
   public:
-    ConnectionBudget(size_t own, size_t both, std::function<size_t()> others)
-        : own_(own), both_(both), others_(std::move(others))
+    ConnectionBudget(size_t limit, size_t total_limit, std::function<size_t()> other_side_open)
+        : limit_(limit), total_limit_(total_limit), other_side_open_(std::move(other_side_open))
     {
     }
 
-    void share(size_t processes) { processes_ = processes; }
-    size_t own() const { return own_ / processes_; }
-    // Guards against a side that takes the descriptors that are kept back, for operators among others.
-    bool full(size_t open) const { return open >= own() || open + others_() >= both_ / processes_; }
+    void set_process_count(size_t process_count) { process_count_ = process_count; }
+    size_t limit() const { return limit_ / process_count_; }
+    // The total protects the descriptors reserved for other uses, such as operators' connections.
+    bool is_exhausted(size_t open) const
+    {
+        return open >= limit() || open + other_side_open_() >= total_limit_ / process_count_;
+    }
 
   private:
-    size_t own_, both_;
-    std::function<size_t()> others_;
-    size_t processes_ = 1;
+    size_t limit_, total_limit_;
+    std::function<size_t()> other_side_open_;
+    size_t process_count_ = 1;
 };
 
 }  // namespace firtide::net
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -14,34 +14,35 @@
 
 using nlohmann::json;
 
-// What discovery has to tell counts as told 6 s after it had it and could be reached, 4 s after SIGHUP; where
-// lists are pushed, at the moment at which the agent has it. The longest that an agent which can be reached,
-// and answers at once then, goes unasked:
-// - where lists are pushed: 0.2 s (overdue_whole or longest_pause), after a watch that fell silent 2.2 s;
-// - where they are asked for: 2.5 s of a call and 3 s until the module asks again, 5.5 s in all; after
-//   a watch it asks within 0.75 s, after SIGHUP at once. A discovery that many ask keeps a call for up to
-//   2 s until its turn: to give it up just before costs the answer, and the work that was done for it.
-constexpr Duration watch_for = seconds(2);  // one call; short, so that a silent agent is soon noticed
-constexpr Duration watch_within =
-    seconds(2.5);  // until the last byte of its answer; then the call is given up
-constexpr Duration whole_within =
-    seconds(1.5);  // the same of a call for the whole list, where lists are pushed
-constexpr Duration resume_for = seconds(0.5);  // of a call for what was missed: a watch that is answered soon
-// Not answered by then: the whole list is asked for beside it, where lists are pushed.
-constexpr Duration overdue_watch = seconds(2.2), overdue_whole = seconds(0.2);
-constexpr Duration first_pause = seconds(0.05);  // after a call that failed; twice as long with each
-constexpr Duration longest_pause = seconds(0.2), longest_asked = seconds(1);
-constexpr size_t most_list = 8 << 20;
+// A balancer counts as informed of a change 6 s after discovery had it and was reachable, and 4 s after
+// SIGHUP; where lists are pushed, as soon as the agent has it. The longest time for which a reachable agent
+// that answers at once gets no request:
+// - where lists are pushed: 0.2 s (full_list_overdue_after or max_push_retry_delay), 2.2 s after a watch
+//   that fell silent;
+// - where lists are polled: 2.5 s for a request and 3 s until the decision module asks again, 5.5 s in all;
+//   after a watch it asks within 0.75 s, after SIGHUP at once.
+// A polled discovery service with many clients may queue a request for up to 2 s. Giving up just before
+// that would lose the response and the work done for it.
+// How long a watch waits for changes; short, to notice a silent agent soon.
+constexpr Duration watch_wait = seconds(2);
+constexpr Duration watch_timeout = seconds(2.5);      // until the last byte of the response
+constexpr Duration full_list_timeout = seconds(1.5);  // the same for a full list, where lists are pushed
+constexpr Duration resume_wait = seconds(0.5);        // of a watch for missed changes, which is answered soon
+// Where lists are pushed: without a response by then, the full list is requested in parallel.
+constexpr Duration watch_overdue_after = seconds(2.2), full_list_overdue_after = seconds(0.2);
+constexpr Duration first_retry_delay = seconds(0.05);  // after a failed request; doubles with each
+constexpr Duration max_push_retry_delay = seconds(0.2), max_poll_retry_delay = seconds(1);
+constexpr size_t max_list_bytes = 8 << 20;
 
 template <class T>
 T value_or(const json& from, const char* key, T absent)
 {
-    const auto at = from.find(key);
-    if (at == from.end()) return absent;
+    const auto it = from.find(key);
+    if (it == from.end()) return absent;
     if constexpr (std::is_arithmetic_v<T>)
-        return at->is_number() ? at->get<T>() : absent;
+        return it->is_number() ? it->get<T>() : absent;
     else
-        return at->is_string() ? at->get<T>() : absent;
+        return it->is_string() ? it->get<T>() : absent;
 }
 
 std::optional<ListedEndpoint> decode_entry(const ServiceConfig& setup, const json& in, TimePoint epoch)
@@ -52,13 +53,13 @@
     e.endpoint = value_or<std::string>(in, "endpoint", "");
     const auto state = value_or<std::string>(in, "state", "");
     if (e.uid.empty()) return {};
-    // A state that nobody knows yet keeps work away, as draining does.
+    // An unknown state keeps work away, as draining does.
     e.phase = state == "ready"  ? EndpointPhase::ready
               : state == "gone" ? EndpointPhase::gone
                                 : EndpointPhase::draining;
     const auto zone = value_or<std::string>(in, "az", "");
     while (e.zone < setup.zone_names.size() && setup.zone_names[e.zone] != zone)
-        ++e.zone;  // unknown: past all others
+        ++e.zone;  // unknown: the index after the last
     e.cell = value_or<uint32_t>(in, "pod_group", 0);
     e.capacity = value_or<double>(in, "capacity_hint", 1);
     if (const auto ms = value_or<int64_t>(in, "boot_ms", 0); ms > 0 && ms < int64_t{1} << 50)
@@ -86,247 +87,257 @@
     return list;
 }
 
-void apply_list_update(std::map<std::string, std::string>& lines, const std::string& text)
+void apply_list_update(std::map<std::string, std::string>& entries, const std::string& text)
 {
     const auto in = json::parse(text, nullptr, false);
     if (!in.is_object()) return;
-    if (in.value("all", false)) lines.clear();
+    if (in.value("all", false)) entries.clear();
     for (const auto& target : in.value("targets", json::array())) {
         const auto uid = value_or<std::string>(target, "uid", "");
         if (value_or<std::string>(target, "state", "") == "gone")
-            lines.erase(uid);
+            entries.erase(uid);
         else
-            lines[uid] = target.dump();
+            entries[uid] = target.dump();
     }
 }
 
-std::string encode_full_list(uint64_t version, const std::map<std::string, std::string>& lines)
+std::string encode_full_list(uint64_t version, const std::map<std::string, std::string>& entries)
 {
     std::string out = R"({"rev":)" + std::to_string(version) + R"(,"all":true,"targets":[)";
-    for (const auto& [uid, line] : lines) out.append(out.back() == '[' ? "" : ",").append(line);
+    for (const auto& [uid, entry] : entries) out.append(out.back() == '[' ? "" : ",").append(entry);
     return out.append("]}");
 }
 
 void check_known_list(const Config& config)
 {
-    if (!config.known.empty() && !decode_list(config.service_config, config.known, TimePoint{}))
+    if (!config.known_list.empty() && !decode_list(config.service_config, config.known_list, TimePoint{}))
         throw ConfigException("known: is no list of upstreams, or one of its targets has no uid");
 }
 
-Discovery::Discovery(event_base* base, const Config& config, TimePoint epoch, std::function<void(Event)> tell)
+Discovery::Discovery(event_base* base, const Config& config, TimePoint epoch,
+                     std::function<void(Event)> post_event)
     : base_(base),
       config_(config),
       address_(config.discovery),
       epoch_(epoch),
-      tell_(std::move(tell)),
-      pause_(first_pause)
+      post_event_(std::move(post_event)),
+      retry_delay_(first_retry_delay)
 {
-    again_.reset(evtimer_new(
-        base, [](evutil_socket_t, short, void* self) { static_cast<Discovery*>(self)->call(); }, this));
+    next_request_timer_.reset(evtimer_new(
+        base, [](evutil_socket_t, short, void* self) { static_cast<Discovery*>(self)->send_request(); },
+        this));
 }
 
-// The agent has what there is, and a call costs nothing.
-bool Discovery::is_pushed() const { return !config_.service_config.settings.must_watch_endpoint_list; }
+// Where lists are pushed, a nearby agent holds the current list and a request costs nothing.
+bool Discovery::lists_are_pushed() const { return !config_.service_config.settings.must_watch_endpoint_list; }
 
 void Discovery::start_polling()
 {
-    if (asking_) return;
-    asking_ = true;
-    resting_ = false;
-    call_in(Duration{});
+    if (polling_) return;
+    polling_ = true;
+    paused_ = false;
+    schedule_request(Duration{});
 }
 
 void Discovery::resume_from(uint64_t version)
 {
     version_ = version;
-    resuming_ = remembered_ = true;
+    resuming_ = version_restored_ = true;
 }
 
 void Discovery::stop_polling()
 {
-    asking_ = false;
-    resting_ = true;
-    drop_all();
-    call_in(Duration{});  // which frees them
+    polling_ = false;
+    paused_ = true;
+    abandon_requests();
+    schedule_request(Duration{});  // also frees the abandoned requests
 }
 
-// The versions of two agents say nothing of each other. Dropping the calls that are out there: a late answer
-// is never heard. The new agent is asked at once, also where the module was to say when to ask the last one.
+// The versions of two agents are not comparable. Requests in flight are abandoned, so that a late response
+// is ignored. The new agent is asked at once, even where the decision module says when to ask.
 void Discovery::change_address(Address to)
 {
     spdlog::info("discovery moves to {}:{}", to.host, to.port);
     address_ = std::move(to);
-    drop_all();
-    newest_ = 0;
-    pause_ = first_pause;
-    if (resting_) return;
-    asking_ = true;
-    call_in(Duration{});
+    abandon_requests();
+    newest_version_ = 0;
+    retry_delay_ = first_retry_delay;
+    if (paused_) return;
+    polling_ = true;
+    schedule_request(Duration{});
 }
 
-void Discovery::drop_all()
+void Discovery::abandon_requests()
 {
     version_.reset();
-    resuming_ = remembered_ = false;
-    for (Call& c : calls_) c.dropped = true, c.overdue.reset(), c.until.reset();
-    dropped_.splice(dropped_.end(), calls_);
+    resuming_ = version_restored_ = false;
+    for (ListRequest& c : requests_) c.abandoned = true, c.overdue_timer.reset(), c.timeout_timer.reset();
+    abandoned_requests_.splice(abandoned_requests_.end(), requests_);
 }
 
-void Discovery::call_in(Duration pause)
+void Discovery::schedule_request(Duration delay)
 {
-    const auto wait = to_timeval(pause);
-    event_add(again_.get(), &wait);
+    const auto wait = to_timeval(delay);
+    event_add(next_request_timer_.get(), &wait);
 }
 
 template <auto then>
-EventPtr Discovery::timer(Call& call, Duration wait)
+EventPtr Discovery::make_timer(ListRequest& request, Duration wait)
 {
     EventPtr made(evtimer_new(
         base_,
         [](evutil_socket_t, short, void* arg) {
-            auto* due = static_cast<Call*>(arg);
-            (due->owner->*then)(*due);
+            auto* list_request = static_cast<ListRequest*>(arg);
+            (list_request->owner->*then)(*list_request);
         },
-        &call));
+        &request));
     const auto after = to_timeval(wait);
     event_add(made.get(), &after);
     return made;
 }
 
-// Only ever from a timer: nothing of evhttp's is on the stack, so that what was dropped can be freed.
-void Discovery::call()
+// Runs only from a timer: no evhttp callback is on the stack, so that abandoned requests can be freed.
+void Discovery::send_request()
 {
-    dropped_.clear();
-    if (!asking_) return;
-    auto at = std::find_if(calls_.begin(), calls_.end(), [](const Call& c) { return !c.out; });
-    if (at == calls_.end()) {
-        at = calls_.emplace(calls_.end());
-        at->owner = this;
-        at->connection.reset(
+    abandoned_requests_.clear();
+    if (!polling_) return;
+    auto it =
+        std::find_if(requests_.begin(), requests_.end(), [](const ListRequest& c) { return !c.in_flight; });
+    if (it == requests_.end()) {
+        it = requests_.emplace(requests_.end());
+        it->owner = this;
+        it->connection.reset(
             evhttp_connection_base_new(base_, nullptr, address_.host.c_str(), address_.port));
-        if (!at->connection) return failed(*at, "no connection");
-        evhttp_connection_set_max_body_size(at->connection.get(), most_list);
+        if (!it->connection) return on_failure(*it, "no connection");
+        evhttp_connection_set_max_body_size(it->connection.get(), max_list_bytes);
     }
     auto* request = evhttp_request_new(
-        [](evhttp_request* got, void* arg) {
-            auto* due = static_cast<Call*>(arg);
-            if (due->dropped) return;
+        [](evhttp_request* response, void* arg) {
+            auto* list_request = static_cast<ListRequest*>(arg);
+            if (list_request->abandoned) return;
             try {
-                due->owner->came(*due, got);
+                list_request->owner->on_response(*list_request, response);
             } catch (const std::exception& e) {
-                due->owner->failed(*due, e.what());
+                list_request->owner->on_failure(*list_request, e.what());
             }
         },
-        &*at);
-    if (!request) return failed(*at, "no memory");
+        &*it);
+    if (!request) return on_failure(*it, "no memory");
     const auto host = address_.host + ":" + std::to_string(address_.port);
     evhttp_add_header(evhttp_request_get_output_headers(request), "Host", host.c_str());
     std::string target = "/api/targets";
     const bool watches = version_ && !resuming_;
-    const Duration wait = watches ? watch_for : resume_for;
+    const Duration wait = watches ? watch_wait : resume_wait;
     if (version_)
         target += "?after=" + std::to_string(*version_) + "&wait_ms=" + std::to_string(wait.us / 1000);
-    at->out = true;
-    // On the whole call. Guards against an answer whose bytes trickle and never end: evhttp's own limit is on
-    // each of them.
-    at->until = timer<&Discovery::late>(*at, watches || !is_pushed() ? watch_within : whole_within);
-    if (is_pushed()) at->overdue = timer<&Discovery::overdue>(*at, watches ? overdue_watch : overdue_whole);
-    if (evhttp_make_request(at->connection.get(), request, EVHTTP_REQ_GET, target.c_str()) != 0 &&
-        !at->dropped)
-        return failed(*at, "the call could not be made");
-    // Before all else that has come; each new connection loses it. Guards against work that is sent, after a
-    // stall, where the list that waits to be read says that nothing may go there.
-    bufferevent_priority_set(evhttp_connection_get_bufferevent(at->connection.get()), 0);
+    it->in_flight = true;
+    // Limits the whole request: evhttp's own timeout applies to each read and would not end a response that
+    // trickles.
+    it->timeout_timer = make_timer<&Discovery::on_timeout>(
+        *it, watches || !lists_are_pushed() ? watch_timeout : full_list_timeout);
+    if (lists_are_pushed())
+        it->overdue_timer =
+            make_timer<&Discovery::on_overdue>(*it, watches ? watch_overdue_after : full_list_overdue_after);
+    if (evhttp_make_request(it->connection.get(), request, EVHTTP_REQ_GET, target.c_str()) != 0 &&
+        !it->abandoned)
+        return on_failure(*it, "the request could not be sent");
+    // Read before all other input: after a stall of this process, no work may be sent to an upstream that a
+    // list waiting to be read rules out. Each new connection loses the priority.
+    bufferevent_priority_set(evhttp_connection_get_bufferevent(it->connection.get()), 0);
 }
 
-// Guards against an agent that was silent as it was called, and has come back since.
-void Discovery::overdue(const Call& call)
+// The agent may have been silent when the request was sent, and be back by now.
+void Discovery::on_overdue(const ListRequest& request)
 {
-    if (&call != &calls_.back()) return;  // there is another beside it
+    if (&request != &requests_.back()) return;  // a newer request is in flight
     version_.reset();
-    this->call();
+    send_request();
 }
 
-void Discovery::late(Call& call) { failed(call, "no answer in time"); }
+void Discovery::on_timeout(ListRequest& request) { on_failure(request, "no answer in time"); }
 
-void Discovery::came(Call& call, evhttp_request* request)
+void Discovery::on_response(ListRequest& request, evhttp_request* response)
 {
-    const int status = request ? evhttp_request_get_response_code(request) : 0;
-    if (status != 200) return failed(call, status == 0 ? "no answer" : "an answer without a list");
-    auto* body = evhttp_request_get_input_buffer(request);
+    const int status = response ? evhttp_request_get_response_code(response) : 0;
+    if (status != 200) return on_failure(request, status == 0 ? "no answer" : "a response without a list");
+    auto* body = evhttp_request_get_input_buffer(response);
     const size_t size = evbuffer_get_length(body);
     const auto* bytes = reinterpret_cast<const char*>(evbuffer_pullup(body, -1));
     const std::string text(bytes ? bytes : "", size);
     auto list = decode_list(config_.service_config, text, epoch_);
     if (!list) {
         version_.reset();
-        return failed(call, "the answer is no list");
+        return on_failure(request, "the answer is no list");
     }
-    // Guards against an agent that has fallen behind: an older list would bring back what drains or has gone.
-    // Guards against a remembered list that another discovery had numbered.
+    // Refuses an older list, of an agent that has fallen behind: it would bring back upstreams that drain
+    // or have gone. Asks anew if the list known from before this start was numbered by another discovery.
     const bool renumbered =
-        std::exchange(remembered_, false) && !list->update.is_full && list->version < *version_;
+        std::exchange(version_restored_, false) && !list->update.is_full && list->version < *version_;
     if (renumbered) {
         version_.reset();
-        return failed(call, "it numbers its lists anew");
+        return on_failure(request, "its list versions start anew");
     }
-    if (list->version < newest_) {
+    if (list->version < newest_version_) {
         version_.reset();
-        return failed(call, "a list older than the last one");
+        return on_failure(request, "a list older than the last one");
     }
-    newest_ = list->version;
-    call.out = false;
-    call.overdue.reset(), call.until.reset();
-    calls_.remove_if([&](const Call& c) { return &c != &call; });
-    if (!well_) spdlog::info("discovery answers again");
-    well_ = true;
-    pause_ = first_pause;
+    newest_version_ = list->version;
+    request.in_flight = false;
+    request.overdue_timer.reset(), request.timeout_timer.reset();
+    requests_.remove_if([&](const ListRequest& c) { return &c != &request; });
+    if (!healthy_) spdlog::info("discovery answers again");
+    healthy_ = true;
+    retry_delay_ = first_retry_delay;
     const bool first = !version_;
     version_ = list->version;
     resuming_ = false;
     for (const ListedEndpoint& e : list->update.entries)
         spdlog::debug("list {}: {} {} {}", list->version, e.uid, e.endpoint, static_cast<int>(e.phase));
     if (first) spdlog::info("list {} of {} upstreams", list->version, list->update.entries.size());
-    // The next call goes out before anything else, so that the watch has no gap.
-    call_in(Duration{});
-    if (!told_elsewhere()) return tell_(std::move(list->update));
-    tell_fleet(*list, text);
+    // Schedules the next request before anything else, so that the watch has no gap.
+    schedule_request(Duration{});
+    if (!has_list_callback()) return post_event_(std::move(list->update));
+    report_list(*list, text);
 }
 
-void Discovery::tell_fleet(const EndpointList& list, const std::string& text)
+void Discovery::report_list(const EndpointList& list, const std::string& text)
 {
-    // Whoever was told of the last lines may hold them still.
-    if (lines_.use_count() > 1) lines_ = std::make_shared<Entries>(*lines_);
-    apply_list_update(*lines_, text);
-    if (!tell_lines_) return whole_(list.version, encode_full_list(list.version, *lines_));
+    // A receiver of the last report may still hold the entries.
+    if (entries_.use_count() > 1) entries_ = std::make_shared<Entries>(*entries_);
+    apply_list_update(*entries_, text);
+    if (!entries_callback_) return list_callback_(list.version, encode_full_list(list.version, *entries_));
     std::optional<std::vector<std::string>> uids;
     if (!list.update.is_full) {
         uids.emplace();
         for (const ListedEndpoint& e : list.update.entries) uids->push_back(e.uid);
     }
-    tell_lines_(list.version, lines_, std::move(uids));
+    entries_callback_(list.version, entries_, std::move(uids));
 }
 
-void Discovery::failed(Call& call, const char* why)
+void Discovery::on_failure(ListRequest& request, const char* why)
 {
-    call.dropped = true;
-    call.overdue.reset(), call.until.reset();
-    const auto at = std::find_if(calls_.begin(), calls_.end(), [&](const Call& c) { return &c == &call; });
-    dropped_.splice(dropped_.end(), calls_, at);
-    if (well_) spdlog::warn("discovery: {}; the last list stays in use", why);
-    well_ = false;
-    // A discovery that many ask has work for each line of an answer, and turns away what is too much: whoever
-    // it turns away asks for what changed since. Where an agent answers at no cost, for the whole list.
-    if (is_pushed())
+    request.abandoned = true;
+    request.overdue_timer.reset(), request.timeout_timer.reset();
+    const auto it = std::find_if(requests_.begin(), requests_.end(),
+                                 [&](const ListRequest& c) { return &c == &request; });
+    abandoned_requests_.splice(abandoned_requests_.end(), requests_, it);
+    if (healthy_) spdlog::warn("discovery: {}; the last list stays in use", why);
+    healthy_ = false;
+    // A polled discovery service with many clients works for each entry of a response and refuses requests
+    // under overload: after a refusal only the changes are requested. An agent answers at no cost, so it is
+    // asked for the full list.
+    if (lists_are_pushed())
         version_.reset();
     else
         resuming_ = version_.has_value();
-    if (!calls_.empty()) return;                             // another is out beside it
-    if (!is_pushed() && !told_elsewhere()) asking_ = false;  // the module says when to ask again
-    tell_(EndpointListFetchFailed{});
-    if (!asking_) return;
-    call_in(pause_);
-    pause_ = std::min(is_pushed() ? longest_pause : longest_asked, pause_ * 2);
+    if (!requests_.empty()) return;  // another request is in flight
+    if (!lists_are_pushed() && !has_list_callback())
+        polling_ = false;  // the decision module says when to ask again
+    post_event_(EndpointListFetchFailed{});
+    if (!polling_) return;
+    schedule_request(retry_delay_);
+    retry_delay_ =
+        std::min(lists_are_pushed() ? max_push_retry_delay : max_poll_retry_delay, retry_delay_ * 2);
 }
 
 }  // namespace firtide::net
--- a/src/net/discovery.h
+++ b/src/net/discovery.h
@@ -1,4 +1,4 @@
-// Follows the list of upstreams: the whole list first, then a watch that goes on without gaps.
+// The client of the discovery service: fetches the full list of upstreams, then watches it without gaps.
 #pragma once
 
 #include <event2/http.h>
@@ -22,82 +22,84 @@
     EndpointListUpdated update;
 };
 
-// Nullopt where the text is no list.
+// Returns nullopt if the text is not a list. `epoch`: the loop's time at Unix time zero.
 std::optional<EndpointList> decode_list(const ServiceConfig& setup, const std::string& text, TimePoint epoch);
 
-// Takes a list, whole or changes, into the lines of what there is, by uid.
-void apply_list_update(std::map<std::string, std::string>& lines, const std::string& text);
-std::string encode_full_list(uint64_t version, const std::map<std::string, std::string>& lines);
+// Applies a list, full or changes only, to the entries, which are JSON texts by uid.
+void apply_list_update(std::map<std::string, std::string>& entries, const std::string& text);
+std::string encode_full_list(uint64_t version, const std::map<std::string, std::string>& entries);
 
-// Throws BadConfig where the list that the configuration brings is none. A service starts without it all the
-// same.
+// Throws ConfigException if the configuration has a known list that is invalid. The service itself
+// ignores an invalid list and starts without one.
 void check_known_list(const Config& config);
 
 class Discovery
 {
   public:
     // epoch: the loop's time at Unix time zero.
-    Discovery(event_base* base, const Config& config, TimePoint epoch, std::function<void(Event)> tell);
+    Discovery(event_base* base, const Config& config, TimePoint epoch, std::function<void(Event)> post_event);
 
-    // From now on lists are told here instead, as the text of whole ones, changes taken in.
+    // Reports lists here from now on instead of as events: as the text of a full list, with changes
+    // applied.
     using ListCallback = std::function<void(uint64_t version, std::string text)>;
-    void set_list_callback(ListCallback whole) { whole_ = std::move(whole); }
+    void set_list_callback(ListCallback callback) { list_callback_ = std::move(callback); }
 
-    // The same as entries. `uids`: all that can differ from the last one told; nothing: any.
-    using Entries = std::map<std::string, std::string>;  // by uid
-    using EntriesCallback = std::function<void(uint64_t version, std::shared_ptr<const Entries> lines,
+    // The same, as entries. `uids`: the entries that may differ from the last report; nullopt: any of them.
+    using Entries = std::map<std::string, std::string>;  // JSON text by uid
+    using EntriesCallback = std::function<void(uint64_t version, std::shared_ptr<const Entries> entries,
                                                std::optional<std::vector<std::string>> uids)>;
-    void set_entries_callback(EntriesCallback tell) { tell_lines_ = std::move(tell); }
+    void set_entries_callback(EntriesCallback callback) { entries_callback_ = std::move(callback); }
 
-    void stop_polling();              // asks nothing until ask()
-    void change_address(Address to);  // asks there from now on, for the whole list first
+    void stop_polling();              // sends no requests until start_polling()
+    void change_address(Address to);  // polls there from now on, starting with the full list
+    // Fetches the full list, then watches it. After a failure it retries, except where the decision module
+    // says when to ask again.
     void start_polling();
-    // The first call asks for what changed since this version: that of a list which this process was given.
-    void resume_from(uint64_t version);  // the whole list, and then watches it; asks anew after failures,
-                                         // where that is its own job
+    // The first request asks for changes since this version, that of a list which this process was given.
+    void resume_from(uint64_t version);
 
   private:
-    // One call, or a connection that the next one may use.
-    struct Call {
+    // A request in flight, or a connection that the next request may reuse.
+    struct ListRequest {
         Discovery* owner = nullptr;
         std::unique_ptr<evhttp_connection, FreeWith<evhttp_connection_free>> connection;
-        EventPtr overdue, until;
-        bool out = false, dropped = false;
+        EventPtr overdue_timer, timeout_timer;
+        bool in_flight = false, abandoned = false;
     };
 
-    bool is_pushed() const;
-    void call();
-    void overdue(const Call& call);
-    void late(Call& call);
-    void came(Call& call, evhttp_request* request);
-    void failed(Call& call, const char* why);
-    void call_in(Duration pause);
-    void drop_all();
-    bool told_elsewhere() const { return whole_ || tell_lines_; }
-    void tell_fleet(const EndpointList& list, const std::string& text);
+    bool lists_are_pushed() const;
+    void send_request();
+    void on_overdue(const ListRequest& request);
+    void on_timeout(ListRequest& request);
+    void on_response(ListRequest& request, evhttp_request* response);
+    void on_failure(ListRequest& request, const char* why);
+    void schedule_request(Duration delay);
+    void abandon_requests();
+    bool has_list_callback() const { return list_callback_ || entries_callback_; }
+    void report_list(const EndpointList& list, const std::string& text);
     template <auto then>
-    EventPtr timer(Call& call, Duration wait);
+    EventPtr make_timer(ListRequest& request, Duration wait);
 
     event_base* base_;
     const Config& config_;
     Address address_;
     TimePoint epoch_;
-    std::function<void(Event)> tell_;
-    ListCallback whole_;
-    EntriesCallback tell_lines_;
-    std::shared_ptr<Entries> lines_ = std::make_shared<Entries>();  // what a whole list is made of
-    std::list<Call> calls_;
-    std::list<Call> dropped_;  // to be freed outside of their own callbacks
-    EventPtr again_;
-    std::optional<uint64_t>
-        version_;              // the next call asks for what came after it; nothing: for the whole list
-    bool resuming_ = false;    // the next call asks for what was missed, by a short watch
-    bool remembered_ = false;  // version_ is of a list from before this start
-    uint64_t newest_ = 0;      // that this agent told
-    bool resting_ = true;      // until it is to ask for the first time, or while another balancer asks
-    bool asking_ = false;
-    bool well_ = true;
-    Duration pause_;
+    std::function<void(Event)> post_event_;
+    ListCallback list_callback_;
+    EntriesCallback entries_callback_;
+    std::shared_ptr<Entries> entries_ = std::make_shared<Entries>();  // the current entries, for full lists
+    std::list<ListRequest> requests_;
+    std::list<ListRequest> abandoned_requests_;  // freed later: a request cannot be freed in its own callback
+    EventPtr next_request_timer_;
+    // The next request asks for changes since this version; nullopt: for the full list.
+    std::optional<uint64_t> version_;
+    bool resuming_ = false;          // the next request asks for missed changes, with a short watch
+    bool version_restored_ = false;  // version_ is of a list from before this start of the program
+    uint64_t newest_version_ = 0;    // highest version that this agent has sent
+    bool paused_ = true;             // not started yet, or another balancer polls
+    bool polling_ = false;
+    bool healthy_ = true;
+    Duration retry_delay_;
 };
 
 }  // namespace firtide::net
--- a/src/net/downstream_server.cpp
+++ b/src/net/downstream_server.cpp
@@ -15,29 +15,32 @@
 namespace
 {
 
-// How long a connection may stay in each phase: for a request from its first byte (of a new connection: from
-// connecting; for each part of its body there is a little more), for more of a large one, between requests,
-// for an answer, to take the next part of one, and to close after its last.
-constexpr std::array<Duration, 6> at_most = {seconds(2.5),  seconds(2.5), seconds(60),
-                                             seconds(3600), seconds(10),  seconds(1)};
-constexpr double slowest_body = 24 * 1024;      // bytes a second
-constexpr Duration may_rest = seconds(2);       // whatever room is needed
-constexpr Duration asks_within = seconds(0.2);  // the same for a new connection or a request begun
-constexpr Duration lingers = seconds(0.1);      // the same for one whose sending side is shut
-constexpr size_t some = 16;                     // connections to make room for at a time
-constexpr Duration ends_with_request = seconds(0.03), goes_after = seconds(0.05);
-constexpr Duration tell_every = seconds(1);  // of the same trouble in the log
-constexpr Duration look_every = seconds(0.05), stalled = seconds(0.2);
-constexpr size_t read_ahead = 8 * 1024;      // bytes of one connection that wait to be read
-constexpr size_t read_at_once = 64 * 1024;   // the same of a large body
-constexpr size_t nearly_taken = 16 * 1024;   // bytes of an answer left to send, when more of it is asked for
-constexpr size_t window = 128 * 1024;        // bytes held of a large message, about
-constexpr size_t most_ignored = 128 * 1024;  // bytes read and dropped behind a last answer
-constexpr uint32_t most_in_a_row = 16;       // requests sent before the last one's answer had come
-
-// How long ago the last byte came. Guards against requests that waited unread while this program stood still:
-// their time counts from when their callers sent them.
-Duration unread_for(int fd)
+// How long a connection may stay in each phase: reading a request, from its first byte or, on a new
+// connection, from connecting (with extra time for the received part of the body); waiting for more of a
+// large request; between requests; waiting for a response; taking the next part of one; closing after the
+// last.
+constexpr std::array<Duration, 6> phase_limits = {seconds(2.5),  seconds(2.5), seconds(60),
+                                                  seconds(3600), seconds(10),  seconds(1)};
+constexpr double min_body_bytes_per_second = 24 * 1024;
+constexpr Duration idle_before_eviction = seconds(2);  // before it may be evicted
+// The same for a new connection or an incomplete request.
+constexpr Duration silent_before_eviction = seconds(0.2);
+constexpr Duration lingering_before_eviction = seconds(0.1);  // the same for a connection in lingering close
+constexpr size_t eviction_batch = 16;                         // connections
+constexpr Duration half_close_window = seconds(0.03), disconnect_check_after = seconds(0.05);
+constexpr Duration warning_interval = seconds(1);  // of the same problem, in the log
+constexpr Duration check_interval = seconds(0.05), stall_threshold = seconds(0.2);
+constexpr size_t read_watermark_bytes = 8 * 1024;        // unread input of one connection
+constexpr size_t body_read_watermark_bytes = 64 * 1024;  // the same for a large body
+// Unsent part of a response at which more of it is requested.
+constexpr size_t write_watermark_bytes = 16 * 1024;
+constexpr size_t stream_buffer_bytes = 128 * 1024;  // approximate buffer for a large message
+constexpr size_t max_ignored_bytes = 128 * 1024;    // input read and discarded after a last response
+constexpr uint32_t max_pipelined_requests = 16;     // requests sent before the response to the previous one
+
+// Time since the last byte arrived. For requests that waited unread while this process stood still, time
+// counts from when their callers sent them.
+Duration time_since_last_byte(int fd)
 {
     tcp_info info{};
     socklen_t size = sizeof info;
@@ -45,515 +48,542 @@
     return Duration{int64_t{info.tcpi_last_data_recv} * 1000};
 }
 
-// Whether the socket shows this now.
-bool shows(int fd, short events)
+// Whether poll() reports one of these events on the socket now.
+bool has_poll_event(int fd, short events)
 {
-    pollfd at{fd, events, 0};
-    return poll(&at, 1, 0) > 0;
+    pollfd polled{fd, events, 0};
+    return poll(&polled, 1, 0) > 0;
 }
 
 }  // namespace
 
-// Lives as long as the connection.
+// One connection, from accept to close.
 struct DownstreamServer::Connection {
     explicit Connection(const ServiceConfig& setup) : reader(setup) {}
 
     DownstreamServer* owner = nullptr;
-    Place self;
-    Phase phase = asking;
-    TimePoint since;
+    ConnectionIterator self;
+    Phase phase = reading_request;
+    TimePoint phase_since;
     BuffereventPtr stream;
     RequestReader reader;
-    RequestId caller = 0;   // of the request that waits for its answer
-    size_t due = 0;         // of its body, when it had its answer before all of it had come
-    bool sent_all = false;  // and closed its side
-    bool last = false;      // after the answer being sent
-    bool in_pieces = false, chunked = false, to_the_end = false;  // the answer
-    size_t held = 0, ignored = 0;
-    uint32_t in_a_row = 0;
+    RequestId caller = 0;       // of the request that awaits its response
+    size_t body_bytes_due = 0;  // bytes of the body still to come of a request that is already answered
+    bool half_closed = false;   // the caller has shut its sending side
+    bool close_after_response = false;  // the response being sent is the last on the connection
+    bool streaming_response = false, chunked = false, ends_with_connection = false;  // of the response
+    size_t body_memory = 0, ignored_bytes = 0;
+    uint32_t pipelined_requests = 0;
 };
 
-DownstreamServer::DownstreamServer(event_base* base, const Config& config, ConnectionBudget room,
-                                   std::function<bool()> ready, std::function<void()> crowded,
-                                   std::function<void(Event)> tell)
+DownstreamServer::DownstreamServer(event_base* base, const Config& config, ConnectionBudget budget,
+                                   std::function<bool()> ready,
+                                   std::function<void()> on_descriptors_exhausted,
+                                   std::function<void(Event)> post_event)
     : base_(base),
       config_(config),
-      room_(std::move(room)),
-      most_held_(config.bodies),
+      budget_(std::move(budget)),
+      max_body_memory_(config.max_body_memory),
       ready_(std::move(ready)),
-      crowded_(std::move(crowded)),
-      tell_(std::move(tell))
+      on_descriptors_exhausted_(std::move(on_descriptors_exhausted)),
+      post_event_(std::move(post_event))
 {
     check_passed_socket(config);
     if (config.passed_socket)
-        take_over(*config.passed_socket);
+        adopt_listener(*config.passed_socket);
     else
         listen(config.listen);
-    look_.reset(event_new(
+    check_timer_.reset(event_new(
         base_, -1, EV_PERSIST,
-        [](evutil_socket_t, short, void* self) { static_cast<DownstreamServer*>(self)->look(); }, this));
-    const auto every = to_timeval(look_every);
-    event_add(look_.get(), &every);
+        [](evutil_socket_t, short, void* self) { static_cast<DownstreamServer*>(self)->check_connections(); },
+        this));
+    const auto every = to_timeval(check_interval);
+    event_add(check_timer_.get(), &every);
 }
 
 DownstreamServer::~DownstreamServer() = default;
 
 void DownstreamServer::listen(const Address& address)
 {
-    sockaddr_storage at{};
-    int length = sizeof at;
+    sockaddr_storage socket_address{};
+    int length = sizeof socket_address;
     const auto text = to_string(address);
-    if (evutil_parse_sockaddr_port(text.c_str(), reinterpret_cast<sockaddr*>(&at), &length) != 0)
-        throw ConfigException("listen: '" + text + "' is no numeric address");
-    listener_.reset(evconnlistener_new_bind(base_, accepted, this,
+    if (evutil_parse_sockaddr_port(text.c_str(), reinterpret_cast<sockaddr*>(&socket_address), &length) != 0)
+        throw ConfigException("listen: '" + text + "' is not a numeric address");
+    listener_.reset(evconnlistener_new_bind(base_, on_accept, this,
                                             LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | LEV_OPT_REUSEABLE,
-                                            1024, reinterpret_cast<sockaddr*>(&at), length));
+                                            1024, reinterpret_cast<sockaddr*>(&socket_address), length));
     if (!listener_)
         throw ConfigException("listen: cannot listen on " + text + ": " +
                               evutil_socket_error_to_string(EVUTIL_SOCKET_ERROR()));
-    heed_errors();
+    set_error_callback();
 }
 
-// The socket is the platform's and shared with another process of the same balancer: what this one cannot
-// serve yet is left to that one.
-void DownstreamServer::take_over(int fd)
+// The socket belongs to the platform and is shared with another process of the same balancer, which accepts
+// connections until this one is ready.
+void DownstreamServer::adopt_listener(int fd)
 {
     evutil_make_socket_nonblocking(fd);
     listener_.reset(
-        evconnlistener_new(base_, accepted, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC, 0, fd));
-    if (!listener_) throw ConfigException("NODE_PASSED_SOCKET: cannot be listened on");
-    heed_errors();
+        evconnlistener_new(base_, on_accept, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC, 0, fd));
+    if (!listener_) throw ConfigException("NODE_PASSED_SOCKET: cannot listen on the passed socket");
+    set_error_callback();
     evconnlistener_disable(listener_.get());
-    before_ready_ = true;
+    waits_until_ready_ = true;
 }
 
-void DownstreamServer::accepted(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self)
+void DownstreamServer::on_accept(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self)
 {
-    static_cast<DownstreamServer*>(self)->accept(fd);
+    static_cast<DownstreamServer*>(self)->add_connection(fd);
 }
 
-void DownstreamServer::heed_errors()
+void DownstreamServer::set_error_callback()
 {
     evconnlistener_set_error_cb(listener_.get(), [](evconnlistener*, void* arg) {
         auto* self = static_cast<DownstreamServer*>(arg);
-        self->crowded_();
-        self->pause_listening();
+        self->on_descriptors_exhausted_();
+        self->pause_accepting();
     });
 }
 
-// Until the next look. Guards against spinning: libevent would try again at once, without end.
-void DownstreamServer::pause_listening()
+// Until the next check. Otherwise libevent would retry at once, in a busy loop.
+void DownstreamServer::pause_accepting()
 {
-    paused_ = true;
+    accepting_paused_ = true;
     evconnlistener_disable(listener_.get());
 }
 
-size_t DownstreamServer::open() const
+size_t DownstreamServer::open_connections() const
 {
     size_t all = 0;
-    for (const auto& phase : in_) all += phase.size();
+    for (const auto& phase : connections_) all += phase.size();
     return all;
 }
 
-void DownstreamServer::accept(int fd)
+void DownstreamServer::add_connection(int fd)
 {
     const int on = 1;
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-    const Place at = in_[asking].emplace(in_[asking].end(), config_.service_config);
-    at->owner = this;
-    at->self = at;
-    at->since = monotonic_now();
-    at->stream.reset(bufferevent_socket_new(base_, fd, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS));
+    const ConnectionIterator it =
+        connections_[reading_request].emplace(connections_[reading_request].end(), config_.service_config);
+    it->owner = this;
+    it->self = it;
+    it->phase_since = monotonic_now();
+    it->stream.reset(bufferevent_socket_new(base_, fd, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS));
     bufferevent_setcb(
-        at->stream.get(),
+        it->stream.get(),
         [](bufferevent*, void* arg) {
             auto* c = static_cast<Connection*>(arg);
-            c->owner->readable(c->self);
+            c->owner->on_readable(c->self);
         },
         [](bufferevent*, void* arg) {
             auto* c = static_cast<Connection*>(arg);
-            c->owner->written(c->self);
+            c->owner->on_written(c->self);
         },
         [](bufferevent*, short what, void* arg) {
             auto* c = static_cast<Connection*>(arg);
-            if ((what & BEV_EVENT_EOF) && c->owner->still_listens(c->self)) return;
-            c->owner->ended(c->self);
+            if ((what & BEV_EVENT_EOF) && c->owner->handle_half_close(c->self)) return;
+            c->owner->on_disconnect(c->self);
         },
-        &*at);
-    bufferevent_setwatermark(at->stream.get(), EV_READ, 0, read_ahead);
-    bufferevent_enable(at->stream.get(), EV_READ | EV_WRITE);
-    if (room_.full(open())) make_room(1);
-    if (room_.full(open())) pause_listening();
+        &*it);
+    bufferevent_setwatermark(it->stream.get(), EV_READ, 0, read_watermark_bytes);
+    bufferevent_enable(it->stream.get(), EV_READ | EV_WRITE);
+    if (budget_.is_exhausted(open_connections())) evict(1);
+    if (budget_.is_exhausted(open_connections())) pause_accepting();
 }
 
-void DownstreamServer::enter(Place at, Phase phase)
+void DownstreamServer::enter_phase(ConnectionIterator it, Phase phase)
 {
-    in_[phase].splice(in_[phase].end(), in_[at->phase], at);
-    at->phase = phase;
-    at->since = monotonic_now();
+    connections_[phase].splice(connections_[phase].end(), connections_[it->phase], it);
+    it->phase = phase;
+    it->phase_since = monotonic_now();
 }
 
-// What a connection holds of the memory for bodies, from now on.
-void DownstreamServer::hold(Connection& c, size_t bytes)
+// Sets how much of the memory for bodies the connection uses.
+void DownstreamServer::reserve_body_memory(Connection& c, size_t bytes)
 {
-    held_ = held_ - c.held + bytes;
-    c.held = bytes;
+    body_memory_ = body_memory_ - c.body_memory + bytes;
+    c.body_memory = bytes;
 }
 
-void DownstreamServer::readable(Place at)
+void DownstreamServer::on_readable(ConnectionIterator it)
 {
-    auto* input = bufferevent_get_input(at->stream.get());
+    auto* input = bufferevent_get_input(it->stream.get());
     const size_t size = evbuffer_get_length(input);
-    if (at->phase == leaving) {
+    if (it->phase == lingering) {
         evbuffer_drain(input, size);
-        if ((at->ignored += size) > most_ignored + at->due) return close(at);
-        // Guards against cutting off a caller that reads its answer only once all of its request is sent.
-        if (at->due > 0 && size > 0) enter(at, leaving);
-        if (at->due > 0 && at->ignored >= at->due) shutdown(bufferevent_getfd(at->stream.get()), SHUT_WR);
+        if ((it->ignored_bytes += size) > max_ignored_bytes + it->body_bytes_due) return close_connection(it);
+        // A caller may read its response only after sending all of its request: it is not cut off while it
+        // sends.
+        if (it->body_bytes_due > 0 && size > 0) enter_phase(it, lingering);
+        if (it->body_bytes_due > 0 && it->ignored_bytes >= it->body_bytes_due)
+            shutdown(bufferevent_getfd(it->stream.get()), SHUT_WR);
         return;
     }
-    // What comes early stays unread, and is little, until the answer before it is written.
-    if (size == 0 || at->phase == waiting || at->phase == telling) return;
-    if (at->phase == resting) enter(at, asking);
+    // Pipelined input stays unread, and bounded, until the response before it is written.
+    if (size == 0 || it->phase == awaiting_response || it->phase == sending_response) return;
+    if (it->phase == idle) enter_phase(it, reading_request);
     const auto* bytes = reinterpret_cast<const char*>(evbuffer_pullup(input, -1));
-    const auto state = at->reader.parse({bytes, size});
-    evbuffer_drain(input, at->reader.consumed_bytes());
+    const auto state = it->reader.parse({bytes, size});
+    evbuffer_drain(input, it->reader.consumed_bytes());
     if (state == RequestReader::State::malformed) {
-        const auto [status, why] = at->reader.error();
-        if (const auto caller = std::exchange(at->caller, 0)) {
-            waiting_.erase(caller);
-            tell_(DownstreamDisconnected{caller});
+        const auto [status, why] = it->reader.error();
+        if (const auto caller = std::exchange(it->caller, 0)) {
+            connection_of_.erase(caller);
+            post_event_(DownstreamDisconnected{caller});
         }
-        return refuse(at, status, why);
+        return reject(it, status, why);
     }
-    if (at->phase == bringing) return body_piece_received(at, state == RequestReader::State::complete);
-    // Guards against running out of memory: where the bodies would not fit, that is said before they come.
-    const auto& request = at->reader.request();
-    const size_t most =
-        at->reader.exceeds_buffer() ? 2 * window : request.body.size() + at->reader.body_bytes_to_buffer();
-    if (most > at->held) {
-        if (held_ - at->held + most > most_held_) {
-            tell_(RequestRejected{request.operation, request.config_version});
-            at->due = at->reader.max_remaining_body_bytes();
-            return refuse(at, 503, "no room for the body");
+    if (it->phase == streaming_request) return on_body_chunk(it, state == RequestReader::State::complete);
+    // Bounds memory: a body that would not fit is refused before it arrives.
+    const auto& request = it->reader.request();
+    const size_t most = it->reader.exceeds_buffer() ? 2 * stream_buffer_bytes
+                                                    : request.body.size() + it->reader.body_bytes_to_buffer();
+    if (most > it->body_memory) {
+        if (body_memory_ - it->body_memory + most > max_body_memory_) {
+            post_event_(RequestRejected{request.operation, request.config_version});
+            it->body_bytes_due = it->reader.max_remaining_body_bytes();
+            return reject(it, 503, "no room for the body");
         }
-        hold(*at, most);
+        reserve_body_memory(*it, most);
     }
-    if (state == RequestReader::State::complete) return request_received(at, false);
-    if (at->reader.exceeds_buffer()) {
-        bufferevent_setwatermark(at->stream.get(), EV_READ, 0, read_at_once);
-        if (request.body.size() >= max_buffered_body_bytes) return request_received(at, true);
+    if (state == RequestReader::State::complete) return on_request(it, false);
+    if (it->reader.exceeds_buffer()) {
+        bufferevent_setwatermark(it->stream.get(), EV_READ, 0, body_read_watermark_bytes);
+        if (request.body.size() >= max_buffered_body_bytes) return on_request(it, true);
     }
-    if (at->reader.expects_continue() && request.body.empty())
-        bufferevent_write(at->stream.get(), "HTTP/1.1 100 Continue\r\n\r\n", 25),
-            at->reader.mark_continue_sent();
+    if (it->reader.expects_continue() && request.body.empty())
+        bufferevent_write(it->stream.get(), "HTTP/1.1 100 Continue\r\n\r\n", 25),
+            it->reader.mark_continue_sent();
 }
 
-// More of a request that is passed on while it comes.
-void DownstreamServer::body_piece_received(Place at, bool last)
+// Handles more of a request that is forwarded while it arrives.
+void DownstreamServer::on_body_chunk(ConnectionIterator it, bool last)
 {
-    enter(at, last ? waiting : bringing);
-    tell_(RequestChunkReceived{at->caller, at->reader.take_body(), last, last ? unread(at) : Duration{}});
+    enter_phase(it, last ? awaiting_response : streaming_request);
+    post_event_(
+        RequestChunkReceived{it->caller, it->reader.take_body(), last, last ? unread_time(it) : Duration{}});
 }
 
-// How long the last byte has waited here.
-Duration DownstreamServer::unread(Place at) const { return unread_for(bufferevent_getfd(at->stream.get())); }
+// How long the last byte has been waiting.
+Duration DownstreamServer::unread_time(ConnectionIterator it) const
+{
+    return time_since_last_byte(bufferevent_getfd(it->stream.get()));
+}
 
-void DownstreamServer::request_received(Place at, bool more)
+void DownstreamServer::on_request(ConnectionIterator it, bool more)
 {
-    const auto input = evbuffer_get_length(bufferevent_get_input(at->stream.get()));
-    at->in_a_row = input > 0 ? at->in_a_row + 1 : 0;
-    at->last = !at->reader.keep_alive() || at->in_a_row >= most_in_a_row;
-    if (at->reader.is_readiness_check()) {
+    const auto input = evbuffer_get_length(bufferevent_get_input(it->stream.get()));
+    it->pipelined_requests = input > 0 ? it->pipelined_requests + 1 : 0;
+    it->close_after_response = !it->reader.keep_alive() || it->pipelined_requests >= max_pipelined_requests;
+    if (it->reader.is_readiness_check()) {
         const bool ready = ready_();
-        return reply(at, {ready ? 200 : 503, false, {}, {}, ready ? "ready\n" : "not ready\n"}, !ready);
+        return send_response(it, {ready ? 200 : 503, false, {}, {}, ready ? "ready\n" : "not ready\n"},
+                             !ready);
     }
-    Request request = std::move(at->reader.request());
+    Request request = std::move(it->reader.request());
     request.body_incomplete = more;
-    bool went = false;
+    bool disconnected = false;
     if (more) {
-        request.content_length = at->reader.content_length();
-        at->reader.take_body();
+        request.content_length = it->reader.content_length();
+        it->reader.take_body();
     } else {
-        const Duration waited = unread(at);
+        const Duration waited = unread_time(it);
         request.time_left = std::max(Duration{}, request.time_left - waited);
-        // Guards against work for a caller that sent its request and went, while this program had no time to
-        // read.
-        went = waited > goes_after && shows(bufferevent_getfd(at->stream.get()), POLLRDHUP);
+        // No work for a caller that sent its request and disconnected while this process was not reading.
+        disconnected =
+            waited > disconnect_check_after && has_poll_event(bufferevent_getfd(it->stream.get()), POLLRDHUP);
     }
-    enter(at, waiting);
-    at->caller = next_++;
-    waiting_[at->caller] = at;
-    tell_(RequestReceived{at->caller, std::move(request), went});
+    enter_phase(it, awaiting_response);
+    it->caller = next_request_id_++;
+    connection_of_[it->caller] = it;
+    post_event_(RequestReceived{it->caller, std::move(request), disconnected});
 }
 
-// What could not be read may have been framed otherwise than it was taken: nothing more is read there.
-void DownstreamServer::refuse(Place at, int status, const char* why)
+// An unreadable request may have been framed differently than it was read: no further request is read on
+// the connection.
+void DownstreamServer::reject(ConnectionIterator it, int status, const char* why)
 {
-    spdlog::debug("a caller gets {}, {}, {} ms after its request began, with {} bytes of its body come",
-                  status, why, (monotonic_now() - at->since).us / 1000, at->reader.body_bytes_received());
-    reply(at, {status, false, {}, {}, std::string(why) + "\n"}, true);
+    spdlog::debug("request rejected with {}, {}, {} ms after it began, {} bytes of its body received", status,
+                  why, (monotonic_now() - it->phase_since).us / 1000, it->reader.body_bytes_received());
+    send_response(it, {status, false, {}, {}, std::string(why) + "\n"}, true);
 }
 
 void DownstreamServer::answer(const SendResponse& answer)
 {
-    const auto found = waiting_.find(answer.caller);
-    if (found == waiting_.end()) return;  // it has left
-    const Place at = found->second;
-    // What still comes of a request that has its answer is read in no other way.
-    const bool last = answer.close_connection || !at->reader.is_complete();
-    at->due = at->reader.max_remaining_body_bytes();
+    const auto found = connection_of_.find(answer.caller);
+    if (found == connection_of_.end()) return;  // the caller has disconnected
+    const ConnectionIterator it = found->second;
+    // After an early response the rest of the request is only read and discarded, so the connection cannot
+    // be reused.
+    const bool last = answer.close_connection || !it->reader.is_complete();
+    it->body_bytes_due = it->reader.max_remaining_body_bytes();
     if (answer.response.body_incomplete) {
-        at->in_pieces = true;
-        at->chunked = !answer.response.content_length && !at->reader.is_http_1_0();
-        at->to_the_end = !answer.response.content_length && at->reader.is_http_1_0();
-        bufferevent_setwatermark(at->stream.get(), EV_WRITE, nearly_taken, 0);
+        it->streaming_response = true;
+        it->chunked = !answer.response.content_length && !it->reader.is_http_1_0();
+        it->ends_with_connection = !answer.response.content_length && it->reader.is_http_1_0();
+        bufferevent_setwatermark(it->stream.get(), EV_WRITE, write_watermark_bytes, 0);
     } else {
-        waiting_.erase(found);
-        at->caller = 0;
+        connection_of_.erase(found);
+        it->caller = 0;
     }
-    reply(at, answer.response, last);
+    send_response(it, answer.response, last);
 }
 
-void DownstreamServer::pass(SendResponseChunk& pass)
+void DownstreamServer::send_chunk(SendResponseChunk& chunk)
 {
-    const auto found = waiting_.find(pass.caller);
-    if (found == waiting_.end()) return;
-    const Place at = found->second;
-    const auto bytes = encode_body_chunk(std::move(pass.bytes), at->chunked, pass.is_last);
-    if (pass.is_last) {
-        at->in_pieces = false;
-        bufferevent_setwatermark(at->stream.get(), EV_WRITE, 0, 0);
+    const auto found = connection_of_.find(chunk.caller);
+    if (found == connection_of_.end()) return;
+    const ConnectionIterator it = found->second;
+    const auto bytes = encode_body_chunk(std::move(chunk.bytes), it->chunked, chunk.is_last);
+    if (chunk.is_last) {
+        it->streaming_response = false;
+        bufferevent_setwatermark(it->stream.get(), EV_WRITE, 0, 0);
     }
-    bufferevent_write(at->stream.get(), bytes.data(), bytes.size());
-    // Guards against a last piece that is empty, after which nothing more would be heard of the stream.
-    if (bytes.empty()) bufferevent_trigger(at->stream.get(), EV_WRITE, BEV_TRIG_DEFER_CALLBACKS);
+    bufferevent_write(it->stream.get(), bytes.data(), bytes.size());
+    // Writing an empty last piece would not trigger the stream's write callback.
+    if (bytes.empty()) bufferevent_trigger(it->stream.get(), EV_WRITE, BEV_TRIG_DEFER_CALLBACKS);
 }
 
-// By a reset: its caller can tell that the answer is not whole, also where its end is the connection's.
-void DownstreamServer::cut(RequestId caller)
+// Resets the connection: the caller can tell that the response is incomplete, even one that ends with the
+// connection.
+void DownstreamServer::abort_response(RequestId caller)
 {
-    const auto found = waiting_.find(caller);
-    if (found == waiting_.end()) return;
-    const linger none{1, 0};
-    setsockopt(bufferevent_getfd(found->second->stream.get()), SOL_SOCKET, SO_LINGER, &none, sizeof none);
-    close(found->second);
+    const auto found = connection_of_.find(caller);
+    if (found == connection_of_.end()) return;
+    const linger reset_on_close{1, 0};
+    setsockopt(bufferevent_getfd(found->second->stream.get()), SOL_SOCKET, SO_LINGER, &reset_on_close,
+               sizeof reset_on_close);
+    close_connection(found->second);
 }
 
-void DownstreamServer::hear(const SetRequestReading& hear)
+void DownstreamServer::set_request_reading(const SetRequestReading& reading)
 {
-    const auto found = waiting_.find(hear.caller);
-    if (found == waiting_.end() || found->second->reader.is_complete()) return;
-    const Place at = found->second;
-    if (at->phase != waiting && at->phase != bringing) return;
-    enter(at, hear.enabled ? bringing : waiting);
-    if (hear.enabled)
-        bufferevent_trigger(at->stream.get(), EV_READ, BEV_TRIG_IGNORE_WATERMARKS | BEV_TRIG_DEFER_CALLBACKS);
+    const auto found = connection_of_.find(reading.caller);
+    if (found == connection_of_.end() || found->second->reader.is_complete()) return;
+    const ConnectionIterator it = found->second;
+    if (it->phase != awaiting_response && it->phase != streaming_request) return;
+    enter_phase(it, reading.enabled ? streaming_request : awaiting_response);
+    if (reading.enabled)
+        bufferevent_trigger(it->stream.get(), EV_READ, BEV_TRIG_IGNORE_WATERMARKS | BEV_TRIG_DEFER_CALLBACKS);
 }
 
-void DownstreamServer::reply(Place at, const Response& response, bool last)
+void DownstreamServer::send_response(ConnectionIterator it, const Response& response, bool last)
 {
-    // Guards against callers who ask once and stay, by hundreds: what rests may not be closed at once.
-    const bool crowded = open() > room_.own() / 4 * 3;
-    at->last = at->last || last || crowded;
-    at->last = at->last || at->to_the_end;
-    const auto bytes = encode_response(response, at->last, at->reader.is_http_1_0());
-    at->reader = RequestReader(config_.service_config);
-    hold(*at, response.body_incomplete ? window : bytes.size());
-    enter(at, telling);
-    bufferevent_write(at->stream.get(), bytes.data(), bytes.size());
+    // With most of the budget in use, the connection closes after this response: idle connections may not
+    // be closed at once, and hundreds of callers that ask once and stay would use up the budget.
+    const bool nearly_full = open_connections() > budget_.limit() / 4 * 3;
+    it->close_after_response = it->close_after_response || last || nearly_full;
+    it->close_after_response = it->close_after_response || it->ends_with_connection;
+    const auto bytes = encode_response(response, it->close_after_response, it->reader.is_http_1_0());
+    it->reader = RequestReader(config_.service_config);
+    reserve_body_memory(*it, response.body_incomplete ? stream_buffer_bytes : bytes.size());
+    enter_phase(it, sending_response);
+    bufferevent_write(it->stream.get(), bytes.data(), bytes.size());
 }
 
-void DownstreamServer::written(Place at)
+void DownstreamServer::on_written(ConnectionIterator it)
 {
-    // libevent also says so of a new connection, by when its first answer may be on its way.
-    const size_t left = evbuffer_get_length(bufferevent_get_output(at->stream.get()));
-    if (at->phase != telling || left > (at->in_pieces ? nearly_taken : 0)) return;
-    if (at->in_pieces) {
-        enter(at, telling);
-        return tell_(ResponseDrained{at->caller});
+    // libevent also calls this for a new connection, by when its first response may already be on its way.
+    const size_t left = evbuffer_get_length(bufferevent_get_output(it->stream.get()));
+    if (it->phase != sending_response || left > (it->streaming_response ? write_watermark_bytes : 0)) return;
+    if (it->streaming_response) {
+        enter_phase(it, sending_response);
+        return post_event_(ResponseDrained{it->caller});
     }
-    if (const auto caller = std::exchange(at->caller, 0)) {
-        waiting_.erase(caller);
-        tell_(ResponseDrained{caller});
+    if (const auto caller = std::exchange(it->caller, 0)) {
+        connection_of_.erase(caller);
+        post_event_(ResponseDrained{caller});
     }
-    at->to_the_end = at->chunked = false;
-    bufferevent_setwatermark(at->stream.get(), EV_READ, 0, read_ahead);
-    hold(*at, 0);
-    if (at->sent_all) return close(at);
-    if (at->last)
-        close_lingering(at);
+    it->ends_with_connection = it->chunked = false;
+    bufferevent_setwatermark(it->stream.get(), EV_READ, 0, read_watermark_bytes);
+    reserve_body_memory(*it, 0);
+    if (it->half_closed) return close_connection(it);
+    if (it->close_after_response)
+        close_lingering(it);
     else
-        enter(at, resting);
-    // Whatever came early has its turn after all others. Guards against callers that send hundreds at once.
-    bufferevent_trigger(at->stream.get(), EV_READ, BEV_TRIG_IGNORE_WATERMARKS | BEV_TRIG_DEFER_CALLBACKS);
+        enter_phase(it, idle);
+    // Pipelined input is handled after that of all other connections, because a caller may send hundreds of
+    // requests at once.
+    bufferevent_trigger(it->stream.get(), EV_READ, BEV_TRIG_IGNORE_WATERMARKS | BEV_TRIG_DEFER_CALLBACKS);
 }
 
-// Every end of a connection on which nothing is owed any more passes here (lingering close): the sending side
-// is shut, once all that is due has come, and what still comes is read until the caller closes or its time is
-// up. Guards against an answer, or the end itself, that is lost to a reset over unread bytes. What is read
-// from here on is sent on to nobody: its caller sees the end and asks elsewhere.
-void DownstreamServer::close_lingering(Place at)
+// Closes every connection that has no response outstanding (lingering close): the sending side is shut once
+// the rest of the request has come, and input is read until the caller closes or the time is up. Closing
+// with unread input would reset the connection, and the response or the end itself could be lost. Nothing
+// read from here on is forwarded: the caller sees the end and sends its request elsewhere.
+void DownstreamServer::close_lingering(ConnectionIterator it)
 {
-    enter(at, leaving);
-    if (at->due == 0) shutdown(bufferevent_getfd(at->stream.get()), SHUT_WR);
+    enter_phase(it, lingering);
+    if (it->body_bytes_due == 0) shutdown(bufferevent_getfd(it->stream.get()), SHUT_WR);
 }
 
-// Whether bytes of a request are here, read or not.
-bool DownstreamServer::asks(Place at) const
+// Whether bytes of a request have arrived, read or not.
+bool DownstreamServer::has_request_bytes(ConnectionIterator it) const
 {
-    return at->reader.has_started() || evbuffer_get_length(bufferevent_get_input(at->stream.get())) > 0 ||
-           shows(bufferevent_getfd(at->stream.get()), POLLIN);
+    return it->reader.has_started() || evbuffer_get_length(bufferevent_get_input(it->stream.get())) > 0 ||
+           has_poll_event(bufferevent_getfd(it->stream.get()), POLLIN);
 }
 
-// Whether a caller that sends nothing more is taken to read its answer all the same. One that closes its
-// sending side does so with its request, one that goes away has waited for a while; one that is being told
-// shows it by what it does with the bytes.
-bool DownstreamServer::still_listens(Place at)
+// Returns whether a caller that has closed its sending side is assumed to still read its response. A
+// half-close comes along with the request, whereas a caller that leaves has waited for a while; a caller that
+// is being sent a response shows it by taking the bytes or not.
+bool DownstreamServer::handle_half_close(ConnectionIterator it)
 {
-    const bool with_request =
-        at->phase == waiting && at->reader.is_complete() && monotonic_now() - at->since < ends_with_request;
-    if (!with_request && at->phase != telling) return false;
-    at->last = at->sent_all = true;
-    if (with_request) tell_(DownstreamHalfClosed{at->caller});
+    const bool with_request = it->phase == awaiting_response && it->reader.is_complete() &&
+                              monotonic_now() - it->phase_since < half_close_window;
+    if (!with_request && it->phase != sending_response) return false;
+    it->close_after_response = it->half_closed = true;
+    if (with_request) post_event_(DownstreamHalfClosed{it->caller});
     return true;
 }
 
-void DownstreamServer::ended(Place at)
+void DownstreamServer::on_disconnect(ConnectionIterator it)
 {
-    const auto caller = at->caller;
-    close(at);
-    if (caller) tell_(DownstreamDisconnected{caller});
+    const auto caller = it->caller;
+    close_connection(it);
+    if (caller) post_event_(DownstreamDisconnected{caller});
 }
 
-void DownstreamServer::close(Place at)
+void DownstreamServer::close_connection(ConnectionIterator it)
 {
-    waiting_.erase(at->caller);
-    hold(*at, 0);
-    in_[at->phase].erase(at);
+    connection_of_.erase(it->caller);
+    reserve_body_memory(*it, 0);
+    connections_[it->phase].erase(it);
 }
 
-// Ends what has had its time, and lets callers in again.
-void DownstreamServer::look()
+// Ends connections whose time is up, and accepts connections again.
+void DownstreamServer::check_connections()
 {
     const TimePoint now = monotonic_now();
-    // Guards against blaming callers for a stall of this program: what they have sent meanwhile is read
-    // first. Once, for it may be this slow all the time.
-    waits_for_bytes_ = now - std::exchange(looked_, now) > stalled && !waits_for_bytes_;
-    if (waits_for_bytes_) return;
-    for (size_t phase = 0; phase < phases; ++phase)
-        for (Place at = in_[phase].begin(), next; at != in_[phase].end(); at = next) {
-            next = std::next(at);
-            if (now - at->since <= at_most[phase]) break;
-            const bool begun = phase == asking && at->reader.has_started();
-            if (begun &&
-                now - at->since <= at_most[phase] + seconds(at->reader.body_bytes_received() / slowest_body))
+    // After a stall of this process, input that came meanwhile is read before any caller is timed out. Only
+    // one check is skipped, because the process may be this slow all the time.
+    skipped_check_ = now - std::exchange(last_check_, now) > stall_threshold && !skipped_check_;
+    if (skipped_check_) return;
+    for (size_t phase = 0; phase < phase_count; ++phase)
+        for (ConnectionIterator it = connections_[phase].begin(), next; it != connections_[phase].end();
+             it = next) {
+            next = std::next(it);
+            if (now - it->phase_since <= phase_limits[phase]) break;
+            const bool begun = phase == reading_request && it->reader.has_started();
+            if (begun && now - it->phase_since <=
+                             phase_limits[phase] +
+                                 seconds(it->reader.body_bytes_received() / min_body_bytes_per_second))
                 continue;
             if (begun) {
-                refuse(at, 408, "the request took too long");
+                reject(it, 408, "the request took too long");
                 continue;
             }
-            spdlog::debug("a caller is closed on in phase {}, {} ms after it entered it", phase,
-                          (now - at->since).us / 1000);
-            if (phase == asking || phase == resting)
-                close_lingering(at);
+            spdlog::debug("caller's connection timed out in phase {}, {} ms after entering it", phase,
+                          (now - it->phase_since).us / 1000);
+            if (phase == reading_request || phase == idle)
+                close_lingering(it);
             else
-                ended(at);
+                on_disconnect(it);
         }
-    look_for_closed();
-    if (before_ready_ && listener_ && ready_()) before_ready_ = false, evconnlistener_enable(listener_.get());
-    if (!paused_ || !listener_) return;
-    if (now - told_ > tell_every) {
-        told_ = now;
+    detect_closed_callers();
+    if (waits_until_ready_ && listener_ && ready_())
+        waits_until_ready_ = false, evconnlistener_enable(listener_.get());
+    if (!accepting_paused_ || !listener_) return;
+    if (now - warned_at_ > warning_interval) {
+        warned_at_ = now;
         spdlog::warn("no room for more callers: {} asking, {} at rest, {} waiting, {} being told, {} leaving",
-                     in_[asking].size(), in_[resting].size(), in_[waiting].size(), in_[telling].size(),
-                     in_[leaving].size());
+                     connections_[reading_request].size(), connections_[idle].size(),
+                     connections_[awaiting_response].size(), connections_[sending_response].size(),
+                     connections_[lingering].size());
     }
-    if (room_.full(open())) make_room(some + open() - std::min(open(), room_.own()));
-    if (room_.full(open())) return;
-    paused_ = false;
+    if (budget_.is_exhausted(open_connections()))
+        evict(eviction_batch + open_connections() - std::min(open_connections(), budget_.limit()));
+    if (budget_.is_exhausted(open_connections())) return;
+    accepting_paused_ = false;
     evconnlistener_enable(listener_.get());
 }
 
-// Guards against a caller that has sent more behind its request and closed: its end waits behind bytes that
-// are not read before it has its answer.
-void DownstreamServer::look_for_closed()
+// Detects a caller that has sent more after its request and closed: the end of its stream is behind bytes
+// that are not read before the response is sent.
+void DownstreamServer::detect_closed_callers()
 {
-    for (Place at = in_[waiting].begin(), next; at != in_[waiting].end(); at = next) {
-        next = std::next(at);
-        if (evbuffer_get_length(bufferevent_get_input(at->stream.get())) == 0) continue;
-        if (shows(bufferevent_getfd(at->stream.get()), POLLRDHUP)) ended(at);
+    for (ConnectionIterator it = connections_[awaiting_response].begin(), next;
+         it != connections_[awaiting_response].end(); it = next) {
+        next = std::next(it);
+        if (evbuffer_get_length(bufferevent_get_input(it->stream.get())) == 0) continue;
+        if (has_poll_event(bufferevent_getfd(it->stream.get()), POLLRDHUP)) on_disconnect(it);
     }
 }
 
-bool DownstreamServer::someone_waits() const
+bool DownstreamServer::has_pending_connections() const
 {
-    if (!listener_ || room_.full(open())) return false;
-    return shows(evconnlistener_get_fd(listener_.get()), POLLIN);
+    if (!listener_ || budget_.is_exhausted(open_connections())) return false;
+    return has_poll_event(evconnlistener_get_fd(listener_.get()), POLLIN);
 }
 
 void DownstreamServer::stop_listening() { listener_.reset(); }
 
-void DownstreamServer::close_idle(Duration rested, Duration silent)
+void DownstreamServer::close_idle(Duration idle_for, Duration silent_for)
 {
     const TimePoint now = monotonic_now();
-    for (const auto phase : {resting, asking})
-        for (Place at = in_[phase].begin(), next; at != in_[phase].end(); at = next) {
-            next = std::next(at);
-            if (now - at->since < (phase == resting ? rested : silent)) break;
-            if (!asks(at)) close_lingering(at);
+    for (const auto phase : {idle, reading_request})
+        for (ConnectionIterator it = connections_[phase].begin(), next; it != connections_[phase].end();
+             it = next) {
+            next = std::next(it);
+            if (now - it->phase_since < (phase == idle ? idle_for : silent_for)) break;
+            if (!has_request_bytes(it)) close_lingering(it);
         }
 }
 
-void DownstreamServer::end_begun()
+void DownstreamServer::reject_incomplete_requests()
 {
-    for (Place at = in_[asking].begin(), next; at != in_[asking].end(); at = next) {
-        next = std::next(at);
-        if (at->reader.has_started()) refuse(at, 408, "the request took too long");
+    for (ConnectionIterator it = connections_[reading_request].begin(), next;
+         it != connections_[reading_request].end(); it = next) {
+        next = std::next(it);
+        if (it->reader.has_started()) reject(it, 408, "the request took too long");
     }
 }
 
-void DownstreamServer::share(size_t processes)
+void DownstreamServer::set_process_count(size_t process_count)
 {
-    room_.share(processes);
-    most_held_ = config_.bodies / processes;
-    if (open() > room_.own()) make_room(open() - room_.own());
+    budget_.set_process_count(process_count);
+    max_body_memory_ = config_.max_body_memory / process_count;
+    if (open_connections() > budget_.limit()) evict(open_connections() - budget_.limit());
 }
 
-size_t DownstreamServer::make_room(size_t count)
+size_t DownstreamServer::evict(size_t count)
 {
     const TimePoint now = monotonic_now();
-    size_t made = 0;
-    const auto from = [&](Phase phase, Duration rested, auto&& end) {
-        for (Place at = in_[phase].begin(), next; at != in_[phase].end() && made < count; at = next) {
-            next = std::next(at);
-            if (now - at->since < rested) break;
-            made += end(at);
+    size_t evicted = 0;
+    const auto evict_from = [&](Phase phase, Duration rested, auto&& end) {
+        for (ConnectionIterator it = connections_[phase].begin(), next;
+             it != connections_[phase].end() && evicted < count; it = next) {
+            next = std::next(it);
+            if (now - it->phase_since < rested) break;
+            evicted += end(it);
         }
     };
-    // Those that end by themselves within a moment make room as well.
-    from(leaving, Duration{}, [&](Place at) {
-        if (now - at->since >= lingers) close(at);
+    // Connections that will end by themselves within a moment count as well.
+    evict_from(lingering, Duration{}, [&](ConnectionIterator it) {
+        if (now - it->phase_since >= lingering_before_eviction) close_connection(it);
         return true;
     });
-    // Who has never said anything goes at once: nothing that a reset could take was ever sent there.
-    from(asking, asks_within, [&](Place at) {
-        if (asks(at)) return false;
-        close(at);
+    // A connection that has never sent anything is closed at once: nothing was sent to it that a reset
+    // could lose.
+    evict_from(reading_request, silent_before_eviction, [&](ConnectionIterator it) {
+        if (has_request_bytes(it)) return false;
+        close_connection(it);
         return true;
     });
-    from(resting, may_rest, [&](Place at) {
-        if (asks(at)) return false;
-        close_lingering(at);
+    evict_from(idle, idle_before_eviction, [&](ConnectionIterator it) {
+        if (has_request_bytes(it)) return false;
+        close_lingering(it);
         return true;
     });
-    // Also what has begun. Guards against half requests by hundreds, which would keep all others out.
-    from(asking, asks_within, [&](Place at) {
-        if (!at->reader.has_started() || shows(bufferevent_getfd(at->stream.get()), POLLIN)) return false;
-        refuse(at, 408, "the request took too long");
+    // Incomplete requests too: hundreds of them would keep all other callers out.
+    evict_from(reading_request, silent_before_eviction, [&](ConnectionIterator it) {
+        if (!it->reader.has_started() || has_poll_event(bufferevent_getfd(it->stream.get()), POLLIN))
+            return false;
+        reject(it, 408, "the request took too long");
         return true;
     });
-    return made;
+    return evicted;
 }
 
 }  // namespace firtide::net
--- a/src/net/downstream_server.h
+++ b/src/net/downstream_server.h
@@ -1,6 +1,6 @@
-// The side that callers see: takes requests in, answers them, and notices who leaves. On the listener and
-// bufferevents, not on evhttp's server: that one tells nothing of a connection before its first whole
-// request, so that a slow one has no end and a body cannot be refused early.
+// The server for callers: reads requests, sends responses and detects disconnects. Built on the listener
+// and bufferevents, not on evhttp's server: that reports nothing about a connection before its first
+// complete request, so that a slow one could not be timed out, nor a body refused early.
 #pragma once
 
 #include <event2/listener.h>
@@ -20,78 +20,88 @@
 class DownstreamServer
 {
   public:
-    // Where its room is full nobody is let in until some is made. ready: whether `GET /-/ready` is to be
-    // answered 200. crowded: called when no descriptor is left.
-    DownstreamServer(event_base* base, const Config& config, ConnectionBudget room,
-                     std::function<bool()> ready, std::function<void()> crowded,
-                     std::function<void(Event)> tell);
+    // While the budget is used up, no connection is accepted. ready: whether `GET /-/ready` is answered
+    // with 200. on_descriptors_exhausted: called when a connection cannot be accepted because no descriptor
+    // is left.
+    DownstreamServer(event_base* base, const Config& config, ConnectionBudget budget,
+                     std::function<bool()> ready, std::function<void()> on_descriptors_exhausted,
+                     std::function<void(Event)> post_event);
     ~DownstreamServer();
 
     void answer(const SendResponse& answer);
-    void pass(SendResponseChunk& pass);
-    void cut(RequestId caller);
-    void hear(const SetRequestReading& hear);
-    bool someone_waits() const;  // to be accepted
+    void send_chunk(SendResponseChunk& chunk);
+    void abort_response(RequestId caller);
+    void set_request_reading(const SetRequestReading& reading);
+    bool has_pending_connections() const;
     void stop_listening();
-    // Those at rest, and those that have connected and said nothing, for so long.
-    void close_idle(Duration rested, Duration silent);
-    // Of those that have begun a request and not ended it each gets its answer now.
-    void end_begun();
-    // Ends what rests longest, at most so many; nobody who has just come or just been answered. How many have
-    // gone or go within a moment.
-    size_t make_room(size_t count);
-    size_t open() const;
-    bool telling_any() const { return !in_[telling].empty(); }
-    void share(size_t processes);  // what this balancer may have
+    // Closes the connections that have been idle for `idle_for`, and those that have sent nothing since
+    // they connected `silent_for` ago.
+    void close_idle(Duration idle_for, Duration silent_for);
+    // Answers every request that has begun and is not complete, with 408.
+    void reject_incomplete_requests();
+    // Closes at most `count` connections, in each phase the oldest first, but none that has just connected
+    // or just been answered. Returns how many are closed or will close within a moment.
+    size_t evict(size_t count);
+    size_t open_connections() const;
+    bool is_sending() const { return !connections_[sending_response].empty(); }
+    void set_process_count(size_t process_count);  // divides the limits of this balancer
 
   private:
     struct Connection;
-    using Place = std::list<Connection>::iterator;
-    // Asking: has connected or begun a request. Bringing: more of one that is passed on already. Resting:
-    // between requests. Telling: is given an answer. Leaving: its sending side is shut, or will be once what
-    // is due has come; what it still says is read and goes nowhere.
-    enum Phase { asking, bringing, resting, waiting, telling, leaving, phases };
+    using ConnectionIterator = std::list<Connection>::iterator;
+    // reading_request: has connected, or has begun a request. streaming_request: sends more of a request
+    // that is already forwarded. idle: between requests. lingering: our sending side is shut, or will be
+    // once the rest of the request has come; further input is discarded.
+    enum Phase {
+        reading_request,
+        streaming_request,
+        idle,
+        awaiting_response,
+        sending_response,
+        lingering,
+        phase_count
+    };
 
-    static void accepted(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self);
+    static void on_accept(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self);
     void listen(const Address& address);
-    void take_over(int fd);
-    void heed_errors();
-    void pause_listening();
-    void accept(int fd);
-    void enter(Place at, Phase phase);
-    void readable(Place at);
-    void request_received(Place at, bool more);
-    void body_piece_received(Place at, bool last);
-    Duration unread(Place at) const;
-    void refuse(Place at, int status, const char* why);
-    void reply(Place at, const Response& response, bool last);
-    void written(Place at);
-    void close_lingering(Place at);
-    bool asks(Place at) const;
-    bool still_listens(Place at);
-    void look_for_closed();
-    void ended(Place at);
-    void close(Place at);
-    void hold(Connection& c, size_t bytes);
-    void look();
+    void adopt_listener(int fd);
+    void set_error_callback();
+    void pause_accepting();
+    void add_connection(int fd);
+    void enter_phase(ConnectionIterator it, Phase phase);
+    void on_readable(ConnectionIterator it);
+    void on_request(ConnectionIterator it, bool more);
+    void on_body_chunk(ConnectionIterator it, bool last);
+    Duration unread_time(ConnectionIterator it) const;
+    void reject(ConnectionIterator it, int status, const char* why);
+    void send_response(ConnectionIterator it, const Response& response, bool last);
+    void on_written(ConnectionIterator it);
+    void close_lingering(ConnectionIterator it);
+    bool has_request_bytes(ConnectionIterator it) const;
+    bool handle_half_close(ConnectionIterator it);
+    void detect_closed_callers();
+    void on_disconnect(ConnectionIterator it);
+    void close_connection(ConnectionIterator it);
+    void reserve_body_memory(Connection& c, size_t bytes);
+    void check_connections();
 
     event_base* base_;
     const Config& config_;
-    ConnectionBudget room_;
-    size_t most_held_;
-    size_t held_ = 0;  // bytes of bodies, taken in or promised
+    ConnectionBudget budget_;
+    size_t max_body_memory_;
+    size_t body_memory_ = 0;  // bytes of bodies, received or announced
     std::function<bool()> ready_;
-    std::function<void()> crowded_;
-    std::function<void(Event)> tell_;
+    std::function<void()> on_descriptors_exhausted_;
+    std::function<void(Event)> post_event_;
     std::unique_ptr<evconnlistener, FreeWith<evconnlistener_free>> listener_;
-    bool paused_ = false, before_ready_ = false;
-    TimePoint told_;  // of no room, in the log
-    EventPtr look_;
-    TimePoint looked_;
-    bool waits_for_bytes_ = false;  // since the last look, after a stall
-    RequestId next_ = 1;
-    std::array<std::list<Connection>, phases> in_;  // each: the longest in its phase first
-    std::unordered_map<RequestId, Place> waiting_;
+    bool accepting_paused_ = false, waits_until_ready_ = false;
+    TimePoint warned_at_;  // of the used-up budget, in the log
+    EventPtr check_timer_;
+    TimePoint last_check_;
+    bool skipped_check_ = false;  // the last check was skipped, after a stall
+    RequestId next_request_id_ = 1;
+    std::array<std::list<Connection>, phase_count> connections_;  // in each, the longest in its phase first
+    std::unordered_map<RequestId, ConnectionIterator> connection_of_;
 };
 
 }  // namespace firtide::net
--- a/src/net/fleet_command.cpp
+++ b/src/net/fleet_command.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-// A command's name, an older one that still works, the name that members know it by, and how many arguments
-// it takes.
+// A command's name, its former name, which still works, the name that members use among themselves, and how
+// many arguments it takes.
 struct Command {
     std::string_view name, alias, request;
     size_t min_arguments = 0, max_arguments = 0;
--- a/src/net/fleet_command.h
+++ b/src/net/fleet_command.h
@@ -1,4 +1,4 @@
-// Operators' commands about the fleet, as they come at the admin address. No I/O.
+// Decodes operators' fleet commands, as received at the management address. No I/O.
 #pragma once
 
 #include <optional>
@@ -10,9 +10,9 @@
 namespace firtide::net
 {
 
-// The words of a line: show-fleet, show-recovery, transfer-duty DUTY [ID], add-voter ID, remove-voter ID,
-// drain permit. The older names hand-over, let-in, put-out and drain turn mean the same. Nothing where it is
-// no such command.
+// Decodes the words of a line: show-fleet, show-recovery, transfer-duty DUTY [ID], add-voter ID,
+// remove-voter ID, drain permit. The former names hand-over, let-in, put-out and drain turn mean the same.
+// Returns nullopt for any other command.
 std::optional<fleet::AdminRequest> decode_fleet_command(uint64_t caller,
                                                         const std::vector<std::string>& words);
 
--- a/src/net/hot_restart.h
+++ b/src/net/hot_restart.h
@@ -1,6 +1,6 @@
-// What the two processes of one upgrade tell each other: that they are there. Each holds a lock on a file of
-// its own in a folder that both see; the lock ends with its process, so that a file which is left over,
-// foreign or cut says nothing.
+// Lets the two processes of a hot restart detect each other. Each holds a lock on a file of its own in a
+// folder that both see. The lock ends with its process, so that a leftover, foreign or truncated file has
+// no effect.
 #pragma once
 
 #include <string>
@@ -13,17 +13,17 @@
 class HotRestart
 {
   public:
-    // Where the folder cannot be used, each process is on its own.
+    // If the folder cannot be used, the processes do not detect each other.
     explicit HotRestart(std::string folder);
     ~HotRestart();
     HotRestart(const HotRestart&) = delete;
     HotRestart& operator=(const HotRestart&) = delete;
 
-    bool another_runs() const;
+    bool another_process_runs() const;
 
   private:
-    std::string folder_, own_;
-    Descriptor lock_;
+    std::string folder_, own_path_;
+    Descriptor lock_file_;
 };
 
 }  // namespace firtide::net
--- a/src/net/service.cpp
+++ b/src/net/service.cpp
@@ -13,105 +13,116 @@
 namespace
 {
 
-constexpr Duration accept_on = seconds(0.5);    // after SIGTERM: callers go on coming for a moment
-constexpr Duration last_word = seconds(0.15);   // for callers to read the answers of the last moment
-constexpr Duration look_every = seconds(0.02);  // whether all is answered
-constexpr Duration count_every = seconds(0.2);  // processes of this balancer
-// While others serve the same callers: who has been at rest this long hardly asks just now, and who has come
-// and said nothing yet will hardly do so.
-constexpr Duration rested = seconds(0.3), silent = seconds(1);
-constexpr Duration tell_every = seconds(1);  // of the same trouble in the log
-constexpr const char* no_peers =
-    "settings.policy_limits.peers: messages are not carried on sockets; serving without";
-constexpr Duration pass_on_every = seconds(0.2);  // what probes of the fleet found
-constexpr size_t most_stamps = 256;
-constexpr Duration tick_every = seconds(0.1);  // of what the balancer tells its fleet
-constexpr size_t kept_back = 48;  // descriptors for the loop, the log, discovery, the listener and management
-// Of the others, at most; together more than all, for either may need the room that the other leaves.
-constexpr double part_of_upstreams = 0.4, part_of_callers = 0.85;
-
-EventBasePtr make_base()
+// After SIGTERM, since callers keep connecting for a moment.
+constexpr Duration accept_after_stop = seconds(0.5);
+constexpr Duration last_response_grace = seconds(0.15);    // for callers to read the last responses
+constexpr Duration check_interval = seconds(0.02);         // of idle connections, and whether all is answered
+constexpr Duration process_count_interval = seconds(0.2);  // of the processes of this balancer
+// Used while others serve the same callers: a connection that has been idle this long is unlikely to send a
+// request just now, and one that has sent nothing since it connected is unlikely to do so at all.
+constexpr Duration idle_before_close = seconds(0.3), silent_before_close = seconds(1);
+constexpr Duration warning_interval = seconds(1);  // of the same problem, in the log
+constexpr const char* peer_messages_unsupported =
+    "settings.policy_limits.peers: messages to other balancers are not supported; serving without them";
+constexpr Duration probe_report_interval = seconds(0.2);  // of the results of duty probes
+constexpr size_t max_duty_probes = 256;
+constexpr Duration tick_interval = seconds(0.1);  // of what the balancer reports to its fleet
+constexpr size_t reserved_descriptors =
+    48;  // for the loop, the log, discovery, the listener and the management address
+// Largest share of the other descriptors. Together they exceed 1, because either side may use what the
+// other leaves free.
+constexpr double upstream_share = 0.4, caller_share = 0.85;
+
+EventBasePtr make_event_base()
 {
-    // Guards against an operator who waits behind all that callers have sent meanwhile.
+    // Limits how many events run in a row, so that an operator does not wait behind all that callers have
+    // sent.
     const std::unique_ptr<event_config, FreeWith<event_config_free>> config(event_config_new());
     const auto between = to_timeval(seconds(0.005));
     event_config_set_max_dispatch_interval(config.get(), &between, 16, 1);
     EventBasePtr base(event_base_new_with_config(config.get()));
-    if (!base || event_base_priority_init(base.get(), 2) != 0) throw std::runtime_error("no event loop");
+    if (!base || event_base_priority_init(base.get(), 2) != 0)
+        throw std::runtime_error("cannot create the event loop");
     return base;
 }
 
-TimePoint epoch()
+TimePoint unix_epoch()
 {
     using namespace std::chrono;
     const auto unix_now = duration_cast<microseconds>(system_clock::now().time_since_epoch()).count();
     return monotonic_now() - Duration{unix_now};
 }
 
-// Descriptors that callers and upstreams may have: the smaller of what the configuration and the system
-// allow. Those of the fleet come besides.
-size_t descriptors(size_t allowed, size_t of_fleet)
+// Descriptors for callers and upstreams: the smaller of what the configuration and the system allow. Those
+// of the fleet are extra.
+size_t usable_descriptors(size_t allowed, size_t reserved_for_fleet)
 {
     rlimit limit{};
     if (getrlimit(RLIMIT_NOFILE, &limit) == 0) {
-        limit.rlim_cur = std::min<rlim_t>(limit.rlim_max, allowed + of_fleet);
+        limit.rlim_cur = std::min<rlim_t>(limit.rlim_max, allowed + reserved_for_fleet);
         setrlimit(RLIMIT_NOFILE, &limit);
-        allowed = std::min<size_t>(allowed, limit.rlim_cur - std::min<rlim_t>(limit.rlim_cur / 2, of_fleet));
+        allowed = std::min<size_t>(allowed,
+                                   limit.rlim_cur - std::min<rlim_t>(limit.rlim_cur / 2, reserved_for_fleet));
     }
-    return allowed > 2 * kept_back ? allowed - kept_back : allowed / 2;
+    return allowed > 2 * reserved_descriptors ? allowed - reserved_descriptors : allowed / 2;
 }
 
-// One way each to and from every member, the folder and the log, at the most.
-size_t descriptors_of(const std::optional<std::pair<fleet::FleetConfig, std::string>>& fleet)
+// At most a connection to and from every member, the folder and the log.
+size_t fleet_descriptors(const std::optional<std::pair<fleet::FleetConfig, std::string>>& fleet)
 {
     return fleet ? fleet->first.members.size() * 3 + fleet->first.duties.size() + 32 : 0;
 }
 
-// Where one balancer probes for all, none does for itself.
-Config in_fleet(Config config, const fleet::FleetConfig* fleet)
+// If one balancer probes for the whole fleet, none probes for itself.
+Config adapt_to_fleet(Config config, const fleet::FleetConfig* fleet)
 {
     if (fleet && fleet->probe) config.service_config.settings.may_probe = false;
     return config;
 }
 
 template <class F>
-struct Once {
-    F what;
+struct OneShotCallback {
+    F callback;
     static void run(evutil_socket_t, short, void* arg)
     {
-        const std::unique_ptr<Once> self(static_cast<Once*>(arg));
-        self->what();
+        const std::unique_ptr<OneShotCallback> self(static_cast<OneShotCallback*>(arg));
+        self->callback();
     }
 };
 
 }  // namespace
 
-size_t Service::part(double of) const { return static_cast<size_t>(static_cast<double>(descriptors_) * of); }
+size_t Service::descriptor_share(double part) const
+{
+    return static_cast<size_t>(static_cast<double>(descriptors_) * part);
+}
 
-Service::Service(Config config, std::function<Config()> read_again,
+Service::Service(Config config, std::function<Config()> reload_config,
                  std::optional<std::pair<fleet::FleetConfig, std::string>> fleet)
-    : config_(in_fleet(std::move(config), fleet ? &fleet->first : nullptr)),
-      read_again_(std::move(read_again)),
-      epoch_(epoch()),
-      descriptors_(descriptors(config_.descriptors, descriptors_of(fleet))),
-      base_(make_base()),
-      reducer_(config_.service_config, config_.seed, to_string(config_.discovery), config_.bodies),
+    : config_(adapt_to_fleet(std::move(config), fleet ? &fleet->first : nullptr)),
+      reload_config_(std::move(reload_config)),
+      epoch_(unix_epoch()),
+      descriptors_(usable_descriptors(config_.max_descriptors, fleet_descriptors(fleet))),
+      base_(make_event_base()),
+      reducer_(config_.service_config, config_.seed, to_string(config_.discovery), config_.max_body_memory),
       upstreams_(base_.get(), config_.service_config,
-                 ConnectionBudget(part(part_of_upstreams), descriptors_, [this] { return callers_.open(); }),
+                 ConnectionBudget(descriptor_share(upstream_share), descriptors_,
+                                  [this] { return downstream_.open_connections(); }),
                  [this](Event e) { post(std::move(e)); }),
       discovery_(base_.get(), config_, epoch_, [this](Event e) { post(std::move(e)); }),
-      callers_(
+      downstream_(
           base_.get(), config_,
-          ConnectionBudget(part(part_of_callers), descriptors_, [this] { return upstreams_.open(); }),
-          [this] { return reducer_.ready(); }, [this] { make_room(); },
+          ConnectionBudget(descriptor_share(caller_share), descriptors_,
+                           [this] { return upstreams_.open_connections(); }),
+          [this] { return reducer_.ready(); }, [this] { free_descriptors(); },
           [this](Event e) { post(std::move(e)); })
 {
     std::signal(SIGPIPE, SIG_IGN);
-    if (!config_.shared_folder.empty()) handover_.emplace(config_.shared_folder);
+    if (!config_.shared_folder.empty()) hot_restart_.emplace(config_.shared_folder);
     if (config_.management)
-        management_.emplace(base_.get(), *config_.management, [this](Event e) {
-            const auto* ordered = std::get_if<AdminCommandReceived>(&e);
-            if (fleet_ && ordered && ordered->command == AdminCommand::resume)
+        admin_.emplace(base_.get(), *config_.management, [this](Event e) {
+            const auto* received = std::get_if<AdminCommandReceived>(&e);
+            if (fleet_ && received && received->command == AdminCommand::resume)
                 fleet_->notify(fleet::AdminRequest{0, fleet::return_drain_permit, "", ""});
             post(std::move(e));
         });
@@ -122,33 +133,38 @@
             reducer_.join_fleet(
                 {file.subset, file.signals, file.turns, file.members[file.self].key, 0, {}, 0.1});
         fleet_.emplace(base_.get(), std::move(fleet->first), fleet->second, hooks());
-        if (shares_list()) tell_lists_to_fleet();
-        if (management_)
-            management_->fleet_orders(
-                [this](AdminConnectionId caller, const auto& words) { return ordered(caller, words); },
+        if (shares_list()) report_lists_to_fleet();
+        if (admin_)
+            admin_->set_fleet_command_handler(
+                [this](AdminConnectionId caller, const auto& words) {
+                    return handle_fleet_command(caller, words);
+                },
                 [this](AdminConnectionId caller) { fleet_->notify(fleet::AdminDisconnected{caller}); });
     }
-    look_.reset(event_new(
+    periodic_timer_.reset(event_new(
         base_.get(), -1, EV_PERSIST,
-        [](evutil_socket_t, short, void* self) { static_cast<Service*>(self)->look(); }, this));
-    const auto every = to_timeval(look_every);
-    event_add(look_.get(), &every);
-    const auto stop = [](evutil_socket_t, short, void* self) { static_cast<Service*>(self)->stop(); };
-    on_signal(SIGTERM, stop);
-    on_signal(SIGINT, stop);
-    if (read_again_)
-        on_signal(SIGHUP, [](evutil_socket_t, short, void* self) { static_cast<Service*>(self)->reread(); });
+        [](evutil_socket_t, short, void* self) { static_cast<Service*>(self)->on_timer(); }, this));
+    const auto every = to_timeval(check_interval);
+    event_add(periodic_timer_.get(), &every);
+    const auto stop = [](evutil_socket_t, short, void* self) {
+        static_cast<Service*>(self)->start_shutdown();
+    };
+    add_signal_handler(SIGTERM, stop);
+    add_signal_handler(SIGINT, stop);
+    if (reload_config_)
+        add_signal_handler(SIGHUP,
+                           [](evutil_socket_t, short, void* self) { static_cast<Service*>(self)->reload(); });
 }
 
-void Service::on_signal(int number, void (*what)(evutil_socket_t, short, void*))
+void Service::add_signal_handler(int number, void (*what)(evutil_socket_t, short, void*))
 {
-    signals_.emplace_back(evsignal_new(base_.get(), number, what, this));
-    event_add(signals_.back().get(), nullptr);
+    signal_events_.emplace_back(evsignal_new(base_.get(), number, what, this));
+    event_add(signal_events_.back().get(), nullptr);
 }
 
 Service::~Service() = default;
 
-void Service::tell_lists_to_fleet()
+void Service::report_lists_to_fleet()
 {
     if (fleet_->config().deltas)
         return discovery_.set_entries_callback([this](uint64_t version, auto lines, auto uids) {
@@ -161,12 +177,12 @@
     });
 }
 
-// What the fleet asks of this balancer.
+// Callbacks through which the fleet acts on this balancer.
 fleet::Host::Hooks Service::hooks()
 {
     fleet::Host::Hooks h;
     h.reply = [this](uint64_t caller, const std::string& text) {
-        if (management_) management_->answer(caller, text);
+        if (admin_) admin_->answer(caller, text);
     };
     h.start_drain = [this] { post(AdminCommandReceived{0, AdminCommand::drain}); };
     h.end_drain = [this] { post(AdminCommandReceived{0, AdminCommand::resume}); };
@@ -180,10 +196,10 @@
         spdlog::debug("fleet list {} in force at boot_us {}", list.version, fleet::fleet_now().us);
     };
     h.start_probes = [this](const fleet::StartProbes& now, const std::string& duty, fleet::Epoch epoch) {
-        stamps_[next_stamp_] = {duty, epoch};
-        while (stamps_.size() > most_stamps) stamps_.erase(stamps_.begin());
+        duty_probes_[next_fencing_token_] = {duty, epoch};
+        while (duty_probes_.size() > max_duty_probes) duty_probes_.erase(duty_probes_.begin());
         post(ProbesDue{now.part, fleet_->config().probe->parts, now.slice, fleet::probe_slices,
-                       next_stamp_++});
+                       next_fencing_token_++});
     };
     h.apply_fleet_state = [this](const fleet::ApplyFleetState& uses) { post(FleetStateUpdated{uses.state}); };
     h.apply_snapshot = [this](fleet::ApplySnapshot& uses) {
@@ -200,7 +216,8 @@
         post(OutlierReportsUpdated{std::move(uses.verdicts)});
     };
     h.apply_quotas = [this](fleet::ApplyQuotas& uses) {
-        // Of the fleet's clock, which also counts what the machine was suspended for, to the loop's.
+        // Converts from the fleet's clock, which also counts time while the machine was suspended, to the
+        // loop's.
         const Duration apart = monotonic_now() - fleet::fleet_now();
         for (fleet::QuotaLease& p : uses.leases)
             p.full_rate_until = p.full_rate_until + apart, p.expires_at = p.expires_at + apart;
@@ -214,40 +231,41 @@
     return h;
 }
 
-// What leaves for a duty authorize the fleet's gate once more, right before its bytes: getting a connection
-// takes time.
-void Service::carry_out(const WriteUpstream& write)
+// A write for a duty is authorized by the fleet once more, right before its bytes leave, because getting a
+// connection takes time.
+void Service::execute(const WriteUpstream& write)
 {
-    const auto at = stamps_.find(write.fencing_token);
+    const auto found = duty_probes_.find(write.fencing_token);
     if (!write.fencing_token ||
-        (at != stamps_.end() && fleet_->authorize(at->second.duty, at->second.epoch, fleet::probe_duration)))
+        (found != duty_probes_.end() &&
+         fleet_->authorize(found->second.duty, found->second.epoch, fleet::probe_duration)))
         return upstreams_.write(write);
-    upstreams_.hang_up(write.attempt);
+    upstreams_.abandon(write.attempt);
     post(AttemptFailed{write.attempt, {AttemptProgress::not_connected, FailureCause::no_descriptor}});
 }
 
-void Service::carry_out(ProbeCompleted& probed)
+void Service::execute(ProbeCompleted& probed)
 {
-    const auto at = stamps_.find(probed.fencing_token);
-    if (at == stamps_.end()) return;
-    auto& [epoch, reports] = found_[at->second.duty];
-    if (epoch != at->second.epoch) reports.clear();
-    epoch = at->second.epoch;
+    const auto found = duty_probes_.find(probed.fencing_token);
+    if (found == duty_probes_.end()) return;
+    auto& [epoch, reports] = probe_reports_[found->second.duty];
+    if (epoch != found->second.epoch) reports.clear();
+    epoch = found->second.epoch;
     reports.push_back({std::move(probed.uid), probed.success, std::move(probed.load_report)});
 }
 
-// Several at a time: each goes over every link of the fleet.
-void Service::pass_on_probes()
+// Reports several results at a time, because each report goes over every link of the fleet.
+void Service::report_probes()
 {
     const TimePoint now = monotonic_now();
-    if (found_.empty() || now - passed_on_ < pass_on_every) return;
-    passed_on_ = now;
-    for (auto& [duty, found] : std::exchange(found_, {}))
-        fleet_->notify(fleet::ProbesCompleted{duty, found.first, fleet::pack(found.second)});
+    if (probe_reports_.empty() || now - probes_reported_at_ < probe_report_interval) return;
+    probes_reported_at_ = now;
+    for (auto& [duty, reports] : std::exchange(probe_reports_, {}))
+        fleet_->notify(fleet::ProbesCompleted{duty, reports.first, fleet::pack(reports.second)});
 }
 
-// Returns false where it is no command about the fleet.
-bool Service::ordered(AdminConnectionId caller, const std::vector<std::string>& words)
+// Returns false if it is not a fleet command.
+bool Service::handle_fleet_command(AdminConnectionId caller, const std::vector<std::string>& words)
 {
     auto request = decode_fleet_command(caller, words);
     if (!request) return false;
@@ -255,18 +273,18 @@
     return true;
 }
 
-// No descriptor is left: what stands idle goes.
-void Service::make_room()
+// No descriptor is left: closes idle connections.
+void Service::free_descriptors()
 {
-    if (const auto now = monotonic_now(); now - told_of_no_room_ > tell_every) {
-        told_of_no_room_ = now;
-        spdlog::warn("no descriptor left: {} callers, {} upstream connections open", callers_.open(),
-                     upstreams_.open());
+    if (const auto now = monotonic_now(); now - descriptors_warned_at_ > warning_interval) {
+        descriptors_warned_at_ = now;
+        spdlog::warn("no descriptor left: {} callers, {} upstream connections open",
+                     downstream_.open_connections(), upstreams_.open_connections());
     }
-    if (callers_.make_room(16) == 0) upstreams_.close_oldest_idle(16);
+    if (downstream_.evict(16) == 0) upstreams_.close_oldest_idle(16);
 }
 
-// Events that come while effects are carried out wait for their turn.
+// Events that arrive while effects are executed are queued.
 void Service::post(Event event)
 {
     events_.push_back(std::move(event));
@@ -280,42 +298,44 @@
                           static_cast<int>(failed->error.progress), static_cast<int>(failed->error.cause));
         const auto* arrived = std::get_if<RequestReceived>(&next);
         const RequestId caller = arrived ? arrived->caller : 0;
-        // An exception costs the connection that it came up on, and no other.
+        // An exception ends the connection that it arose on, and no other.
         try {
             auto effects = reducer_.reduce(monotonic_now(), std::move(next));
-            for (Effect& effect : effects) carry_out(effect);
+            for (Effect& effect : effects) execute(effect);
         } catch (const std::exception& e) {
-            spdlog::error("an event could not be dealt with: {}", e.what());
-            if (caller) callers_.answer(SendResponse{caller, {500, false, {}, {}, "errored\n"}, true});
+            spdlog::error("an event could not be handled: {}", e.what());
+            if (caller) downstream_.answer(SendResponse{caller, {500, false, {}, {}, "errored\n"}, true});
         }
     }
     reducing_ = false;
 }
 
-void Service::carry_out(Effect& effect)
+void Service::execute(Effect& effect)
 {
-    if (auto* answer = std::get_if<SendResponse>(&effect)) return callers_.answer(*answer);
-    if (auto* obeyed = std::get_if<AdminCommandResult>(&effect)) return management_->answer(*obeyed);
-    if (auto* pass = std::get_if<SendResponseChunk>(&effect)) return callers_.pass(*pass);
-    if (auto* cut = std::get_if<AbortResponse>(&effect)) return callers_.cut(cut->caller);
-    if (auto* hear = std::get_if<SetRequestReading>(&effect)) return callers_.hear(*hear);
-    if (auto* limit = std::get_if<SetAttemptTimeout>(&effect)) return upstreams_.limit(*limit);
-    if (auto* read = std::get_if<SetResponseReading>(&effect)) return upstreams_.read(*read);
-    if (auto* dial = std::get_if<ConnectUpstream>(&effect)) return upstreams_.dial(*dial);
-    if (auto* write = std::get_if<WriteUpstream>(&effect)) return carry_out(*write);
-    if (auto* probed = std::get_if<ProbeCompleted>(&effect)) return carry_out(*probed);
+    if (auto* answer = std::get_if<SendResponse>(&effect)) return downstream_.answer(*answer);
+    if (auto* result = std::get_if<AdminCommandResult>(&effect)) return admin_->answer(*result);
+    if (auto* chunk = std::get_if<SendResponseChunk>(&effect)) return downstream_.send_chunk(*chunk);
+    if (auto* abort = std::get_if<AbortResponse>(&effect)) return downstream_.abort_response(abort->caller);
+    if (auto* reading = std::get_if<SetRequestReading>(&effect))
+        return downstream_.set_request_reading(*reading);
+    if (auto* timeout = std::get_if<SetAttemptTimeout>(&effect)) return upstreams_.set_timeout(*timeout);
+    if (auto* reading = std::get_if<SetResponseReading>(&effect))
+        return upstreams_.set_response_reading(*reading);
+    if (auto* connect = std::get_if<ConnectUpstream>(&effect)) return upstreams_.start_attempt(*connect);
+    if (auto* write = std::get_if<WriteUpstream>(&effect)) return execute(*write);
+    if (auto* probed = std::get_if<ProbeCompleted>(&effect)) return execute(*probed);
     if (auto* observed = std::get_if<LocalObservations>(&effect)) return fleet_->notify(std::move(*observed));
-    if (auto* up = std::get_if<CloseUpstream>(&effect)) return upstreams_.hang_up(up->attempt);
-    if (auto* back = std::get_if<CancelWrite>(&effect)) return upstreams_.withdraw(back->attempt);
+    if (auto* close = std::get_if<CloseUpstream>(&effect)) return upstreams_.abandon(close->attempt);
+    if (auto* cancel = std::get_if<CancelWrite>(&effect)) return upstreams_.cancel_write(cancel->attempt);
     if (auto* idle = std::get_if<CloseIdle>(&effect)) return upstreams_.close_idle(idle->upstream_id);
     if (std::get_if<WatchEndpointList>(&effect)) return shares_list() ? void() : discovery_.start_polling();
     if (auto* to = std::get_if<MoveEndpointWatch>(&effect))
         return discovery_.change_address(decode_address(to->discovery_address, "discovery"));
-    const auto wake = std::get<StartTimer>(effect);
-    const auto what = [this, name = wake.timer_id] { post(TimerFired{name}); };
-    const auto after = to_timeval(wake.at - monotonic_now());
-    event_base_once(base_.get(), -1, EV_TIMEOUT, Once<decltype(what)>::run, new Once<decltype(what)>{what},
-                    &after);
+    const auto timer = std::get<StartTimer>(effect);
+    const auto callback = [this, id = timer.timer_id] { post(TimerFired{id}); };
+    const auto after = to_timeval(timer.at - monotonic_now());
+    event_base_once(base_.get(), -1, EV_TIMEOUT, OneShotCallback<decltype(callback)>::run,
+                    new OneShotCallback<decltype(callback)>{callback}, &after);
 }
 
 void Service::run()
@@ -323,15 +343,15 @@
     spdlog::info("serving on {}:{}, tier {}, balancer {} of {}", config_.listen.host, config_.listen.port,
                  config_.service_config.settings.tier, config_.service_config.settings.self_index,
                  config_.service_config.settings.balancer_count);
-    if (config_.peers) spdlog::warn(no_peers);
+    if (config_.allows_peer_messages) spdlog::warn(peer_messages_unsupported);
     post(ServiceStarted{});
-    if (!config_.known.empty()) {
-        if (auto list = decode_list(config_.service_config, config_.known, epoch_)) {
+    if (!config_.known_list.empty()) {
+        if (auto list = decode_list(config_.service_config, config_.known_list, epoch_)) {
             post(EndpointListRestored{std::move(list->update.entries)});
             if (config_.service_config.settings.must_watch_endpoint_list && !shares_list())
                 discovery_.resume_from(list->version);
         } else
-            spdlog::warn("known: is no list of upstreams; starting without");
+            spdlog::warn("known: is no list of upstreams; starting without it");
     }
     if (fleet_) fleet_->start();
     if (!config_.service_config.settings.must_watch_endpoint_list && !shares_list())
@@ -340,25 +360,27 @@
     spdlog::info("stopped");
 }
 
-// SIGHUP. Guards against a file that is wrong or half there: all stays as it was.
-void Service::reread()
+// Handles SIGHUP. If the file is invalid or incomplete, nothing changes.
+void Service::reload()
 {
     try {
-        Config read = read_again_();
-        check_reloadable(config_, read);
-        const bool others = read.settings != std::exchange(config_.settings, read.settings);
-        spdlog::info("configuration read again{}", others ? ", new settings in force" : "");
-        if (read.peers) spdlog::warn(no_peers);
-        read = in_fleet(std::move(read), fleet_ ? &fleet_->config() : nullptr);
-        config_.discovery = read.discovery;
-        post(ConfigReloaded{to_string(read.discovery),
-                            others ? std::optional(std::move(read.service_config)) : std::nullopt});
+        Config new_config = reload_config_();
+        check_reloadable(config_, new_config);
+        const bool settings_changed =
+            new_config.settings_text != std::exchange(config_.settings_text, new_config.settings_text);
+        spdlog::info("configuration read again{}", settings_changed ? ", new settings in force" : "");
+        if (new_config.allows_peer_messages) spdlog::warn(peer_messages_unsupported);
+        new_config = adapt_to_fleet(std::move(new_config), fleet_ ? &fleet_->config() : nullptr);
+        config_.discovery = new_config.discovery;
+        post(ConfigReloaded{
+            to_string(new_config.discovery),
+            settings_changed ? std::optional(std::move(new_config.service_config)) : std::nullopt});
     } catch (const std::exception& e) {
         spdlog::error("configuration kept as it was: {}", e.what());
     }
 }
 
-void Service::stop()
+void Service::start_shutdown()
 {
     if (stopping_) return;
     stopping_ = true;
@@ -368,64 +390,66 @@
     if (fleet_) fleet_->notify(fleet::ShutdownRequested{});
     post(ShutdownStarted{config_.passed_socket.has_value()});
     if (config_.passed_socket) return stop_accepting();
-    stop_accepting_.reset(evtimer_new(
+    stop_accepting_timer_.reset(evtimer_new(
         base_.get(), [](evutil_socket_t, short, void* arg) { static_cast<Service*>(arg)->stop_accepting(); },
         this));
-    const auto on = to_timeval(accept_on);
-    event_add(stop_accepting_.get(), &on);
+    const auto on = to_timeval(accept_after_stop);
+    event_add(stop_accepting_timer_.get(), &on);
 }
 
-// Whoever the system has let in by now is still served; where the listening socket goes on without this
-// process, by the other one.
+// Connections that the system has already accepted are still served; if the listening socket is shared, by
+// the other process.
 void Service::stop_accepting()
 {
-    if (!config_.passed_socket && callers_.someone_waits()) {
-        const auto soon = to_timeval(look_every);
-        event_add(stop_accepting_.get(), &soon);
+    if (!config_.passed_socket && downstream_.has_pending_connections()) {
+        const auto soon = to_timeval(check_interval);
+        event_add(stop_accepting_timer_.get(), &soon);
         return;
     }
-    callers_.stop_listening();
+    downstream_.stop_listening();
     stopped_accepting_ = true;
 }
 
-// Two processes of one upgrade have half of what the balancer may have each.
-void Service::count_processes()
+// During a hot restart each of the two processes gets half of the balancer's limits.
+void Service::update_process_count()
 {
     const TimePoint now = monotonic_now();
-    if (!handover_ || now - counted_processes_ < count_every) return;
-    counted_processes_ = now;
-    const size_t processes = handover_->another_runs() ? 2 : 1;
+    if (!hot_restart_ || now - processes_counted_at_ < process_count_interval) return;
+    processes_counted_at_ = now;
+    const size_t processes = hot_restart_->another_process_runs() ? 2 : 1;
     if (std::exchange(processes_, processes) == processes) return;
     spdlog::info("{}", processes > 1 ? "another process of this balancer runs: half of memory and descriptors"
                                      : "the only process of this balancer: all of memory and descriptors");
     post(ProcessCountChanged{processes});
-    callers_.share(processes);
-    upstreams_.share(processes);
+    downstream_.set_process_count(processes);
+    upstreams_.set_process_count(processes);
 }
 
-// Who rests is closed while turned out; once stopped and done, the loop is left.
-void Service::look()
+// Closes idle connections while draining or stopping; once stopped and done, leaves the loop.
+void Service::on_timer()
 {
-    count_processes();
-    pass_on_probes();
-    if (fleet_ && monotonic_now() - ticked_ >= tick_every) {
-        ticked_ = monotonic_now();
+    update_process_count();
+    report_probes();
+    if (fleet_ && monotonic_now() - ticked_at_ >= tick_interval) {
+        ticked_at_ = monotonic_now();
         post(Tick{});
     }
-    // Guards against turning callers out while the next balancer of a rolling restart is not back yet: those
-    // that are here are served for as long as their answers can still come in time.
+    // In a rolling restart the next balancer may not be back yet: callers that are connected are served for
+    // as long as their responses can still come in time.
     if (!reducer_.should_close_connections(monotonic_now())) return;
-    const bool gentle = !stopping_ || config_.passed_socket;
-    callers_.close_idle(gentle ? rested : Duration{}, gentle ? silent : Duration{});
+    const bool others_serve = !stopping_ || config_.passed_socket;
+    downstream_.close_idle(others_serve ? idle_before_close : Duration{},
+                           others_serve ? silent_before_close : Duration{});
     if (!stopped_accepting_) return;
-    // Guards against a caller that stops within a request and would hold the whole restart up.
+    // A caller that stops within a request must not hold up the whole restart.
     const Duration since = monotonic_now() - stopping_since_, answers = reducer_.shutdown_response_time();
-    if (since >= answers) callers_.end_begun();
-    // Guards against leaving with the last answer handed to the loop and not yet to its caller, or read by
-    // nobody yet. What had come before the signal and has longer is seen to for as long as the process is let
-    // live.
-    if (reducer_.in_flight() > 0 || callers_.telling_any()) return;
-    if (callers_.open() == 0 || since > answers + last_word) event_base_loopbreak(base_.get());
+    if (since >= answers) downstream_.reject_incomplete_requests();
+    // Does not exit while the last response is still in the loop's buffers or not yet read by its caller.
+    // Requests that came before the signal and have more time are served for as long as the process is left
+    // running.
+    if (reducer_.in_flight() > 0 || downstream_.is_sending()) return;
+    if (downstream_.open_connections() == 0 || since > answers + last_response_grace)
+        event_base_loopbreak(base_.get());
 }
 
 }  // namespace firtide::net
--- a/src/net/service.h
+++ b/src/net/service.h
@@ -1,5 +1,5 @@
-// The loop: one thread that hands events to the reducer and carries out its effects. Embed it by giving it a
-// configuration and calling run().
+// The event loop: one thread that passes events to the reducer and executes its effects. To embed it,
+// construct it with a configuration and call run().
 #pragma once
 
 #include <deque>
@@ -17,67 +17,66 @@
 class Service
 {
   public:
-    // read_again: reads the configuration anew at SIGHUP, or throws; where there is none, SIGHUP is left
-    // alone.
-    // fleet: the file of the fleet that this balancer is a member of, and its path; where there is none,
-    // nothing of it exists.
-    explicit Service(Config config, std::function<Config()> read_again = {},
+    // reload_config: reads the configuration again at SIGHUP, or throws; if empty, SIGHUP is not handled.
+    // fleet: the fleet file of which this balancer is a member, and its path; without it, no fleet code
+    // runs.
+    explicit Service(Config config, std::function<Config()> reload_config = {},
                      std::optional<std::pair<fleet::FleetConfig, std::string>> fleet = {});
     ~Service();
 
-    // Serves until a SIGTERM or SIGINT has come and everything in flight is answered.
+    // Serves until SIGTERM or SIGINT, and then until everything in flight is answered.
     void run();
 
   private:
     void post(Event event);
-    void carry_out(Effect& effect);
-    void make_room();
-    void stop();
-    void reread();
-    void on_signal(int number, void (*what)(evutil_socket_t, short, void*));
+    void execute(Effect& effect);
+    void free_descriptors();
+    void start_shutdown();
+    void reload();
+    void add_signal_handler(int number, void (*what)(evutil_socket_t, short, void*));
     void stop_accepting();
-    size_t part(double of) const;  // of the descriptors
-    void look();
-    void count_processes();
+    size_t descriptor_share(double part) const;
+    void on_timer();
+    void update_process_count();
     fleet::Host::Hooks hooks();
-    void tell_lists_to_fleet();
+    void report_lists_to_fleet();
     bool shares_list() const { return fleet_ && fleet_->config().list; }
-    void carry_out(const WriteUpstream& write);
-    void carry_out(ProbeCompleted& probed);
-    void pass_on_probes();
-    bool ordered(AdminConnectionId caller, const std::vector<std::string>& words);
+    void execute(const WriteUpstream& write);
+    void execute(ProbeCompleted& probed);
+    void report_probes();
+    bool handle_fleet_command(AdminConnectionId caller, const std::vector<std::string>& words);
 
-    Config config_;  // its settings change with the reducer
-    const std::function<Config()> read_again_;
-    // The loop's time at Unix time zero, taken once: the same start of an upstream is the same point ever
-    // after.
+    Config config_;  // the reducer changes its settings
+    const std::function<Config()> reload_config_;
+    // The loop's time at Unix time zero, taken once, so that the start time of an upstream always maps to
+    // the same value.
     const TimePoint epoch_;
     const size_t descriptors_;  // for callers and upstreams together
     EventBasePtr base_;
     Reducer reducer_;
     UpstreamPool upstreams_;
     Discovery discovery_;
-    DownstreamServer callers_;
-    std::optional<AdminServer> management_;
+    DownstreamServer downstream_;
+    std::optional<AdminServer> admin_;
     std::optional<fleet::Host> fleet_;
-    // Probes of duties that are on their way, and what they found and is not passed on yet.
-    struct Stamp {
+    // Duty probes in flight, by fencing token, and results that have not been reported to the fleet yet.
+    struct DutyProbe {
         std::string duty;
         fleet::Epoch epoch = 0;
     };
-    std::map<uint64_t, Stamp> stamps_;
-    uint64_t next_stamp_ = 1;
-    std::map<std::string, std::pair<fleet::Epoch, std::vector<fleet::ProbeReport>>> found_;
-    TimePoint passed_on_, ticked_;
-    std::optional<HotRestart> handover_;
+    std::map<uint64_t, DutyProbe> duty_probes_;
+    uint64_t next_fencing_token_ = 1;
+    std::map<std::string, std::pair<fleet::Epoch, std::vector<fleet::ProbeReport>>> probe_reports_;
+    TimePoint probes_reported_at_, ticked_at_;
+    std::optional<HotRestart> hot_restart_;
     size_t processes_ = 1;  // of this balancer
-    TimePoint counted_processes_;
+    TimePoint processes_counted_at_;
     std::deque<Event> events_;
     bool reducing_ = false, stopping_ = false, stopped_accepting_ = false;
     TimePoint stopping_since_;
-    TimePoint told_of_no_room_;
-    std::vector<EventPtr> signals_;
-    EventPtr stop_accepting_, look_;
+    TimePoint descriptors_warned_at_;
+    std::vector<EventPtr> signal_events_;
+    EventPtr stop_accepting_timer_, periodic_timer_;
 };
 
 }  // namespace firtide::net
--- a/src/net/upstream_pool.cpp
+++ b/src/net/upstream_pool.cpp
@@ -16,19 +16,19 @@
 namespace
 {
 
-// An upstream closes idle connections at the settings' time; ours go clearly earlier, so that no request
-// crosses the close.
-constexpr double idle_part = 0.75;
-
-// An answer that has begun goes on within this. Guards against one whose head or body never ends: waiting for
-// more would use up the time that another forward needs.
-constexpr Duration goes_on_within = seconds(0.5);
-// The same where its caller has a part of it already, and for a request that is being sent: nothing is won by
-// haste.
-constexpr Duration moves_within = seconds(4);
-constexpr size_t read_at_once = 64 * 1024;
-
-// Guards against blaming an upstream for what this machine lacks.
+// An upstream closes idle connections after the configured time; ours are closed clearly earlier, so that
+// no request crosses the close.
+constexpr double idle_timeout_share = 0.75;
+
+// Longest gap within a response that has begun. Waiting for one whose head or body never ends would use up
+// the time that another forward needs.
+constexpr Duration response_gap_timeout = seconds(0.5);
+// The same where the caller already has part of the response, and for a request that is being sent: giving
+// up earlier would gain nothing.
+constexpr Duration streaming_gap_timeout = seconds(4);
+constexpr size_t body_read_watermark_bytes = 64 * 1024;
+
+// A lack of resources on this machine is not the upstream's fault.
 FailureCause cause_of(int error)
 {
     switch (error) {
@@ -43,131 +43,134 @@
 
 }  // namespace
 
-// Lives as long as the connection; what belongs to one request is in the attempt's part.
+// One connection, from connecting to close; the fields from `attempt` on belong to one request.
 struct UpstreamPool::Connection {
     explicit Connection(const ServiceConfig& setup) : reader(setup) {}
 
     UpstreamPool* owner = nullptr;
-    Place self;
+    ConnectionIterator self;
     UpstreamId upstream_id = 0;
     std::string endpoint;
     BuffereventPtr stream;
-    EventPtr connecting_until;
+    EventPtr connect_timer;
     bool connected = false;
 
     AttemptId attempt = 0;  // 0: idle
-    EventPtr waits_until;
-    TimePoint until;
-    bool looked_again = false;  // past its time, for what the kernel has and the loop has not seen
-    bool answering = false;
-    bool asked = false;                    // the request, or a part of it, was handed to the stream
-    size_t handed = 0;                     // bytes of the request, to the stream
-    bool more = false;                     // of the request is still to be handed over
-    bool passed_on = false, held = false;  // its answer, in pieces; and nobody takes them now
-    TimePoint rests_since;
+    EventPtr response_timer;
+    TimePoint deadline;
+    bool rechecked = false;  // after the timeout, for data that the kernel has and the loop has not read
+    bool response_begun = false;
+    bool request_begun = false;       // the request, or part of it, was passed to the stream
+    size_t request_bytes = 0;         // bytes of the request passed to the stream
+    bool request_incomplete = false;  // more of the request is to follow
+    bool streaming_response = false, reading_paused = false;  // the response is streamed; reading is paused
+    TimePoint idle_since;
     ResponseReader reader;
 
-    // "Written" is what the kernel took. What is handed to the stream waits there until the loop has looked
-    // for ends once more: after a stall, a request that meets one is known not to have left.
+    // "Written" means accepted by the kernel. Data passed to the stream waits there until the loop has
+    // checked once more for closed connections: after a stall, a request that meets a closed connection is
+    // known not to have been sent.
     AttemptProgress progress() const
     {
         if (!connected) return AttemptProgress::not_connected;
-        if (!asked || more || evbuffer_get_length(bufferevent_get_output(stream.get())) > 0)
+        if (!request_begun || request_incomplete ||
+            evbuffer_get_length(bufferevent_get_output(stream.get())) > 0)
             return AttemptProgress::partly_written;
         return reader.has_started() ? AttemptProgress::receiving_response : AttemptProgress::written;
     }
 };
 
-UpstreamPool::UpstreamPool(event_base* base, const ServiceConfig& setup, ConnectionBudget room,
-                           std::function<void(Event)> tell)
-    : base_(base), setup_(setup), room_(std::move(room)), tell_(std::move(tell))
+UpstreamPool::UpstreamPool(event_base* base, const ServiceConfig& setup, ConnectionBudget budget,
+                           std::function<void(Event)> post_event)
+    : base_(base), setup_(setup), budget_(std::move(budget)), post_event_(std::move(post_event))
 {
 }
 
 UpstreamPool::~UpstreamPool() = default;
 
-void UpstreamPool::share(size_t processes)
+void UpstreamPool::set_process_count(size_t process_count)
 {
-    room_.share(processes);
-    if (all_.size() > room_.own()) close_oldest_idle(all_.size() - room_.own());
+    budget_.set_process_count(process_count);
+    if (connections_.size() > budget_.limit()) close_oldest_idle(connections_.size() - budget_.limit());
 }
 
-void UpstreamPool::dial(const ConnectUpstream& dial)
+void UpstreamPool::start_attempt(const ConnectUpstream& connect)
 {
-    for (auto found = idle_.find(dial.upstream_id); found != idle_.end();
-         found = idle_.find(dial.upstream_id)) {
-        const Place at = found->second.back();
-        if (at->endpoint != dial.endpoint || !quiet(*at)) {
-            close(at);
+    for (auto found = idle_.find(connect.upstream_id); found != idle_.end();
+         found = idle_.find(connect.upstream_id)) {
+        const ConnectionIterator it = found->second.back();
+        if (it->endpoint != connect.endpoint || !is_quiet(*it)) {
+            close_connection(it);
             continue;
         }
-        take_from_rest(at);
-        bufferevent_set_timeouts(at->stream.get(), nullptr, nullptr);
-        serve(at, dial.attempt, dial.timeout);
-        return tell_(UpstreamConnected{dial.attempt});
+        remove_from_idle(it);
+        bufferevent_set_timeouts(it->stream.get(), nullptr, nullptr);
+        assign(it, connect.attempt, connect.timeout);
+        return post_event_(UpstreamConnected{connect.attempt});
     }
-    if (room_.full(open())) close_oldest_idle(1);
-    if (room_.full(open())) {
-        return tell_(
-            AttemptFailed{dial.attempt, {AttemptProgress::not_connected, FailureCause::no_descriptor}});
+    if (budget_.is_exhausted(open_connections())) close_oldest_idle(1);
+    if (budget_.is_exhausted(open_connections())) {
+        return post_event_(
+            AttemptFailed{connect.attempt, {AttemptProgress::not_connected, FailureCause::no_descriptor}});
     }
-    const Place at = connect(dial.upstream_id, dial.endpoint);
-    if (at == all_.end()) {
+    const ConnectionIterator it = open_connection(connect.upstream_id, connect.endpoint);
+    if (it == connections_.end()) {
         const auto cause = cause_of(errno);
         if (cause == FailureCause::no_descriptor) close_oldest_idle(8);
-        return tell_(AttemptFailed{dial.attempt, {AttemptProgress::not_connected, cause}});
+        return post_event_(AttemptFailed{connect.attempt, {AttemptProgress::not_connected, cause}});
     }
-    serve(at, dial.attempt, dial.timeout);
+    assign(it, connect.attempt, connect.timeout);
 }
 
-UpstreamPool::Place UpstreamPool::connect(UpstreamId upstream_id, const std::string& endpoint)
+UpstreamPool::ConnectionIterator UpstreamPool::open_connection(UpstreamId upstream_id,
+                                                               const std::string& endpoint)
 {
     sockaddr_storage address{};
     int length = sizeof address;
     errno = 0;
     if (evutil_parse_sockaddr_port(endpoint.c_str(), reinterpret_cast<sockaddr*>(&address), &length) != 0)
-        return all_.end();
+        return connections_.end();
     const int fd = socket(address.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    if (fd < 0) return all_.end();
+    if (fd < 0) return connections_.end();
     const int on = 1;
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-    all_.emplace_front(setup_);
-    const Place at = all_.begin();
-    at->owner = this;
-    at->self = at;
-    at->upstream_id = upstream_id;
-    at->endpoint = endpoint;
-    at->stream.reset(bufferevent_socket_new(base_, fd, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS));
+    connections_.emplace_front(setup_);
+    const ConnectionIterator it = connections_.begin();
+    it->owner = this;
+    it->self = it;
+    it->upstream_id = upstream_id;
+    it->endpoint = endpoint;
+    it->stream.reset(bufferevent_socket_new(base_, fd, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS));
     bufferevent_setcb(
-        at->stream.get(),
+        it->stream.get(),
         [](bufferevent*, void* arg) {
             auto* c = static_cast<Connection*>(arg);
-            c->owner->readable(c->self);
+            c->owner->on_readable(c->self);
         },
         [](bufferevent*, void* arg) {
             auto* c = static_cast<Connection*>(arg);
-            c->owner->written(c->self);
+            c->owner->on_written(c->self);
         },
         [](bufferevent*, short what, void* arg) {
             auto* c = static_cast<Connection*>(arg);
-            c->owner->ended(c->self, what);
+            c->owner->on_event(c->self, what);
         },
-        &*at);
-    bufferevent_setwatermark(at->stream.get(), EV_READ, 0, read_at_once);
-    bufferevent_enable(at->stream.get(), EV_READ | EV_WRITE);
-    at->connecting_until = give_up_after(*at, setup_.connect_timeout);
-    // A refusal that is known at once comes through the callback all the same.
-    bufferevent_socket_connect(at->stream.get(), reinterpret_cast<sockaddr*>(&address), length);
-    return at;
+        &*it);
+    bufferevent_setwatermark(it->stream.get(), EV_READ, 0, body_read_watermark_bytes);
+    bufferevent_enable(it->stream.get(), EV_READ | EV_WRITE);
+    it->connect_timer = make_timeout_timer(*it, setup_.connect_timeout);
+    // An immediate refusal is also reported through the callback.
+    bufferevent_socket_connect(it->stream.get(), reinterpret_cast<sockaddr*>(&address), length);
+    return it;
 }
 
-EventPtr UpstreamPool::give_up_after(Connection& c, Duration wait)
+EventPtr UpstreamPool::make_timeout_timer(Connection& c, Duration wait)
 {
     EventPtr timer(evtimer_new(
         base_,
         [](evutil_socket_t, short, void* arg) {
-            auto* late = static_cast<Connection*>(arg);
-            late->owner->late(late->self);
+            auto* connection = static_cast<Connection*>(arg);
+            connection->owner->on_timeout(connection->self);
         },
         &c));
     const auto after = to_timeval(wait);
@@ -175,140 +178,146 @@
     return timer;
 }
 
-void UpstreamPool::serve(Place at, AttemptId attempt, Duration limit)
+void UpstreamPool::assign(ConnectionIterator it, AttemptId attempt, Duration limit)
 {
-    at->attempt = attempt;
-    at->asked = at->more = at->answering = at->passed_on = at->held = at->looked_again = false;
-    at->handed = 0;
-    at->until = monotonic_now() + limit;
-    at->reader = ResponseReader(setup_);
-    of_attempt_[attempt] = at;
-    at->waits_until = give_up_after(*at, limit);
+    it->attempt = attempt;
+    it->request_begun = it->request_incomplete = it->response_begun = it->streaming_response =
+        it->reading_paused = it->rechecked = false;
+    it->request_bytes = 0;
+    it->deadline = monotonic_now() + limit;
+    it->reader = ResponseReader(setup_);
+    connection_of_[attempt] = it;
+    it->response_timer = make_timeout_timer(*it, limit);
 }
 
 void UpstreamPool::write(const WriteUpstream& write)
 {
-    const auto at = of_attempt_.find(write.attempt);
-    if (at == of_attempt_.end()) return;
-    const Place place = at->second;
-    place->asked = true;
-    place->more = write.request_incomplete;
-    place->handed += write.bytes.size();
-    bufferevent_write(place->stream.get(), write.bytes.data(), write.bytes.size());
-    // Guards against an upstream that does not read what is sent to it for longer than its caller sends.
-    if (write.request_incomplete) wait_for(place, moves_within);
+    const auto it = connection_of_.find(write.attempt);
+    if (it == connection_of_.end()) return;
+    const ConnectionIterator connection = it->second;
+    connection->request_begun = true;
+    connection->request_incomplete = write.request_incomplete;
+    connection->request_bytes += write.bytes.size();
+    bufferevent_write(connection->stream.get(), write.bytes.data(), write.bytes.size());
+    // Limits how long an upstream may leave the sent part of a request unread, even while its caller still
+    // sends.
+    if (write.request_incomplete) restart_timeout(connection, streaming_gap_timeout);
 }
 
-void UpstreamPool::wait_for(Place at, Duration wait)
+void UpstreamPool::restart_timeout(ConnectionIterator it, Duration wait)
 {
-    at->looked_again = false;
-    at->waits_until = give_up_after(*at, wait);
+    it->rechecked = false;
+    it->response_timer = make_timeout_timer(*it, wait);
 }
 
-void UpstreamPool::limit(const SetAttemptTimeout& limit)
+void UpstreamPool::set_timeout(const SetAttemptTimeout& change)
 {
-    const auto at = of_attempt_.find(limit.attempt);
-    if (at == of_attempt_.end() || at->second->answering) return;
-    at->second->until = monotonic_now() + limit.timeout;
-    wait_for(at->second, limit.timeout);
+    const auto it = connection_of_.find(change.attempt);
+    if (it == connection_of_.end() || it->second->response_begun) return;
+    it->second->deadline = monotonic_now() + change.timeout;
+    restart_timeout(it->second, change.timeout);
 }
 
-// Whoever takes the answer is slower than the upstream, or has caught up.
-void UpstreamPool::read(const SetResponseReading& read)
+// Pauses reading when the caller is slower than the upstream, and resumes once it has caught up.
+void UpstreamPool::set_response_reading(const SetResponseReading& reading)
 {
-    const auto found = of_attempt_.find(read.attempt);
-    if (found == of_attempt_.end()) return;
-    const Place at = found->second;
-    at->held = !read.enabled;
-    if (at->held) {
-        at->waits_until.reset();
-        bufferevent_disable(at->stream.get(), EV_READ);
+    const auto found = connection_of_.find(reading.attempt);
+    if (found == connection_of_.end()) return;
+    const ConnectionIterator it = found->second;
+    it->reading_paused = !reading.enabled;
+    if (it->reading_paused) {
+        it->response_timer.reset();
+        bufferevent_disable(it->stream.get(), EV_READ);
         return;
     }
-    wait_for(at, moves_within);
-    bufferevent_enable(at->stream.get(), EV_READ);
-    bufferevent_trigger(at->stream.get(), EV_READ, BEV_TRIG_IGNORE_WATERMARKS | BEV_TRIG_DEFER_CALLBACKS);
+    restart_timeout(it, streaming_gap_timeout);
+    bufferevent_enable(it->stream.get(), EV_READ);
+    bufferevent_trigger(it->stream.get(), EV_READ, BEV_TRIG_IGNORE_WATERMARKS | BEV_TRIG_DEFER_CALLBACKS);
 }
 
-// Gives an attempt up: what was begun on the connection can only be taken back by ending it.
-void UpstreamPool::hang_up(AttemptId attempt)
+// Abandons an attempt. A request that has begun can only be taken back by closing the connection.
+void UpstreamPool::abandon(AttemptId attempt)
 {
-    const auto at = of_attempt_.find(attempt);
-    if (at == of_attempt_.end()) return;
-    const Place place = at->second;
-    if (!place->connected || place->asked) return close(place);
-    of_attempt_.erase(at);
-    rest(place);
+    const auto it = connection_of_.find(attempt);
+    if (it == connection_of_.end()) return;
+    const ConnectionIterator connection = it->second;
+    if (!connection->connected || connection->request_begun) return close_connection(connection);
+    connection_of_.erase(it);
+    release_to_idle(connection);
 }
 
-void UpstreamPool::withdraw(AttemptId attempt)
+void UpstreamPool::cancel_write(AttemptId attempt)
 {
-    const auto at = of_attempt_.find(attempt);
-    if (at == of_attempt_.end() || !at->second->asked) return;  // the gate is asked again before its bytes
-    if (evbuffer_get_length(bufferevent_get_output(at->second->stream.get())) == at->second->handed)
-        fail(at->second, FailureCause::write_cancelled);
+    const auto it = connection_of_.find(attempt);
+    if (it == connection_of_.end() || !it->second->request_begun)
+        return;  // the reducer checks again before it writes
+    if (evbuffer_get_length(bufferevent_get_output(it->second->stream.get())) == it->second->request_bytes)
+        fail(it->second, FailureCause::write_cancelled);
 }
 
-void UpstreamPool::rest(Place at)
+void UpstreamPool::release_to_idle(ConnectionIterator it)
 {
-    at->attempt = 0;
-    at->waits_until.reset();
-    at->asked = at->more = at->passed_on = at->held = false;
-    at->reader = ResponseReader(setup_);
-    at->rests_since = monotonic_now();
-    const auto wait = to_timeval(setup_.upstream_idle_timeout * idle_part);
-    bufferevent_set_timeouts(at->stream.get(), &wait, nullptr);
-    idle_[at->upstream_id].push_back(at);
+    it->attempt = 0;
+    it->response_timer.reset();
+    it->request_begun = it->request_incomplete = it->streaming_response = it->reading_paused = false;
+    it->reader = ResponseReader(setup_);
+    it->idle_since = monotonic_now();
+    const auto wait = to_timeval(setup_.upstream_idle_timeout * idle_timeout_share);
+    bufferevent_set_timeouts(it->stream.get(), &wait, nullptr);
+    idle_[it->upstream_id].push_back(it);
 }
 
 void UpstreamPool::close_idle(UpstreamId upstream_id)
 {
-    for (auto at = idle_.find(upstream_id); at != idle_.end(); at = idle_.find(upstream_id))
-        close(at->second.back());
+    for (auto it = idle_.find(upstream_id); it != idle_.end(); it = idle_.find(upstream_id))
+        close_connection(it->second.back());
 }
 
 size_t UpstreamPool::close_oldest_idle(size_t count)
 {
-    std::vector<Place> resting;
-    for (Place at = all_.begin(); at != all_.end(); ++at)
-        if (at->attempt == 0) resting.push_back(at);
+    std::vector<ConnectionIterator> resting;
+    for (ConnectionIterator it = connections_.begin(); it != connections_.end(); ++it)
+        if (it->attempt == 0) resting.push_back(it);
     count = std::min(count, resting.size());
-    std::partial_sort(resting.begin(), resting.begin() + static_cast<ptrdiff_t>(count), resting.end(),
-                      [](Place a, Place b) { return a->rests_since < b->rests_since; });
-    for (size_t i = 0; i < count; ++i) close(resting[i]);
+    std::partial_sort(
+        resting.begin(), resting.begin() + static_cast<ptrdiff_t>(count), resting.end(),
+        [](ConnectionIterator a, ConnectionIterator b) { return a->idle_since < b->idle_since; });
+    for (size_t i = 0; i < count; ++i) close_connection(resting[i]);
     return count;
 }
 
-void UpstreamPool::fail(Place at, FailureCause cause)
+void UpstreamPool::fail(ConnectionIterator it, FailureCause cause)
 {
-    const auto attempt = at->attempt;
-    const ConnectionError broken{at->progress(), cause};
-    close(at);
-    if (attempt) tell_(AttemptFailed{attempt, broken});
+    const auto attempt = it->attempt;
+    const ConnectionError error{it->progress(), cause};
+    close_connection(it);
+    if (attempt) post_event_(AttemptFailed{attempt, error});
 }
 
-void UpstreamPool::close(Place at)
+void UpstreamPool::close_connection(ConnectionIterator it)
 {
-    if (at->attempt) {
-        of_attempt_.erase(at->attempt);
+    if (it->attempt) {
+        connection_of_.erase(it->attempt);
     } else {
-        take_from_rest(at);
+        remove_from_idle(it);
     }
-    all_.erase(at);
+    connections_.erase(it);
 }
 
-// Nothing is kept of an upstream that no connection rests at. Guards against growing with each that ever was.
-void UpstreamPool::take_from_rest(Place at)
+// Erases the entry of an upstream without idle connections, so that the map does not grow with every
+// upstream ever seen.
+void UpstreamPool::remove_from_idle(ConnectionIterator it)
 {
-    const auto resting = idle_.find(at->upstream_id);
+    const auto resting = idle_.find(it->upstream_id);
     if (resting == idle_.end()) return;
-    std::erase(resting->second, at);
+    std::erase(resting->second, it);
     if (resting->second.empty()) idle_.erase(resting);
 }
 
-// Guards against a second copy of the last answer, or the end of the connection, that has come and that the
-// loop has not seen yet: it would be taken for the answer to the next request.
-bool UpstreamPool::quiet(const Connection& c) const
+// Whether nothing has arrived on an idle connection. A second copy of the last response, or the end of the
+// connection, may have come without the loop having read it, and would be taken for the response to the
+// next request.
+bool UpstreamPool::is_quiet(const Connection& c) const
 {
     char byte;
     return evbuffer_get_length(bufferevent_get_input(c.stream.get())) == 0 &&
@@ -316,97 +325,101 @@
            (errno == EAGAIN || errno == EINTR);
 }
 
-// Time is up. Guards against blaming an upstream for a stall of this program: what has come meanwhile is
-// looked at first.
-void UpstreamPool::late(Place at)
+// Handles a timeout. After a stall of this process, what has come meanwhile is read before the upstream is
+// blamed.
+void UpstreamPool::on_timeout(ConnectionIterator it)
 {
-    pollfd seen{bufferevent_getfd(at->stream.get()),
-                static_cast<short>(at->connected ? POLLIN : POLLIN | POLLOUT), 0};
-    if (!at->looked_again && poll(&seen, 1, 0) > 0) {
-        at->looked_again = true;
-        auto& timer = at->connected ? at->waits_until : at->connecting_until;
+    pollfd seen{bufferevent_getfd(it->stream.get()),
+                static_cast<short>(it->connected ? POLLIN : POLLIN | POLLOUT), 0};
+    if (!it->rechecked && poll(&seen, 1, 0) > 0) {
+        it->rechecked = true;
+        auto& timer = it->connected ? it->response_timer : it->connect_timer;
         const auto soon = to_timeval(seconds(0.001));
         event_add(timer.get(), &soon);
         return;
     }
-    fail(at, at->answering ? FailureCause::invalid_response : FailureCause::timed_out);
+    fail(it, it->response_begun ? FailureCause::invalid_response : FailureCause::timed_out);
 }
 
-void UpstreamPool::readable(Place at)
+void UpstreamPool::on_readable(ConnectionIterator it)
 {
-    auto* input = bufferevent_get_input(at->stream.get());
+    auto* input = bufferevent_get_input(it->stream.get());
     const size_t size = evbuffer_get_length(input);
-    if (!at->attempt || !at->asked) {
-        if (size > 0) fail(at, FailureCause::invalid_response);  // an answer that nobody asked for
+    if (!it->attempt || !it->request_begun) {
+        if (size > 0) fail(it, FailureCause::invalid_response);  // an unsolicited response
         return;
     }
-    if (at->held || size == 0) return;
+    if (it->reading_paused || size == 0) return;
     const auto* bytes = reinterpret_cast<const char*>(evbuffer_pullup(input, -1));
-    const auto state = at->reader.parse({bytes, size});
-    const bool more = at->reader.consumed_bytes() < size;  // than belongs to the answer
+    const auto state = it->reader.parse({bytes, size});
+    const bool more = it->reader.consumed_bytes() < size;  // bytes than belong to the response
     evbuffer_drain(input, size);
-    if (state == ResponseReader::State::malformed) return fail(at, FailureCause::invalid_response);
-    if (state == ResponseReader::State::complete) return whole(at, more);
-    if (!at->reader.has_started()) return;
-    at->answering = true;
-    if (at->passed_on) {
-        wait_for(at, moves_within);
-        if (auto piece = at->reader.take_body(); !piece.empty())
-            tell_(ResponseChunkReceived{at->attempt, std::move(piece), false});
-    } else if (at->reader.content_length()
-                   ? at->reader.exceeds_buffer() && at->reader.body_bytes_received() > 0
-                   : at->reader.body_bytes_received() > max_buffered_unsized_bytes) {
-        // Guards against gathering an answer of no stated length, piece by piece, until its time is up.
-        at->passed_on = true;
-        wait_for(at, moves_within);
-        auto first = std::exchange(at->reader.response(), {});
+    if (state == ResponseReader::State::malformed) return fail(it, FailureCause::invalid_response);
+    if (state == ResponseReader::State::complete) return on_response_complete(it, more);
+    if (!it->reader.has_started()) return;
+    it->response_begun = true;
+    if (it->streaming_response) {
+        restart_timeout(it, streaming_gap_timeout);
+        if (auto piece = it->reader.take_body(); !piece.empty())
+            post_event_(ResponseChunkReceived{it->attempt, std::move(piece), false});
+    } else if (it->reader.content_length()
+                   ? it->reader.exceeds_buffer() && it->reader.body_bytes_received() > 0
+                   : it->reader.body_bytes_received() > max_buffered_unsized_bytes) {
+        // A response without a stated length is streamed too, rather than collected piece by piece until
+        // its timeout.
+        it->streaming_response = true;
+        restart_timeout(it, streaming_gap_timeout);
+        auto first = std::exchange(it->reader.response(), {});
         first.body_incomplete = true;
-        first.content_length = at->reader.content_length();
-        tell_(ResponseReceived{at->attempt, std::move(first)});
+        first.content_length = it->reader.content_length();
+        post_event_(ResponseReceived{it->attempt, std::move(first)});
     } else {
-        wait_for(at, std::min(goes_on_within, at->until - monotonic_now()));
+        restart_timeout(it, std::min(response_gap_timeout, it->deadline - monotonic_now()));
     }
 }
 
-void UpstreamPool::whole(Place at, bool more)
+void UpstreamPool::on_response_complete(ConnectionIterator it, bool more)
 {
-    const auto attempt = at->attempt;
-    const bool unwritten = at->more || evbuffer_get_length(bufferevent_get_output(at->stream.get())) > 0;
-    const bool passed_on = at->passed_on;
-    auto response = std::move(at->reader.response());
-    const bool keep = at->reader.keep_alive() && !unwritten && !more;
-    of_attempt_.erase(attempt);
+    const auto attempt = it->attempt;
+    const bool request_unwritten =
+        it->request_incomplete || evbuffer_get_length(bufferevent_get_output(it->stream.get())) > 0;
+    const bool streamed = it->streaming_response;
+    auto response = std::move(it->reader.response());
+    const bool keep = it->reader.keep_alive() && !request_unwritten && !more;
+    connection_of_.erase(attempt);
     if (keep)
-        rest(at);
+        release_to_idle(it);
     else
-        at->attempt = 0, close(at);
-    if (passed_on)
-        tell_(ResponseChunkReceived{attempt, std::move(response.body), true});
+        it->attempt = 0, close_connection(it);
+    if (streamed)
+        post_event_(ResponseChunkReceived{attempt, std::move(response.body), true});
     else
-        tell_(ResponseReceived{attempt, std::move(response)});
+        post_event_(ResponseReceived{attempt, std::move(response)});
 }
 
-// libevent also says so of a new connection, and after a write that left another one behind it.
-void UpstreamPool::written(Place at)
+// libevent also calls this for a new connection, and after a write that left another one pending.
+void UpstreamPool::on_written(ConnectionIterator it)
 {
-    if (!at->attempt || !at->asked || evbuffer_get_length(bufferevent_get_output(at->stream.get())) > 0)
+    if (!it->attempt || !it->request_begun ||
+        evbuffer_get_length(bufferevent_get_output(it->stream.get())) > 0)
         return;
-    if (at->more) at->waits_until.reset();  // now it is the caller who takes time
-    tell_(RequestWritten{at->attempt});
+    if (it->request_incomplete) it->response_timer.reset();  // now the caller is the one to wait for
+    post_event_(RequestWritten{it->attempt});
 }
 
-void UpstreamPool::ended(Place at, short what)
+void UpstreamPool::on_event(ConnectionIterator it, short what)
 {
     if (what & BEV_EVENT_CONNECTED) {
-        at->connected = true;
-        at->connecting_until.reset();
-        if (at->attempt) tell_(UpstreamConnected{at->attempt});
+        it->connected = true;
+        it->connect_timer.reset();
+        if (it->attempt) post_event_(UpstreamConnected{it->attempt});
         return;
     }
-    if (!at->attempt) return close(at);  // idle for long enough, or ended by the upstream
-    if (!at->connected) return fail(at, cause_of(EVUTIL_SOCKET_ERROR()));
-    if ((what & BEV_EVENT_EOF) && at->asked && at->reader.ends_at_close()) return whole(at, false);
-    fail(at, FailureCause::connection_lost);
+    if (!it->attempt) return close_connection(it);  // idle timeout, or closed by the upstream
+    if (!it->connected) return fail(it, cause_of(EVUTIL_SOCKET_ERROR()));
+    if ((what & BEV_EVENT_EOF) && it->request_begun && it->reader.ends_at_close())
+        return on_response_complete(it, false);
+    fail(it, FailureCause::connection_lost);
 }
 
 }  // namespace firtide::net
--- a/src/net/upstream_pool.h
+++ b/src/net/upstream_pool.h
@@ -1,6 +1,6 @@
-// Connections to upstreams: made as needed, kept while they may be used again, one request at a time on each.
-// On bufferevents, not on evhttp's client: that one does not tell whether the last byte of a request had
-// left.
+// The connection pool for upstreams: opens connections as needed and keeps them for reuse, with one request
+// at a time on each. Built on bufferevents, not on evhttp's client, which does not report whether the last
+// byte of a request was sent.
 #pragma once
 
 #include <functional>
@@ -17,47 +17,47 @@
 class UpstreamPool
 {
   public:
-    UpstreamPool(event_base* base, const ServiceConfig& setup, ConnectionBudget room,
-                 std::function<void(Event)> tell);
+    UpstreamPool(event_base* base, const ServiceConfig& setup, ConnectionBudget budget,
+                 std::function<void(Event)> post_event);
     ~UpstreamPool();
 
-    void dial(const ConnectUpstream& dial);
+    void start_attempt(const ConnectUpstream& connect);
     void write(const WriteUpstream& write);
-    void limit(const SetAttemptTimeout& limit);
-    void read(const SetResponseReading& read);
-    void hang_up(AttemptId attempt);
-    void withdraw(AttemptId attempt);
+    void set_timeout(const SetAttemptTimeout& change);
+    void set_response_reading(const SetResponseReading& reading);
+    void abandon(AttemptId attempt);
+    void cancel_write(AttemptId attempt);
     void close_idle(UpstreamId upstream_id);
-    size_t close_oldest_idle(size_t count);  // how many there were
-    size_t open() const { return all_.size(); }
-    void share(size_t processes);  // what this balancer may have
+    size_t close_oldest_idle(size_t count);  // returns how many were closed
+    size_t open_connections() const { return connections_.size(); }
+    void set_process_count(size_t process_count);  // divides the limits of this balancer
 
   private:
     struct Connection;
-    using Place = std::list<Connection>::iterator;
-
-    Place connect(UpstreamId upstream_id, const std::string& endpoint);
-    EventPtr give_up_after(Connection& c, Duration wait);
-    void serve(Place at, AttemptId attempt, Duration limit);
-    void rest(Place at);
-    void take_from_rest(Place at);
-    bool quiet(const Connection& c) const;
-    void late(Place at);
-    void fail(Place at, FailureCause cause);
-    void whole(Place at, bool more);
-    void wait_for(Place at, Duration wait);
-    void close(Place at);
-    void readable(Place at);
-    void written(Place at);
-    void ended(Place at, short what);
+    using ConnectionIterator = std::list<Connection>::iterator;
+
+    ConnectionIterator open_connection(UpstreamId upstream_id, const std::string& endpoint);
+    EventPtr make_timeout_timer(Connection& c, Duration wait);
+    void assign(ConnectionIterator it, AttemptId attempt, Duration limit);
+    void release_to_idle(ConnectionIterator it);
+    void remove_from_idle(ConnectionIterator it);
+    bool is_quiet(const Connection& c) const;
+    void on_timeout(ConnectionIterator it);
+    void fail(ConnectionIterator it, FailureCause cause);
+    void on_response_complete(ConnectionIterator it, bool more);
+    void restart_timeout(ConnectionIterator it, Duration wait);
+    void close_connection(ConnectionIterator it);
+    void on_readable(ConnectionIterator it);
+    void on_written(ConnectionIterator it);
+    void on_event(ConnectionIterator it, short what);
 
     event_base* base_;
     const ServiceConfig& setup_;
-    ConnectionBudget room_;
-    std::function<void(Event)> tell_;
-    std::list<Connection> all_;
-    std::unordered_map<AttemptId, Place> of_attempt_;
-    std::unordered_map<UpstreamId, std::vector<Place>> idle_;  // the last used at the end
+    ConnectionBudget budget_;
+    std::function<void(Event)> post_event_;
+    std::list<Connection> connections_;
+    std::unordered_map<AttemptId, ConnectionIterator> connection_of_;
+    std::unordered_map<UpstreamId, std::vector<ConnectionIterator>> idle_;  // most recently used last
 };
 
 }  // namespace firtide::net
