--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// firtide: the balancer on sockets.
+// firtide: the load balancer's command line.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 
@@ -18,29 +18,28 @@
             ->required();
         return command;
     };
-    auto* serve = with_config(app.add_subcommand("serve", "balance until SIGTERM"));
+    auto* serve = with_config(app.add_subcommand("serve", "run the load balancer until SIGTERM"));
     serve->add_option("--log-level", level, "debug, info, warn or error")->envname("FIRTIDE_LOG_LEVEL");
     serve->add_option("--fleet", fleet_path, "the fleet file (TOML): this balancer is a member of a fleet");
-    auto* fleet = app.add_subcommand("fleet", "of a fleet of balancers");
+    auto* fleet = app.add_subcommand("fleet", "commands for a fleet of balancers");
     fleet->require_subcommand(1);
-    auto* fleet_check = fleet->add_subcommand("check", "read a fleet file and say what is wrong with it");
+    auto* fleet_check = fleet->add_subcommand("check", "validate a fleet file");
     fleet_check->add_option("file", fleet_path, "the fleet file (TOML)")->required();
-    auto* fleet_status =
-        fleet->add_subcommand("status", "ask a balancer's management address about its fleet");
+    auto* fleet_status = fleet->add_subcommand("status", "show the state of a balancer's fleet");
     fleet_status->add_option("management", management, "address:port of the management address (mgmt)")
         ->required();
     auto* fleet_recovery =
-        fleet->add_subcommand("recovery", "ask a balancer's management address about its return to service");
+        fleet->add_subcommand("recovery", "show the progress of a balancer's recovery after a restart");
     fleet_recovery->add_option("management", management, "address:port of the management address (mgmt)")
         ->required();
-    auto* snapshot = app.add_subcommand("snapshot", "of what a member remembers over its own end");
+    auto* snapshot =
+        app.add_subcommand("snapshot", "commands for the state that a member keeps over a restart");
     snapshot->require_subcommand(1);
-    auto* snapshot_check = snapshot->add_subcommand("check", "say whether a snapshot is whole");
-    auto* snapshot_dump = snapshot->add_subcommand("dump", "print what it holds");
+    auto* snapshot_check = snapshot->add_subcommand("check", "validate a snapshot");
+    auto* snapshot_dump = snapshot->add_subcommand("dump", "print the contents of a snapshot");
     for (auto* command : {snapshot_check, snapshot_dump})
         command->add_option("file", path, "the file 'snapshot' in a member's folder")->required();
-    auto* check =
-        with_config(app.add_subcommand("check-config", "read a configuration and say what is wrong with it"));
+    auto* check = with_config(app.add_subcommand("check-config", "validate a configuration"));
     auto* version = app.add_subcommand("version", "print the version");
     CLI11_PARSE(app, argc, argv);
     try {
@@ -56,7 +55,8 @@
             return std::puts("the configuration is well-formed") < 0;
         }
         if (!firtide::init_logging(config.name, level))
-            throw std::runtime_error("--log-level: no such level");
+            throw std::runtime_error("--log-level: unknown level '" + level +
+                                     "'; debug, info, warn or error is expected");
         std::optional<std::pair<firtide::fleet::FleetConfig, std::string>> member;
         if (!fleet_path.empty()) member.emplace(firtide::fleet::read_fleet_config(fleet_path), fleet_path);
         firtide::net::Service(
