--- a/tests/balancer_host.h
+++ b/tests/balancer_host.h
@@ -1,5 +1,5 @@
-// A host for the decision module in tests: it drives a Balancer by hand, with a clock of its own, and records
-// what it decides.
+// A host of the decision module for tests: drives a Balancer by hand, with a simulated clock, and records
+// its decisions.
 #pragma once
 
 #include <algorithm>
@@ -18,7 +18,7 @@
 namespace firtide
 {
 
-// What a Balancer decided, one type for each call of its outlet.
+// The decisions of a Balancer, one type for each function of its delegate.
 namespace decision
 {
 
@@ -30,7 +30,7 @@
 };
 struct Throttled {
     InvocationId invocation;
-    bool with_retry_after;  // the answer says when to retry
+    bool with_retry_after;  // the response says when to retry
     bool operator==(const Throttled&) const = default;
 };
 struct Errored {
@@ -64,48 +64,48 @@
     bool operator==(const ListWatched&) const = default;
 };
 
-inline std::string format_seconds(Duration span)
+inline std::string format_seconds(Duration duration)
 {
     char text[32];
-    std::snprintf(text, sizeof text, "%.2f s", span.seconds());
+    std::snprintf(text, sizeof text, "%.2f s", duration.seconds());
     return text;
 }
 
-// One line of text for each, for traces and failed assertions.
-inline std::ostream& operator<<(std::ostream& out, const Forwarded& each)
+// Each decision as one line of text, for traces and failed assertions.
+inline std::ostream& operator<<(std::ostream& out, const Forwarded& decision)
 {
-    return out << "inv " << each.invocation << " forward u" << each.upstream << " limit "
-               << format_seconds(each.limit);
+    return out << "inv " << decision.invocation << " forward u" << decision.upstream << " limit "
+               << format_seconds(decision.limit);
 }
-inline std::ostream& operator<<(std::ostream& out, const Throttled& each)
+inline std::ostream& operator<<(std::ostream& out, const Throttled& decision)
 {
-    return out << "inv " << each.invocation << " throttled, come back in "
-               << (each.with_retry_after ? "a while" : "no stated time");
+    return out << "inv " << decision.invocation << " throttled, come back in "
+               << (decision.with_retry_after ? "a while" : "no stated time");
 }
-inline std::ostream& operator<<(std::ostream& out, const Errored& each)
+inline std::ostream& operator<<(std::ostream& out, const Errored& decision)
 {
-    return out << "inv " << each.invocation << " errored";
+    return out << "inv " << decision.invocation << " errored";
 }
-inline std::ostream& operator<<(std::ostream& out, const LimitChanged& each)
+inline std::ostream& operator<<(std::ostream& out, const LimitChanged& decision)
 {
-    return out << "inv " << each.invocation << " forward " << each.forward << " limit "
-               << format_seconds(each.limit);
+    return out << "inv " << decision.invocation << " forward " << decision.forward << " limit "
+               << format_seconds(decision.limit);
 }
-inline std::ostream& operator<<(std::ostream& out, const Cancelled& each)
+inline std::ostream& operator<<(std::ostream& out, const Cancelled& decision)
 {
-    return out << "inv " << each.invocation << " cancel forward " << each.forward;
+    return out << "inv " << decision.invocation << " cancel forward " << decision.forward;
 }
-inline std::ostream& operator<<(std::ostream& out, const Released& each)
+inline std::ostream& operator<<(std::ostream& out, const Released& decision)
 {
-    return out << "inv " << each.invocation << " released";
+    return out << "inv " << decision.invocation << " released";
 }
-inline std::ostream& operator<<(std::ostream& out, const Probed& each)
+inline std::ostream& operator<<(std::ostream& out, const Probed& decision)
 {
-    return out << "probe u" << each.upstream;
+    return out << "probe u" << decision.upstream;
 }
-inline std::ostream& operator<<(std::ostream& out, const IdleConnectionsClosed& each)
+inline std::ostream& operator<<(std::ostream& out, const IdleConnectionsClosed& decision)
 {
-    return out << "close idle connections of u" << each.upstream;
+    return out << "close idle connections of u" << decision.upstream;
 }
 inline std::ostream& operator<<(std::ostream& out, const ListWatched&) { return out << "watch the list"; }
 
@@ -139,7 +139,7 @@
         return s;
     }
 
-    void advance_clock(Duration span) { now = now + span; }
+    void advance_clock(Duration duration) { now = now + duration; }
     void set_endpoints(uint32_t n)
     {
         std::vector<EndpointState> all;
@@ -157,39 +157,39 @@
     void end_attempt(InvocationId inv, AttemptResult result, Duration took = seconds(0.1),
                      LoadReport report = {})
     {
-        const auto nth = sent[inv]++;
+        const auto nth = forwards_[inv]++;
         balancer.on_forward_ended(now, inv, nth, result, took, result == AttemptResult::succeeded, report);
     }
-    bool is_in_flight(InvocationId inv) const { return sent.count(inv) > 0; }
+    bool is_in_flight(InvocationId inv) const { return forwards_.count(inv) > 0; }
     void disconnect_client(InvocationId inv) { balancer.on_client_disconnected(now, inv); }
     void wake()
     {
-        auto due = std::move(timers);
-        timers.clear();
+        auto due = std::move(timers_);
+        timers_.clear();
         for (const auto& [name, at] : due) now = std::max(now, at), balancer.on_timer_fired(now, name);
     }
-    // Sends n invocations, each answered at once; returns how many each upstream got. Their effects are not
-    // recorded.
+    // Sends n invocations, each answered at once; returns how many each upstream got. Their decisions are
+    // not recorded.
     std::map<UpstreamId, int> send_many(int n, AttemptResult result = AttemptResult::succeeded,
                                         UpstreamId only = ~0u, Duration every = seconds(0.01))
     {
-        std::map<UpstreamId, int> got;
+        std::map<UpstreamId, int> counts;
         recording_paused = true;
         for (int i = 0; i < n; ++i) {
             advance_clock(every);
             last_upstream = ~0u;
             accept(99);
             if (last_upstream == ~0u) continue;
-            ++got[last_upstream];
-            const bool odd = only == ~0u || last_upstream == only;
-            end_attempt(99, odd ? result : AttemptResult::succeeded);
-            if (sent.count(99)) disconnect_client(99), end_attempt(99, AttemptResult::cancelled);
+            ++counts[last_upstream];
+            const bool affected = only == ~0u || last_upstream == only;
+            end_attempt(99, affected ? result : AttemptResult::succeeded);
+            if (forwards_.count(99)) disconnect_client(99), end_attempt(99, AttemptResult::cancelled);
         }
         recording_paused = false;
-        return got;
+        return counts;
     }
-    // What was recorded since the last call.
-    Decisions take_decisions() { return std::exchange(recorded, {}); }
+    // Returns the decisions recorded since the last call.
+    Decisions take_decisions() { return std::exchange(recorded_, {}); }
 
     TimePoint now{1'000'000'000};
     UpstreamId last_upstream = 0;
@@ -199,51 +199,51 @@
     Balancer balancer;
 
   protected:
-    virtual void record(const Decision& decision) { recorded.push_back(decision); }
+    virtual void record(const Decision& decision) { recorded_.push_back(decision); }
 
   private:
-    void decided(const Decision& decision)
+    void record_unless_paused(const Decision& decision)
     {
         if (!recording_paused) record(decision);
     }
     void forward(InvocationId inv, UpstreamId upstream_id, Duration limit) override
     {
-        sent.try_emplace(inv, 0);
+        forwards_.try_emplace(inv, 0);
         last_upstream = upstream_id;
-        decided(decision::Forwarded{inv, upstream_id, limit});
+        record_unless_paused(decision::Forwarded{inv, upstream_id, limit});
     }
-    void throttle(InvocationId inv, Duration back) override
+    void throttle(InvocationId inv, Duration retry_after) override
     {
         ++throttled_count;
-        decided(decision::Throttled{inv, back > Duration{}});
+        record_unless_paused(decision::Throttled{inv, retry_after > Duration{}});
     }
-    void fail(InvocationId inv) override { decided(decision::Errored{inv}); }
+    void fail(InvocationId inv) override { record_unless_paused(decision::Errored{inv}); }
     void set_forward_timeout(InvocationId inv, uint32_t forward, Duration limit) override
     {
-        decided(decision::LimitChanged{inv, forward, limit});
+        record_unless_paused(decision::LimitChanged{inv, forward, limit});
     }
     void cancel_forward(InvocationId inv, uint32_t forward) override
     {
-        decided(decision::Cancelled{inv, forward});
+        record_unless_paused(decision::Cancelled{inv, forward});
     }
     void release_invocation(InvocationId inv) override
     {
-        sent.erase(inv);
-        decided(decision::Released{inv});
+        forwards_.erase(inv);
+        record_unless_paused(decision::Released{inv});
     }
-    void start_timer(TimePoint at, uint64_t name) override { timers[name] = at; }
-    void probe(UpstreamId upstream_id) override { decided(decision::Probed{upstream_id}); }
+    void start_timer(TimePoint at, uint64_t name) override { timers_[name] = at; }
+    void probe(UpstreamId upstream_id) override { record_unless_paused(decision::Probed{upstream_id}); }
     void close_idle_connections(UpstreamId upstream_id) override
     {
         ++idle_closed_count;
-        decided(decision::IdleConnectionsClosed{upstream_id});
+        record_unless_paused(decision::IdleConnectionsClosed{upstream_id});
     }
-    void watch_endpoint_list() override { decided(decision::ListWatched{}); }
+    void watch_endpoint_list() override { record_unless_paused(decision::ListWatched{}); }
     void broadcast(const std::string& message) override { peer_messages.push_back(message); }
 
-    Decisions recorded;
-    std::map<InvocationId, uint32_t> sent;
-    std::map<uint64_t, TimePoint> timers;
+    Decisions recorded_;
+    std::map<InvocationId, uint32_t> forwards_;
+    std::map<uint64_t, TimePoint> timers_;
 };
 
 }  // namespace firtide
--- a/tests/trace.h
+++ b/tests/trace.h
@@ -1,5 +1,5 @@
-// The one file of helpers: a stage that plays a host to the module and prints what it decides, line by line;
-// and stand-ins on loopback for the callers, upstreams and discovery of the service.
+// Test helpers: a host of the decision module that prints each decision as a line; and clients and servers
+// on loopback that act as the service's callers, upstreams and discovery.
 #pragma once
 
 #include <arpa/inet.h>
@@ -28,17 +28,17 @@
 namespace firtide
 {
 
-// Prints each decision as a line.
+// A BalancerHost that prints each decision as a line.
 class TracingHost : public BalancerHost
 {
   public:
     using BalancerHost::BalancerHost;
 
     void print_heading(const std::string& text) { std::printf("-- %s\n", text.c_str()); }
-    static void print_counts(const char* what, const std::map<UpstreamId, int>& got)
+    static void print_counts(const char* what, const std::map<UpstreamId, int>& counts)
     {
         std::printf("%s:", what);
-        for (const auto& [t, n] : got) std::printf(" u%u=%d", t, n);
+        for (const auto& [upstream, n] : counts) std::printf(" u%u=%d", upstream, n);
         std::printf("\n");
     }
 
@@ -51,28 +51,29 @@
     }
 };
 
-// A connection with blocking reads that never wait for longer than two seconds.
+// A connection with blocking reads, which by default wait for at most two seconds.
 class TestConnection
 {
   public:
     explicit TestConnection(int fd) : fd_(fd) {}
     explicit TestConnection(uint16_t port) : fd_(socket(AF_INET, SOCK_STREAM, 0))
     {
-        const auto at = loopback_address(port);
-        if (connect(fd_, reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0) close();
+        const auto address = loopback_address(port);
+        if (connect(fd_, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) close();
     }
-    TestConnection(TestConnection&& other) : fd_(std::exchange(other.fd_, -1)), text_(std::move(other.text_))
+    TestConnection(TestConnection&& other)
+        : fd_(std::exchange(other.fd_, -1)), buffer_(std::move(other.buffer_))
     {
     }
     ~TestConnection() { close(); }
 
     static sockaddr_in loopback_address(uint16_t port)
     {
-        sockaddr_in at{};
-        at.sin_family = AF_INET;
-        at.sin_port = htons(port);
-        at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-        return at;
+        sockaddr_in address{};
+        address.sin_family = AF_INET;
+        address.sin_port = htons(port);
+        address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+        return address;
     }
     bool is_open() const { return fd_ >= 0; }
     void close()
@@ -82,8 +83,8 @@
     void shutdown_write() const { shutdown(fd_, SHUT_WR); }
     void reset()
     {
-        const linger none{1, 0};
-        setsockopt(fd_, SOL_SOCKET, SO_LINGER, &none, sizeof none);
+        const linger reset_on_close{1, 0};
+        setsockopt(fd_, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
         close();
     }
     void send(const std::string& bytes) const
@@ -92,16 +93,16 @@
     }
     bool receive(int ms = 2000)
     {
-        pollfd at{fd_, POLLIN, 0};
+        pollfd polled{fd_, POLLIN, 0};
         char bytes[16384];
-        if (!is_open() || poll(&at, 1, ms) <= 0) return false;
+        if (!is_open() || poll(&polled, 1, ms) <= 0) return false;
         const auto n = recv(fd_, bytes, sizeof bytes, 0);
-        if (n > 0) text_.append(bytes, static_cast<size_t>(n));
-        ended_ = n <= 0;
+        if (n > 0) buffer_.append(bytes, static_cast<size_t>(n));
+        at_eof_ = n <= 0;
         return n > 0;
     }
-    bool receives_eof(int ms = 2000) { return !receive(ms) && ended_; }
-    bool at_eof() const { return ended_; }
+    bool receives_eof(int ms = 2000) { return !receive(ms) && at_eof_; }
+    bool at_eof() const { return at_eof_; }
     bool was_reset() const
     {
         int error = 0;
@@ -109,72 +110,73 @@
         getsockopt(fd_, SOL_SOCKET, SO_ERROR, &error, &size);
         return error != 0;
     }
-    // One message with Content-Length or without a body; empty where none comes whole.
+    // Receives one message with Content-Length or without a body; returns an empty text if none comes
+    // complete.
     std::string receive_message()
     {
         for (;;) {
-            const auto head = text_.find("\r\n\r\n");
+            const auto head = buffer_.find("\r\n\r\n");
             if (head != std::string::npos) {
-                const auto at = text_.find("Content-Length: ");
-                const auto body = at < head ? std::stoul(text_.substr(at + 16)) : 0;
-                if (text_.size() >= head + 4 + body) {
-                    const auto whole = text_.substr(0, head + 4 + body);
-                    text_.erase(0, whole.size());
-                    return whole;
+                const auto length = buffer_.find("Content-Length: ");
+                const auto body = length < head ? std::stoul(buffer_.substr(length + 16)) : 0;
+                if (buffer_.size() >= head + 4 + body) {
+                    const auto message = buffer_.substr(0, head + 4 + body);
+                    buffer_.erase(0, message.size());
+                    return message;
                 }
             }
             if (!receive()) return {};
         }
     }
-    // A head, without what follows it.
+    // Receives the head of a message, without what follows it.
     std::string receive_head()
     {
-        while (text_.find("\r\n\r\n") == std::string::npos)
+        while (buffer_.find("\r\n\r\n") == std::string::npos)
             if (!receive()) return {};
-        const auto all = text_.substr(0, text_.find("\r\n\r\n") + 4);
-        text_.erase(0, all.size());
-        return all;
+        const auto head = buffer_.substr(0, buffer_.find("\r\n\r\n") + 4);
+        buffer_.erase(0, head.size());
+        return head;
     }
-    // So many bytes, which are not kept; how many there were.
+    // Receives and discards so many bytes; returns how many came.
     size_t discard(size_t bytes)
     {
-        size_t got = 0;
+        size_t total = 0;
         for (;;) {
-            const auto n = std::min(bytes - got, text_.size());
-            got += n;
-            text_.erase(0, n);
-            if (got == bytes || !receive()) return got;
+            const auto n = std::min(bytes - total, buffer_.size());
+            total += n;
+            buffer_.erase(0, n);
+            if (total == bytes || !receive()) return total;
         }
     }
-    // A body in chunks: the bytes in it.
+    // Receives a chunked body; returns the size of its content.
     size_t receive_chunked_body()
     {
-        size_t got = 0;
+        size_t total = 0;
         for (;;) {
-            while (text_.find("\r\n") == std::string::npos)
-                if (!receive()) return got;
-            const auto size = std::stoul(text_, nullptr, 16);
-            text_.erase(0, text_.find("\r\n") + 2);
+            while (buffer_.find("\r\n") == std::string::npos)
+                if (!receive()) return total;
+            const auto size = std::stoul(buffer_, nullptr, 16);
+            buffer_.erase(0, buffer_.find("\r\n") + 2);
             if (size == 0) break;
             const auto n = discard(size + 2);
-            got += std::min<size_t>(n, size);
-            if (n < size + 2) return got;
+            total += std::min<size_t>(n, size);
+            if (n < size + 2) return total;
         }
-        while (text_.substr(0, 2) != "\r\n") {
-            const auto end = text_.find("\r\n");
+        while (buffer_.substr(0, 2) != "\r\n") {
+            const auto end = buffer_.find("\r\n");
             if (end != std::string::npos)
-                text_.erase(0, end + 2);
+                buffer_.erase(0, end + 2);
             else if (!receive())
-                return got;
+                return total;
         }
-        text_.erase(0, 2);
-        return got;
+        buffer_.erase(0, 2);
+        return total;
     }
     std::string receive_all()  // to the end of the connection
     {
         while (receive()) {
         }
-        return std::exchange(text_, {});
+        return std::exchange(buffer_, {});
     }
     std::string send_and_receive(const std::string& bytes)
     {
@@ -184,46 +186,46 @@
 
   private:
     int fd_;
-    std::string text_;
-    bool ended_ = false;
+    std::string buffer_;
+    bool at_eof_ = false;
 };
 
-// A stand-in: listens on loopback and handles each connection in a thread of its own.
+// A server that listens on loopback and handles each connection in a thread of its own.
 class TestServer
 {
   public:
-    explicit TestServer(std::function<void(TestConnection&)> serve) : serve_(std::move(serve))
+    explicit TestServer(std::function<void(TestConnection&)> handle) : handle_connection_(std::move(handle))
     {
         fd_ = socket(AF_INET, SOCK_STREAM, 0);
-        auto at = TestConnection::loopback_address(0);
-        bind(fd_, reinterpret_cast<sockaddr*>(&at), sizeof at);
-        socklen_t size = sizeof at;
-        getsockname(fd_, reinterpret_cast<sockaddr*>(&at), &size);
-        port = ntohs(at.sin_port);
+        auto address = TestConnection::loopback_address(0);
+        bind(fd_, reinterpret_cast<sockaddr*>(&address), sizeof address);
+        socklen_t size = sizeof address;
+        getsockname(fd_, reinterpret_cast<sockaddr*>(&address), &size);
+        port = ntohs(address.sin_port);
         listen(fd_, 64);
-        accepting_ = std::thread([this] {
+        accept_thread_ = std::thread([this] {
             for (int fd; (fd = accept(fd_, nullptr, nullptr)) >= 0;)
-                serving_.emplace_back([this, fd] {
-                    TestConnection wire(fd);
-                    serve_(wire);
+                connection_threads_.emplace_back([this, fd] {
+                    TestConnection connection(fd);
+                    handle_connection_(connection);
                 });
         });
     }
     ~TestServer()
     {
         shutdown(fd_, SHUT_RDWR);
-        accepting_.join();
+        accept_thread_.join();
         ::close(fd_);
-        for (auto& t : serving_) t.join();
+        for (auto& t : connection_threads_) t.join();
     }
     std::string endpoint() const { return "127.0.0.1:" + std::to_string(port); }
     uint16_t port = 0;
 
   private:
-    std::function<void(TestConnection&)> serve_;
+    std::function<void(TestConnection&)> handle_connection_;
     int fd_;
-    std::thread accepting_;
-    std::vector<std::thread> serving_;
+    std::thread accept_thread_;
+    std::vector<std::thread> connection_threads_;
 };
 
 inline std::string http_message(const std::string& first, const std::string& body = "",
@@ -238,21 +240,21 @@
 }
 
 inline const std::string status_line_ok = "HTTP/1.1 200 OK";
-inline std::string program_path;  // under test
+inline std::string program_path;  // path of the program under test
 
 inline uint16_t free_port()
 {
     return TestServer([](TestConnection&) {}).port;
 }
 
-// The program in a process of its own, until SIGTERM.
+// The program under test as a child process, until stop() sends SIGTERM.
 struct BalancerProcess {
-    // more, settings: further keys of the configuration and of its settings; in_child: what is to be done
-    // before the program starts.
+    // more, settings: further keys of the configuration and of its settings, as JSON text; in_child: runs
+    // in the child process before the program starts.
     explicit BalancerProcess(const std::string& discovery, const std::string& sockets = "1024",
                              const std::string& more = "", const std::function<void()>& in_child = {},
-                             uint16_t at = 0, const std::string& settings = "")
-        : port(at ? at : free_port())
+                             uint16_t listen_port = 0, const std::string& settings = "")
+        : port(listen_port ? listen_port : free_port())
     {
         char path[] = "/tmp/firtide-test-XXXXXX";
         const int fd = mkstemp(path);
@@ -281,19 +283,19 @@
         if (pid) stop();
         unlink(config_path.c_str());
     }
-    // Replaces `a` by `b` in the file of the configuration, and says so.
+    // Replaces `a` by `b` in the configuration file and sends SIGHUP.
     void edit_config_and_reload(const std::string& a, const std::string& b)
     {
         config_text.replace(config_text.find(a), a.size(), b);
-        const std::string fresh = config_path + ".new";
-        if (FILE* out = std::fopen(fresh.c_str(), "w"))
+        const std::string new_path = config_path + ".new";
+        if (FILE* out = std::fopen(new_path.c_str(), "w"))
             std::fputs(config_text.c_str(), out), std::fclose(out);
-        rename(fresh.c_str(), config_path.c_str());
+        rename(new_path.c_str(), config_path.c_str());
         kill(pid, SIGHUP);
     }
     struct ResourceUsage {
         int status = 0;
-        double cpu_seconds = 0;  // seconds
+        double cpu_seconds = 0;
         long memory_mb = 0;
     };
     ResourceUsage stop()
@@ -302,10 +304,10 @@
         rusage used{};
         kill(pid, SIGTERM);
         wait4(std::exchange(pid, 0), &status, 0, &used);
-        const auto s = [](timeval t) {
+        const auto to_seconds = [](timeval t) {
             return static_cast<double>(t.tv_sec) + 1e-6 * static_cast<double>(t.tv_usec);
         };
-        return {status, s(used.ru_utime) + s(used.ru_stime), used.ru_maxrss / 1024};
+        return {status, to_seconds(used.ru_utime) + to_seconds(used.ru_stime), used.ru_maxrss / 1024};
     }
     uint16_t port;
     pid_t pid = 0;
@@ -314,10 +316,10 @@
 
 inline void sleep_ms(int ms) { std::this_thread::sleep_for(std::chrono::milliseconds(ms)); }
 
-inline bool wait_until(const std::function<bool()>& so, int ms = 2000)
+inline bool wait_until(const std::function<bool()>& condition, int ms = 2000)
 {
-    for (; ms > 0 && !so(); ms -= 5) sleep_ms(5);
-    return so();
+    for (; ms > 0 && !condition(); ms -= 5) sleep_ms(5);
+    return condition();
 }
 
 }  // namespace firtide
