--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -128,7 +128,7 @@
         this));
 }
 
-// Where lists are pushed, a nearby agent holds the current list and a request costs nothing.
+// Where lists are pushed, the agent already holds the current list and a request costs nothing.
 bool Discovery::lists_are_pushed() const { return !config_.service_config.settings.must_watch_endpoint_list; }
 
 void Discovery::start_polling()
@@ -184,7 +184,7 @@
 template <auto then>
 EventPtr Discovery::make_timer(ListRequest& request, Duration wait)
 {
-    EventPtr made(evtimer_new(
+    EventPtr timer(evtimer_new(
         base_,
         [](evutil_socket_t, short, void* arg) {
             auto* list_request = static_cast<ListRequest*>(arg);
@@ -192,8 +192,8 @@
         },
         &request));
     const auto after = to_timeval(wait);
-    event_add(made.get(), &after);
-    return made;
+    event_add(timer.get(), &after);
+    return timer;
 }
 
 // Runs only from a timer: no evhttp callback is on the stack, so that abandoned requests can be freed.
--- a/src/net/service.cpp
+++ b/src/net/service.cpp
@@ -27,8 +27,8 @@
 constexpr Duration probe_report_interval = seconds(0.2);  // of the results of duty probes
 constexpr size_t max_duty_probes = 256;
 constexpr Duration tick_interval = seconds(0.1);  // of what the balancer reports to its fleet
-constexpr size_t reserved_descriptors =
-    48;  // for the loop, the log, discovery, the listener and the management address
+// For the loop, the log, discovery, the listener and the management address.
+constexpr size_t reserved_descriptors = 48;
 // Largest share of the other descriptors. Together they exceed 1, because either side may use what the
 // other leaves free.
 constexpr double upstream_share = 0.4, caller_share = 0.85;
@@ -67,7 +67,7 @@
     return allowed > 2 * reserved_descriptors ? allowed - reserved_descriptors : allowed / 2;
 }
 
-// At most a connection to and from every member, the folder and the log.
+// At most: a connection to and one from every member, the folder and the log.
 size_t fleet_descriptors(const std::optional<std::pair<fleet::FleetConfig, std::string>>& fleet)
 {
     return fleet ? fleet->first.members.size() * 3 + fleet->first.duties.size() + 32 : 0;
--- a/src/net/upstream_pool.cpp
+++ b/src/net/upstream_pool.cpp
@@ -352,10 +352,10 @@
     if (it->reading_paused || size == 0) return;
     const auto* bytes = reinterpret_cast<const char*>(evbuffer_pullup(input, -1));
     const auto state = it->reader.parse({bytes, size});
-    const bool more = it->reader.consumed_bytes() < size;  // bytes than belong to the response
+    const bool trailing_bytes = it->reader.consumed_bytes() < size;  // after the end of the response
     evbuffer_drain(input, size);
     if (state == ResponseReader::State::malformed) return fail(it, FailureCause::invalid_response);
-    if (state == ResponseReader::State::complete) return on_response_complete(it, more);
+    if (state == ResponseReader::State::complete) return on_response_complete(it, trailing_bytes);
     if (!it->reader.has_started()) return;
     it->response_begun = true;
     if (it->streaming_response) {
@@ -378,14 +378,14 @@
     }
 }
 
-void UpstreamPool::on_response_complete(ConnectionIterator it, bool more)
+void UpstreamPool::on_response_complete(ConnectionIterator it, bool trailing_bytes)
 {
     const auto attempt = it->attempt;
     const bool request_unwritten =
         it->request_incomplete || evbuffer_get_length(bufferevent_get_output(it->stream.get())) > 0;
     const bool streamed = it->streaming_response;
     auto response = std::move(it->reader.response());
-    const bool keep = it->reader.keep_alive() && !request_unwritten && !more;
+    const bool keep = it->reader.keep_alive() && !request_unwritten && !trailing_bytes;
     connection_of_.erase(attempt);
     if (keep)
         release_to_idle(it);
--- a/src/net/upstream_pool.h
+++ b/src/net/upstream_pool.h
@@ -44,7 +44,7 @@
     bool is_quiet(const Connection& c) const;
     void on_timeout(ConnectionIterator it);
     void fail(ConnectionIterator it, FailureCause cause);
-    void on_response_complete(ConnectionIterator it, bool more);
+    void on_response_complete(ConnectionIterator it, bool trailing_bytes);
     void restart_timeout(ConnectionIterator it, Duration wait);
     void close_connection(ConnectionIterator it);
     void on_readable(ConnectionIterator it);
