--- a/src/fleet/transport/duty_notifier.cpp
+++ b/src/fleet/transport/duty_notifier.cpp
@@ -12,8 +12,8 @@
 namespace
 {
 
-constexpr Duration answer_timeout = seconds(1);
-constexpr int conflict = 409;  // the subscriber has seen a higher epoch
+constexpr Duration response_timeout = seconds(1);
+constexpr int conflict_status = 409;  // the subscriber has seen a higher epoch
 
 std::string encode(const std::string& address, const DutyNotification& notification)
 {
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-// Lives as long as this process; its connection is made anew as needed.
+// One subscriber. It is never removed; its connection is reopened as needed.
 struct DutyNotifier::Subscriber {
     DutyNotifier* owner = nullptr;
     std::string address;
@@ -65,7 +65,7 @@
                 self->close();
         },
         this);
-    const auto timeout = to_timeval(answer_timeout);
+    const auto timeout = to_timeval(response_timeout);
     bufferevent_set_timeouts(stream.get(), &timeout, &timeout);
     bufferevent_enable(stream.get(), EV_READ | EV_WRITE);
     bufferevent_socket_connect(stream.get(), reinterpret_cast<sockaddr*>(&remote), length);
@@ -85,12 +85,12 @@
     const auto state = reader->parse({reinterpret_cast<const char*>(evbuffer_pullup(input, -1)), size});
     evbuffer_drain(input, size);
     if (state == ResponseReader::State::incomplete) return;
-    const bool is_answer = state == ResponseReader::State::complete;
+    const bool is_complete = state == ResponseReader::State::complete;
     const DutyNotification answered = *std::exchange(unanswered, std::nullopt);
-    const int status = is_answer ? reader->response().status : 0;
+    const int status = is_complete ? reader->response().status : 0;
     bufferevent_set_timeouts(stream.get(), nullptr, nullptr);
-    if (!is_answer || !reader->keep_alive()) close();
-    if (status == conflict) owner->on_refused_(answered.duty, answered.epoch);
+    if (!is_complete || !reader->keep_alive()) close();
+    if (status == conflict_status) owner->on_refused_(answered.duty, answered.epoch);
 }
 
 void DutyNotifier::Subscriber::send(const std::string& bytes, const DutyNotification& notification)
@@ -99,7 +99,7 @@
         ::send(bufferevent_getfd(stream.get()), bytes.data(), bytes.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
     if (sent != static_cast<ssize_t>(bytes.size())) return close();
     unanswered = notification;
-    const auto timeout = to_timeval(answer_timeout);
+    const auto timeout = to_timeval(response_timeout);
     bufferevent_set_timeouts(stream.get(), &timeout, nullptr);
 }
 
--- a/src/fleet/transport/duty_notifier.h
+++ b/src/fleet/transport/duty_notifier.h
@@ -1,5 +1,5 @@
-// Tells programs beside the balancer, over HTTP, that this member holds a duty. A connection is made ahead,
-// so that the gate can stand right before the bytes that leave.
+// Notifies external programs over HTTP that this member holds a duty. Connections are opened in advance, so
+// that the lease can be checked right before the bytes are sent.
 #pragma once
 
 #include <functional>
@@ -14,25 +14,25 @@
 namespace firtide::fleet
 {
 
-// One notification: the duty, who holds it at which epoch, and for how long yet. Sent as the headers Duty-*.
+// The duty, its holder and epoch, and the remaining time of the lease. Sent as the headers Duty-*.
 struct DutyNotification {
     std::string duty, holder;
     Epoch epoch = 0;
-    uint64_t number = 0;  // grows within the epoch
+    uint64_t number = 0;  // increases within the epoch
     int64_t left_ms = 0;
 };
 
 class DutyNotifier
 {
   public:
-    // `on_refused` is called for a subscriber that has seen a higher epoch.
+    // `on_refused` is called when a subscriber reports that it has seen a higher epoch.
     DutyNotifier(event_base* base, std::function<void(const std::string& duty, Epoch epoch)> on_refused);
     ~DutyNotifier();
     DutyNotifier(const DutyNotifier&) = delete;
     DutyNotifier& operator=(const DutyNotifier&) = delete;
 
-    // `authorize` is asked right before the bytes leave. Where there is no connection yet one is made, and
-    // this notification is dropped: the next one is soon enough.
+    // `authorize` is called right before the bytes are sent. Without a connection, one is opened and this
+    // notification is dropped: the next one follows soon.
     void notify(const std::string& address, const DutyNotification& notification,
                 const std::function<bool()>& authorize);
 
@@ -41,8 +41,10 @@
 
     event_base* base_;
     std::function<void(const std::string&, Epoch)> on_refused_;
-    std::map<std::string, Subscriber> subscribers_;  // by address and duty: none waits for another's answer
-    ServiceConfig response_config_;  // empty: answers are read by the same reader as upstreams'
+    std::map<std::string, Subscriber>
+        subscribers_;  // by address and duty, so that none waits for another's response
+    ServiceConfig
+        response_config_;  // defaults; ResponseReader, which also reads upstreams' responses, needs one
 };
 
 }  // namespace firtide::fleet
--- a/src/fleet/transport/messages.cpp
+++ b/src/fleet/transport/messages.cpp
@@ -10,33 +10,33 @@
 namespace
 {
 
-// Little-endian, as all machines that this is built for.
-struct Head {
-    uint32_t length = 0;  // of what follows it
+// Little-endian, like all machines that this is built for.
+struct FrameHeader {
+    uint32_t length = 0;  // bytes of payload
     uint16_t version = wire_version;
     uint16_t kind = 0;
-    uint32_t number = 0;  // of the frame on its connection, from 0
-    uint32_t pad = 0;
-    uint64_t checksum = 0;  // of the head without it, and what follows
+    uint32_t number = 0;  // of the frame within its connection, from 0
+    uint32_t padding = 0;
+    uint64_t checksum = 0;  // of the header with this field set to 0, and the payload
 };
-static_assert(sizeof(Head) == 24);
+static_assert(sizeof(FrameHeader) == 24);
 
-uint64_t checksum(Head head, std::string_view payload)
+uint64_t checksum(FrameHeader header, std::string_view payload)
 {
-    head.checksum = 0;
-    // False positive: the temporary in encode_frame() lives until frame() returns; the hash is a number.
+    header.checksum = 0;
+    // False positive: the temporary in encode_frame() lives until the call returns; the hash is a number.
     // cppcheck-suppress danglingTemporaryLifetime
-    return XXH3_64bits_withSeed(payload.data(), payload.size(), XXH3_64bits(&head, sizeof head));
+    return XXH3_64bits_withSeed(payload.data(), payload.size(), XXH3_64bits(&header, sizeof header));
 }
 
-template <size_t I = 0>
-bool decode(size_t kind, std::string_view payload, Message& into)
+template <size_t Index = 0>
+bool decode(size_t kind, std::string_view payload, Message& message)
 {
-    if constexpr (I < std::variant_size_v<Message>) {
-        if (kind != I) return decode<I + 1>(kind, payload, into);
-        auto value = unpack<std::variant_alternative_t<I, Message>>(payload);
+    if constexpr (Index < std::variant_size_v<Message>) {
+        if (kind != Index) return decode<Index + 1>(kind, payload, message);
+        auto value = unpack<std::variant_alternative_t<Index, Message>>(payload);
         if (!value) return false;
-        into = std::move(*value);
+        message = std::move(*value);
         return true;
     }
     return false;
@@ -82,46 +82,46 @@
 
 std::string encode_payload(const Message& message)
 {
-    return std::visit([](const auto& m) { return pack(m); }, message);
+    return std::visit([](const auto& value) { return pack(value); }, message);
 }
 
-std::string frame(size_t kind, std::string_view payload, uint32_t number)
+std::string encode_frame(size_t kind, std::string_view payload, uint32_t number)
 {
-    Head head;
-    head.length = static_cast<uint32_t>(payload.size());
-    head.kind = static_cast<uint16_t>(kind);
-    head.number = number;
-    head.checksum = checksum(head, payload);
-    std::string out(sizeof head, '\0');
-    std::memcpy(out.data(), &head, sizeof head);
+    FrameHeader header;
+    header.length = static_cast<uint32_t>(payload.size());
+    header.kind = static_cast<uint16_t>(kind);
+    header.number = number;
+    header.checksum = checksum(header, payload);
+    std::string out(sizeof header, '\0');
+    std::memcpy(out.data(), &header, sizeof header);
     return out.append(payload);
 }
 
-FrameReader::State FrameReader::broken(const char* why)
+FrameReader::State FrameReader::fail(const char* error)
 {
-    why_ = why;
-    text_.clear();
+    error_ = error;
+    buffer_.clear();
     return State::broken;
 }
 
 FrameReader::State FrameReader::next()
 {
-    if (*why_) return State::broken;
-    Head head;
-    if (text_.size() - at_ < sizeof head) {
-        text_.erase(0, std::exchange(at_, 0));
+    if (*error_) return State::broken;
+    FrameHeader header;
+    if (buffer_.size() - offset_ < sizeof header) {
+        buffer_.erase(0, std::exchange(offset_, 0));
         return State::more;
     }
-    std::memcpy(&head, text_.data() + at_, sizeof head);
-    if (head.version != wire_version) return broken("another version of frames");
-    if (head.length > max_frame_bytes) return broken("a frame that is too long");
-    if (text_.size() - at_ - sizeof head < head.length) return State::more;
-    const auto payload = std::string_view(text_).substr(at_ + sizeof head, head.length);
-    if (checksum(head, payload) != head.checksum) return broken("a frame that was changed on its way");
-    if (head.number != number_) return broken("a frame that is repeated or out of its order");
-    if (!decode(head.kind, payload, message_)) return broken("a frame that holds no message");
-    ++number_;
-    at_ += sizeof head + head.length;
+    std::memcpy(&header, buffer_.data() + offset_, sizeof header);
+    if (header.version != wire_version) return fail("an unsupported frame version");
+    if (header.length > max_frame_bytes) return fail("a frame that exceeds the size limit");
+    if (buffer_.size() - offset_ - sizeof header < header.length) return State::more;
+    const auto payload = std::string_view(buffer_).substr(offset_ + sizeof header, header.length);
+    if (checksum(header, payload) != header.checksum) return fail("a frame that was changed on its way");
+    if (header.number != next_number_) return fail("a frame that is repeated or out of order");
+    if (!decode(header.kind, payload, message_)) return fail("a frame that cannot be decoded");
+    ++next_number_;
+    offset_ += sizeof header + header.length;
     return State::message;
 }
 
--- a/src/fleet/transport/messages.h
+++ b/src/fleet/transport/messages.h
@@ -1,5 +1,6 @@
-// Messages between members and between voters. Their encoding is fixed: a fleet may run several versions at a
-// time (tests/compatibility.cpp). A message is decoded once, on arrival, to one of these.
+// Messages between members and between voters. Their encoding must not change, because a fleet may run
+// several versions at the same time (tests/compatibility.cpp). Each message is decoded once, on arrival, to
+// one of these types.
 #pragma once
 
 #include <cstdint>
@@ -15,8 +16,8 @@
 namespace firtide::fleet
 {
 
-enum class Health : uint8_t { alive, suspect, gone };  // at one incarnation, later ones overrule earlier ones
-// How far a voter has come after its start; see VoterAgent.
+enum class Health : uint8_t { alive, suspect, gone };  // of equal incarnations, the later value wins
+// Startup stage of a voter; see VoterAgent.
 enum class VoterStage : uint8_t { empty, checking, voting, failed, refused };
 const char* to_string(Health health);
 const char* to_string(VoterStage stage);
@@ -37,28 +38,28 @@
     uint8_t health = 0;  // Health
     Incarnation incarnation = 0;
     InstanceId instance = 0;
-    uint8_t weight = 0;  // of its traffic: four steps double it, 100 is one request a second; 0: unknown
+    uint8_t weight = 0;  // traffic weight: 100 is one request per second, +4 doubles it; 0: unknown
     MSGPACK_DEFINE(member, health, incarnation, instance, weight)
 };
-// Also acknowledges one.
+// Also serves as the acknowledgement of a ping.
 struct Ping {
     uint64_t number = 0;
     uint64_t acknowledges = 0;  // the number of the ping that this one answers; zero: none
     Incarnation incarnation = 0;
     InstanceId instance = 0;
-    uint64_t view_digest = 0;              // of all that the sender holds of the members
-    uint8_t receiver_health = 0;           // what the sender holds of the receiver,
-    Incarnation receiver_incarnation = 0;  // and at which incarnation
+    uint64_t view_digest = 0;              // of the sender's view of all members
+    uint8_t receiver_health = 0;           // Health of the receiver in the sender's view
+    Incarnation receiver_incarnation = 0;  // and its incarnation there
     MemberKey leader = 0;                  // zero: unknown
     Term term = 0;
-    uint64_t list_number = 0;  // revision of the endpoint list that the sender has
+    uint64_t list_number = 0;  // revision of the sender's endpoint list
     Epoch list_epoch = 0;
     uint8_t weight = 0;
-    uint64_t list_digest = 0;  // of the state at that revision, where the list is replicated as deltas
+    uint64_t list_digest = 0;  // of the list at that revision, with [deltas]
     MSGPACK_DEFINE(number, acknowledges, incarnation, instance, view_digest, receiver_health,
                    receiver_incarnation, leader, term, list_number, list_epoch, weight, list_digest)
 };
-// Asks the receiver to probe a member that the sender does not reach.
+// Asks the receiver to probe a member that the sender cannot reach.
 struct IndirectProbeRequest {
     MemberKey member = 0;
     MSGPACK_DEFINE(member)
@@ -70,27 +71,26 @@
 };
 struct MembershipUpdates {
     std::vector<MembershipUpdate> updates;
-    bool reply_requested = false;  // with all that the receiver holds
+    bool reply_requested = false;  // asks for the receiver's view of all members
     MSGPACK_DEFINE(updates, reply_requested)
 };
 
 // ---- consensus ----
 
-// A message between voters: raft_wire.h.
+// A Raft message between voters; see raft_wire.h.
 struct RaftMessage {
     DiskId from = 0, to = 0;
-    uint64_t writes = 0;  // of the sender's disk: what the message says rests on these
+    uint64_t writes = 0;  // to the sender's disk that this message depends on
     std::string bytes;
     MSGPACK_DEFINE(from, to, writes, bytes)
 };
-// How many writes of a voter's disk another voter has seen: a disk that knows of fewer itself is not the one
-// that it was.
+// Number of writes to a voter's disk that another voter has seen. A disk that contains fewer has lost data.
 struct SeenDisk {
     DiskId disk = 0;
     uint64_t writes = 0;
     MSGPACK_DEFINE(disk, writes)
 };
-// Of a voter, to the other voters.
+// Sent by a voter to the other voters.
 struct DiskReport {
     DiskId disk = 0;
     uint8_t stage = 0;  // VoterStage
@@ -103,7 +103,7 @@
     DiskId disk = 0;
     MSGPACK_DEFINE(member, disk)
 };
-// Who votes in a new log, from the one voter that may bootstrap it.
+// The voters of a new log, sent by the only voter that may bootstrap it.
 struct BootstrapConfig {
     std::vector<BootstrapVoter> voters;
     MSGPACK_DEFINE(voters)
@@ -111,22 +111,22 @@
 
 // ---- leases ----
 
-// An epoch of a duty that a member knows of.
+// An epoch of a duty that a member has seen.
 struct SeenEpoch {
     std::string duty;
     Epoch epoch = 0;
     MSGPACK_DEFINE(duty, epoch)
 };
-// A member renews its lease on all that it holds.
+// Renews a member's leases on all duties that it holds.
 struct LeaseRenewRequest {
     InstanceId instance = 0;
-    uint64_t nonce = 0;                  // grows with each request of this instance
-    uint64_t table_version = 0;          // of the lease table that the member has
-    std::vector<std::string> requested;  // families of duties that it asks for
-    std::vector<SeenEpoch> seen_epochs;  // higher than that table has them
-    bool departing = false;              // it wants nothing any more
-    uint64_t last_answered_nonce = 0;    // the newest request that it has an answer to
-    std::vector<SeenEpoch> given_up;     // leases that were granted to it and that it does not hold any more
+    uint64_t nonce = 0;                  // increases with each request of this instance
+    uint64_t table_version = 0;          // of the member's copy of the lease table
+    std::vector<std::string> requested;  // families of duties that the member asks for
+    std::vector<SeenEpoch> seen_epochs;  // those higher than in that table
+    bool departing = false;              // the member shuts down and wants no duties
+    uint64_t last_answered_nonce = 0;    // of the newest request that was answered
+    std::vector<SeenEpoch> given_up;     // granted leases that the member no longer holds
     MSGPACK_DEFINE(instance, nonce, table_version, requested, seen_epochs, departing, last_answered_nonce,
                    given_up)
 };
@@ -137,18 +137,18 @@
     Epoch epoch = 0;
     MSGPACK_DEFINE(duty, holder, instance, epoch)
 };
-// The leader's answer, confirmed by a majority. With nonce zero it is a notification, which renews nothing.
+// The leader's response, confirmed by a majority. With nonce 0 it is a notification that renews nothing.
 struct LeaseRenewResponse {
     Term term = 0;
     uint64_t nonce = 0;  // of the request
     uint64_t table_version = 0;
-    bool full_table = false;  // the leases are the whole table; otherwise the receiver's own alone
+    bool full_table = false;  // whether `leases` is the whole table or only the receiver's leases
     std::vector<LeaseRecord> leases;
     MSGPACK_DEFINE(term, nonce, table_version, full_table, leases)
 };
-// The answer of a member that does not lead.
+// The response of a member that is not the leader.
 struct LeaderRedirect {
-    MemberKey leader = 0;  // zero: it knows of none
+    MemberKey leader = 0;  // zero: unknown
     Term term = 0;
     MSGPACK_DEFINE(leader, term)
 };
@@ -170,7 +170,7 @@
 // Sent to the leader for an operator at the sender's admin address.
 struct AdminCommand {
     uint64_t number = 0;
-    std::string name, first, second;  // and its arguments
+    std::string name, first, second;  // the command and its arguments
     MSGPACK_DEFINE(number, name, first, second)
 };
 struct AdminCommandResult {
@@ -182,13 +182,13 @@
 
 // ---- broadcasts ----
 
-// An effect of a duty on all members, passed on by each that accepts it.
+// An effect of a duty on all members. Each member that accepts it forwards it.
 struct Broadcast {
     std::string duty;
     Epoch epoch = 0;
-    uint64_t number = 0;  // grows within the epoch
-    uint64_t content_number =
-        0;  // of the last one with content: where this one has none, that one still holds
+    uint64_t number = 0;  // increases within the epoch
+    // The latest broadcast with content. If this one has none, that content is still valid.
+    uint64_t content_number = 0;
     int64_t age_us = 0;
     std::string content;
     MSGPACK_DEFINE(duty, epoch, number, content_number, age_us, content)
@@ -201,16 +201,16 @@
 
 // ---- outliers ----
 
-// What one balancer has found of an upstream: outlier_gossip.h.
+// Outlier report of one balancer about an upstream; see outlier_gossip.h.
 struct OutlierReport {
     uint64_t upstream = 0;  // hash of its uid
     MemberKey reporter = 0;
     InstanceId instance = 0;
-    uint64_t number = 0;         // grows with each report of this instance
+    uint64_t number = 0;         // increases with each report of this instance
     uint8_t reduction = 0;       // of 255
-    uint8_t evidence_count = 0;  // bad answers that it rests on
+    uint8_t evidence_count = 0;  // number of bad responses that it is based on
     uint32_t age_ms = 0;         // since the last of them
-    uint32_t started_s = 0;      // since the upstream's start, plus one; zero: it is not warming up
+    uint32_t started_s = 0;      // seconds since the upstream's start, plus 1; 0: it is not warming up
     MSGPACK_DEFINE(upstream, reporter, instance, number, reduction, evidence_count, age_ms, started_s)
 };
 struct OutlierDigest {
@@ -220,26 +220,26 @@
 
 // ---- quotas ----
 
-// Of one budget: quota_client.h.
+// A member's demand on one budget; see quota_client.h.
 struct QuotaDemand {
     uint8_t budget = 0;  // Budget
     uint64_t which = 0;
-    float demand = 0;     // a second
-    float held_rate = 0;  // what was granted and may still be used
+    float demand = 0;     // per second
+    float held_rate = 0;  // granted rate that may still be used
     MSGPACK_DEFINE(budget, which, demand, held_rate)
 };
 struct QuotaRequest {
     InstanceId instance = 0;
-    Epoch epoch = 0;  // of the allocator that is asked
+    Epoch epoch = 0;  // of the receiving allocator
     uint64_t number = 0;
-    uint64_t last_answered = 0;  // request: what was granted before its answer is not used any more
+    uint64_t last_answered = 0;  // request; earlier grants are no longer used
     std::vector<QuotaDemand> demands;
     MSGPACK_DEFINE(instance, epoch, number, last_answered, demands)
 };
 struct QuotaGrant {
     uint8_t budget = 0;
     uint64_t which = 0;
-    float rate = 0;  // a second
+    float rate = 0;  // per second
     MSGPACK_DEFINE(budget, which, rate)
 };
 struct QuotaResponse {
@@ -252,14 +252,15 @@
 
 // ---- the endpoint list ----
 
-// A state of the replicated list: ordered, and never used for two states. Zero: the empty list at the start.
+// Identifies a state of the replicated list. Revisions are ordered and unique; zero is the initial empty
+// list.
 struct EndpointRevision {
     Epoch epoch = 0;      // of the holder that published it
     uint64_t number = 0;  // within the epoch, from 1
     auto operator<=>(const EndpointRevision&) const = default;
     MSGPACK_DEFINE(epoch, number)
 };
-// Of a list as discovery numbers it. Numbers of two sources say nothing of each other.
+// Version of a list as numbered by discovery. Numbers of different sources are not comparable.
 struct EndpointListVersion {
     std::string source;  // discovery's address
     uint64_t number = 0;
@@ -271,29 +272,30 @@
     MSGPACK_DEFINE(source, number)
 };
 struct EndpointEntry {
-    std::string uid, text;  // text: its target in discovery's form
+    std::string uid, text;  // text: the target in the format of discovery
     MSGPACK_DEFINE(uid, text)
 };
-// One step of the replicated list. Pushed along the rings, or sent in answer to EndpointDeltaRequest.
+// One change of the replicated list. Pushed along the gossip rings, or sent in response to an
+// EndpointDeltaRequest.
 struct EndpointDelta {
     EndpointRevision from, to;
-    EndpointListVersion version;  // after it
+    EndpointListVersion version;  // after this change
     std::vector<EndpointEntry> changed;
     std::vector<std::string> removed;  // uids
-    uint64_t digest = 0;               // of the state after it
+    uint64_t digest = 0;               // of the list after this change
     bool partial = false;              // the rest of this version follows in the next delta
-    bool answer = false;               // to EndpointDeltaRequest
-    bool more = false;                 // the last of an answer whose sender holds further ones
-    int64_t age_us = 0;                // since its sender's list was last confirmed
+    bool answer = false;               // a response to EndpointDeltaRequest
+    bool more = false;                 // the last delta of a response that does not include all deltas
+    int64_t age_us = 0;                // since the sender's list was last confirmed
     MSGPACK_DEFINE(from, to, version, changed, removed, digest, partial, answer, more, age_us)
 };
-// Asks for what follows `from`: deltas, or the first chunk of a snapshot.
+// Asks for the changes after `from`, as deltas or as a snapshot.
 struct EndpointDeltaRequest {
     EndpointRevision from;
     EndpointListVersion version;  // at `from`
     uint64_t digest = 0;          // at `from`
-    bool whole = false;           // its sender's replica is wrong: deltas do not help
-    EndpointRevision snapshot;    // that is being received, and its next chunk
+    bool whole = false;           // the sender's replica is wrong, which deltas cannot repair
+    EndpointRevision snapshot;    // the snapshot that is being received, and its next chunk
     uint32_t chunk = 0;
     MSGPACK_DEFINE(from, version, digest, whole, snapshot, chunk)
 };
@@ -315,38 +317,39 @@
                              EndpointDelta, EndpointDeltaRequest, EndpointSnapshotChunk>;
 
 inline constexpr uint32_t wire_version = 1;
-inline constexpr size_t max_frame_bytes = 4 << 20;  // bytes
+inline constexpr size_t max_frame_bytes = 4 << 20;
 
-// Lower ones are sent first, and dropped last where a queue overflows.
+// Lower values are sent first, and dropped last when a queue overflows.
 enum class Urgency : uint8_t { leases, membership, bulk };
 Urgency urgency_of(const Message& message);
 
 std::string encode_payload(const Message& message);
-std::string frame(size_t kind, std::string_view payload, uint32_t number);  // kind: the message's index
+// `kind` is the index in Message; `number` counts the frames of a connection from 0.
+std::string encode_frame(size_t kind, std::string_view payload, uint32_t number);
 inline std::string encode_frame(const Message& message, uint32_t number)
 {
-    return frame(message.index(), encode_payload(message), number);
+    return encode_frame(message.index(), encode_payload(message), number);
 }
 
-// Frames of one connection, in order.
+// Decodes the frames that one connection receives.
 class FrameReader
 {
   public:
     enum class State { more, message, broken };
-    // Takes bytes in; then next() until it says more, or broken.
-    void take(std::string_view bytes) { text_.append(bytes); }
+    // Appends received bytes. Call next() afterwards until it returns `more` or `broken`.
+    void take(std::string_view bytes) { buffer_.append(bytes); }
     State next();
     Message& message() { return message_; }
-    const char* why() const { return why_; }  // broken
+    const char* why() const { return error_; }  // the error, in state `broken`
 
   private:
-    State broken(const char* why);
+    State fail(const char* error);
 
-    std::string text_;
-    size_t at_ = 0;
-    uint32_t number_ = 0;
+    std::string buffer_;
+    size_t offset_ = 0;
+    uint32_t next_number_ = 0;
     Message message_;
-    const char* why_ = "";
+    const char* error_ = "";
 };
 
 }  // namespace firtide::fleet
--- a/src/fleet/transport/outgoing.h
+++ b/src/fleet/transport/outgoing.h
@@ -1,4 +1,4 @@
-// A message for another member. Parts without I/O return these; the host sends them.
+// A message to another member. Components without I/O return it, and the host sends it.
 #pragma once
 
 #include "messages.h"
--- a/src/fleet/transport/pack.h
+++ b/src/fleet/transport/pack.h
@@ -1,4 +1,4 @@
-// Encoding of messages and records, by MessagePack.
+// Encoding of messages and records as MessagePack.
 #pragma once
 
 #ifndef MSGPACK_NO_BOOST
@@ -20,18 +20,19 @@
     return {out.data(), out.size()};
 }
 
-// Nothing where the bytes are no such value, or more than that. Bounds what hostile bytes can make grow.
+// Returns nothing if the bytes are not exactly one value of this type. The limits keep hostile input from
+// allocating more elements than it has bytes, or nesting deeper than 16 levels.
 template <class T>
 std::optional<T> unpack(std::string_view bytes)
 {
     try {
-        size_t at = 0;
+        size_t offset = 0;
         const auto size = bytes.size();
-        const msgpack::unpack_limit limit(size + 1, size + 1, size + 1, size + 1, size + 1, 16);
-        // False positive: a caller's temporary lives until this returns, and msgpack copies out of it.
-        // cppcheck-suppress danglingTemporaryLifetime
-        const auto handle = msgpack::unpack(bytes.data(), size, at, nullptr, nullptr, limit);
-        if (at != size) return {};
+        const msgpack::unpack_limit limits(size + 1, size + 1, size + 1, size + 1, size + 1, 16);
+        // False positive: the caller's temporary lives until this function returns, and msgpack copies from
+        // it. cppcheck-suppress danglingTemporaryLifetime
+        const auto handle = msgpack::unpack(bytes.data(), size, offset, nullptr, nullptr, limits);
+        if (offset != size) return {};
         T value;
         handle.get().convert(value);
         return value;
--- a/src/fleet/transport/peers.cpp
+++ b/src/fleet/transport/peers.cpp
@@ -17,54 +17,54 @@
 namespace
 {
 
-constexpr size_t max_queued_bytes = 1
-                                    << 20;  // for one member; a larger message fits where nothing else waits
-constexpr size_t max_buffered_bytes =
-    64 << 10;  // given to the system at a time: the rest stays in order of urgency
-constexpr Duration queue_timeout = seconds(2);  // what is older is of no use to its receiver
-constexpr Duration connect_timeout = seconds(1), greeting_timeout = seconds(3);
+// For one member. A larger message is kept only while it is the only one.
+constexpr size_t max_queued_bytes = 1 << 20;
+// In the output buffer of a connection. The rest stays in the queues, in order of urgency.
+constexpr size_t max_buffered_bytes = 64 << 10;
+constexpr Duration queue_timeout = seconds(2);  // older messages are useless to the receiver
+constexpr Duration connect_timeout = seconds(1), hello_timeout = seconds(3);
 constexpr Duration min_reconnect_delay = seconds(0.05), max_reconnect_delay = seconds(1);
-constexpr Duration idle_timeout =
-    seconds(30);                         // three times as long at the receiver: the sender closes first
-constexpr int unacknowledged_ms = 2000;  // sent and not acknowledged: the connection is given up
+// Of the sender. The receiver waits three times as long, so that the sender closes first.
+constexpr Duration idle_timeout = seconds(30);
+constexpr int unacknowledged_timeout_ms = 2000;  // TCP gives up a connection with older unacknowledged data
 constexpr int listen_backlog = 128;
-constexpr size_t inbound_per_member = 2, spare_inbound = 16;
+constexpr size_t max_inbound_per_member = 2, extra_inbound = 16;
 
-sockaddr_in address_of(const std::string& text)
+sockaddr_in parse_address(const std::string& text)
 {
-    sockaddr_in at{};
-    int length = sizeof at;
-    if (evutil_parse_sockaddr_port(text.c_str(), reinterpret_cast<sockaddr*>(&at), &length) != 0 ||
-        at.sin_family != AF_INET)
-        throw std::runtime_error("'" + text + "' is no IPv4 address");
-    return at;
+    sockaddr_in address{};
+    int length = sizeof address;
+    if (evutil_parse_sockaddr_port(text.c_str(), reinterpret_cast<sockaddr*>(&address), &length) != 0 ||
+        address.sin_family != AF_INET)
+        throw std::runtime_error("'" + text + "' is not an IPv4 address");
+    return address;
 }
 
 }  // namespace
 
-// Lives as long as a connection that another member, or a stranger, has opened.
+// A connection that another member, or an unknown client, has opened.
 struct Peers::Inbound {
     Peers* owner = nullptr;
-    InboundPlace self;
+    InboundIterator self;
     BuffereventPtr stream;
     FrameReader reader;
-    std::optional<MemberIndex> from;  // once it has greeted
+    std::optional<MemberIndex> sender;  // known after its Hello
 };
 
-// Lives as long as this process.
+// Queues and connection to one member. It is never removed.
 struct Peers::Outbound {
     Peers* owner = nullptr;
     MemberIndex to = 0;
     sockaddr_in address{};
     BuffereventPtr stream;
     bool connected = false;
-    uint32_t frames = 0;                              // sent on this connection
+    uint32_t frames = 0;                              // sent over this connection
     std::array<std::deque<QueuedMessage>, 3> queues;  // by urgency
     size_t queued_bytes = 0;
     Duration reconnect_delay = min_reconnect_delay;
     TimePoint last_write;
-    EventPtr timer;  // of the connect, or until the next one
-    bool waits_to_reconnect = false;
+    EventPtr timer;  // times out a connection attempt, or starts the next one
+    bool waiting_to_reconnect = false;
 };
 
 Peers::Peers(event_base* base, const FleetConfig& config, InstanceId instance, uint64_t seed,
@@ -78,7 +78,7 @@
 {
     listen();
     for (MemberIndex member = 0; member < config.members.size(); ++member)
-        if (member != config.self) (void)address_of(config.members[member].address);
+        if (member != config.self) (void)parse_address(config.members[member].address);
 }
 
 Peers::~Peers() = default;
@@ -87,7 +87,7 @@
 
 void Peers::listen()
 {
-    auto address = address_of(config_.listen);
+    auto address = parse_address(config_.listen);
     const auto on_accept = [](evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
         static_cast<Peers*>(self)->accept(fd);
     };
@@ -101,15 +101,15 @@
 
 void Peers::accept(evutil_socket_t fd)
 {
-    // Of strangers that connect and say nothing, the longest silent goes first.
-    if (inbound_.size() >= config_.members.size() * inbound_per_member + spare_inbound) {
-        const auto silent = std::find_if(inbound_.begin(), inbound_.end(),
-                                         [](const Inbound& inbound) { return !inbound.from; });
-        if (silent == inbound_.end()) {
+    // At the limit, closes the oldest connection that has not sent a Hello.
+    if (inbound_.size() >= config_.members.size() * max_inbound_per_member + extra_inbound) {
+        const auto anonymous = std::find_if(inbound_.begin(), inbound_.end(),
+                                            [](const Inbound& inbound) { return !inbound.sender; });
+        if (anonymous == inbound_.end()) {
             evutil_closesocket(fd);
             return;
         }
-        inbound_.erase(silent);
+        inbound_.erase(anonymous);
     }
     evutil_make_socket_nonblocking(fd);
     inbound_.emplace_back();
@@ -126,40 +126,40 @@
         self->owner->inbound_.erase(self->self);
     };
     bufferevent_setcb(inbound->stream.get(), on_read, nullptr, on_event, &*inbound);
-    const auto timeout = to_timeval(greeting_timeout);
+    const auto timeout = to_timeval(hello_timeout);
     bufferevent_set_timeouts(inbound->stream.get(), &timeout, nullptr);
     bufferevent_enable(inbound->stream.get(), EV_READ);
 }
 
-// Null where the first message names a member of this fleet that means this one.
-const char* Peers::refusal_of(Inbound& inbound, const Message& message) const
+// Returns null if the first message is a Hello from a member of this fleet to this member.
+const char* Peers::refusal_reason(Inbound& inbound, const Message& message) const
 {
     const auto* hello = std::get_if<Hello>(&message);
-    if (!hello) return "it said something before greeting";
-    if (hello->fleet != config_.name) return "it is of another fleet";
-    if (hello->version != wire_version) return "it speaks another version";
-    if (hello->to != config_.members[config_.self].key) return "it looks for another member here";
-    const auto from = config_.member_of(hello->from);
-    if (!from) return "nobody knows it";
-    if (*from == config_.self) return "it says that it is this member";
-    inbound.from = from;
+    if (!hello) return "its first message is not a Hello";
+    if (hello->fleet != config_.name) return "it belongs to another fleet";
+    if (hello->version != wire_version) return "it uses another protocol version";
+    if (hello->to != config_.members[config_.self].key) return "it is addressed to another member";
+    const auto sender = config_.member_of(hello->from);
+    if (!sender) return "nobody knows it";
+    if (*sender == config_.self) return "it claims this member's id";
+    inbound.sender = sender;
     return nullptr;
 }
 
-bool Peers::greet(Inbound& inbound, const Message& message)
+bool Peers::on_hello(Inbound& inbound, const Message& message)
 {
-    if (const char* refusal = refusal_of(inbound, message)) {
-        ++counts_.strangers;
+    if (const char* refusal = refusal_reason(inbound, message)) {
+        ++counts_.refused;
         spdlog::warn("fleet: a connection is refused: {}", refusal);
         return false;
     }
-    // Silence is the membership's affair; a connection that is done is closed by who opened it.
+    // Failure detection is up to the membership; an idle connection is closed by the member that opened it.
     const auto timeout = to_timeval(idle_timeout * 3);
     bufferevent_set_timeouts(inbound.stream.get(), &timeout, nullptr);
     return true;
 }
 
-void Peers::on_readable(InboundPlace inbound)
+void Peers::on_readable(InboundIterator inbound)
 {
     auto* input = bufferevent_get_input(inbound->stream.get());
     const size_t size = evbuffer_get_length(input);
@@ -170,23 +170,23 @@
     read_messages(inbound);
 }
 
-void Peers::read_messages(InboundPlace inbound)
+void Peers::read_messages(InboundIterator inbound)
 {
     for (;;) {
         const auto state = inbound->reader.next();
         if (state == FrameReader::State::more) return;
         if (state == FrameReader::State::broken) {
-            ++counts_.garbage;
+            ++counts_.malformed;
             spdlog::warn("fleet: a connection of {} is ended: {}",
-                         inbound->from ? config_.members[*inbound->from].id : "a stranger",
+                         inbound->sender ? config_.members[*inbound->sender].id : "a stranger",
                          inbound->reader.why());
             inbound_.erase(inbound);
             return;
         }
-        if (inbound->from) {
+        if (inbound->sender) {
             ++counts_.messages_in;
-            on_message_(*inbound->from, std::move(inbound->reader.message()));
-        } else if (!greet(*inbound, inbound->reader.message())) {
+            on_message_(*inbound->sender, std::move(inbound->reader.message()));
+        } else if (!on_hello(*inbound, inbound->reader.message())) {
             inbound_.erase(inbound);
             return;
         }
@@ -195,8 +195,8 @@
 
 // ---- outbound ----
 
-// Made at the first message. Most members never speak to each other: in a large fleet the memory of queues to
-// all of them is the larger part of a member's own.
+// Created with the first message to the member. Most members never send to each other: in a large fleet,
+// queues to all of them would be the larger part of a member's memory.
 Peers::Outbound& Peers::outbound_to(MemberIndex member)
 {
     const auto [entry, is_new] = outbound_.try_emplace(member);
@@ -204,7 +204,7 @@
     if (!is_new) return outbound;
     outbound.owner = this;
     outbound.to = member;
-    outbound.address = address_of(config_.members[member].address);
+    outbound.address = parse_address(config_.members[member].address);
     const auto on_timeout = [](evutil_socket_t, short, void* arg) {
         auto* self = static_cast<Outbound*>(arg);
         self->owner->on_timer(*self);
@@ -253,7 +253,7 @@
         if (what & BEV_EVENT_CONNECTED)
             self->owner->on_connected(*self);
         else
-            self->owner->on_ended(*self);
+            self->owner->on_disconnected(*self);
     };
     bufferevent_setcb(outbound.stream.get(), nullptr, on_write, on_event, &outbound);
     bufferevent_enable(outbound.stream.get(), EV_READ | EV_WRITE);
@@ -268,7 +268,8 @@
     const int on = 1;
     const int fd = bufferevent_getfd(outbound.stream.get());
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-    setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &unacknowledged_ms, sizeof unacknowledged_ms);
+    setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &unacknowledged_timeout_ms,
+               sizeof unacknowledged_timeout_ms);
     event_del(outbound.timer.get());
     outbound.connected = true;
     outbound.reconnect_delay = min_reconnect_delay;
@@ -279,8 +280,8 @@
     flush(outbound);
 }
 
-// Whatever was handed over and has not arrived is lost: nobody counts on any message.
-void Peers::on_ended(Outbound& outbound)
+// Messages that were written and have not arrived are lost; no component relies on any message.
+void Peers::on_disconnected(Outbound& outbound)
 {
     outbound.stream.reset();
     outbound.connected = false;
@@ -289,16 +290,16 @@
 
 void Peers::on_timer(Outbound& outbound)
 {
-    outbound.waits_to_reconnect = false;
+    outbound.waiting_to_reconnect = false;
     const bool connect_timed_out = outbound.stream && !outbound.connected;
-    if (connect_timed_out) return on_ended(outbound);
+    if (connect_timed_out) return on_disconnected(outbound);
     flush(outbound);
 }
 
-// With jitter: hundreds must not come back in step to a member that has just started.
+// With jitter, so that hundreds of members do not reconnect at once to a member that has just started.
 void Peers::reconnect_later(Outbound& outbound)
 {
-    outbound.waits_to_reconnect = true;
+    outbound.waiting_to_reconnect = true;
     const double jitter = 0.5 + std::uniform_real_distribution<>(0, 1)(random_);
     const auto delay = to_timeval(outbound.reconnect_delay * jitter);
     outbound.reconnect_delay = std::min(max_reconnect_delay, outbound.reconnect_delay * 2);
@@ -308,7 +309,7 @@
 void Peers::drop_expired(Outbound& outbound, TimePoint now)
 {
     for (auto& queue : outbound.queues)
-        while (!queue.empty() && now - queue.front().since > queue_timeout) {
+        while (!queue.empty() && now - queue.front().queued_at > queue_timeout) {
             outbound.queued_bytes -= queue.front().payload.size();
             queue.pop_front();
             ++counts_.dropped;
@@ -319,7 +320,7 @@
 {
     const TimePoint now = monotonic_now();
     drop_expired(outbound, now);
-    if (outbound.waits_to_reconnect) return;
+    if (outbound.waiting_to_reconnect) return;
     if (!outbound.stream) {
         if (outbound.queued_bytes > 0) connect(outbound);
         return;
@@ -336,7 +337,7 @@
     auto* output = bufferevent_get_output(outbound.stream.get());
     for (auto& queue : outbound.queues)
         while (!queue.empty() && evbuffer_get_length(output) < max_buffered_bytes) {
-            const auto bytes = frame(queue.front().kind, queue.front().payload, outbound.frames++);
+            const auto bytes = encode_frame(queue.front().kind, queue.front().payload, outbound.frames++);
             outbound.queued_bytes -= queue.front().payload.size();
             queue.pop_front();
             bufferevent_write(outbound.stream.get(), bytes.data(), bytes.size());
--- a/src/fleet/transport/peers.h
+++ b/src/fleet/transport/peers.h
@@ -1,6 +1,6 @@
-// Connections to the other members, on libevent: one way each. Messages are sent over connections that this
-// member opens, and received over those that others open. Nothing here blocks, and no queue grows without
-// end.
+// Connections to the other members, on libevent. Each carries messages in one direction: messages are sent
+// over connections that this member opens, and received over connections that others open. Nothing here
+// blocks, and all queues are bounded.
 #pragma once
 
 #include <array>
@@ -22,16 +22,16 @@
 class Peers
 {
   public:
-    // `on_message` is called for each message, on the loop. Throws std::runtime_error where the address can't
-    // be listened on.
+    // `on_message` is called on the event loop for each message. Throws std::runtime_error if it cannot
+    // listen on the address.
     Peers(event_base* base, const FleetConfig& config, InstanceId instance, uint64_t seed,
           std::function<void(MemberIndex, Message)> on_message);
     ~Peers();
     Peers(const Peers&) = delete;
     Peers& operator=(const Peers&) = delete;
 
-    // Queues a message; it may be lost. Where there is no room, the least urgent goes first, and of these the
-    // oldest.
+    // Queues a message, which may be lost. A full queue drops the least urgent messages first, and of these
+    // the oldest.
     void send(MemberIndex to, const Message& message);
     [[nodiscard]] const TrafficCounts& counts() const { return counts_; }
 
@@ -39,25 +39,25 @@
     struct Inbound;
     struct Outbound;
     struct QueuedMessage {
-        TimePoint since;
+        TimePoint queued_at;
         uint16_t kind = 0;
         std::string payload;
     };
-    using InboundPlace = std::list<Inbound>::iterator;
+    using InboundIterator = std::list<Inbound>::iterator;
 
     void listen();
     void accept(evutil_socket_t fd);
-    void on_readable(InboundPlace inbound);
-    void read_messages(InboundPlace inbound);
-    bool greet(Inbound& inbound, const Message& message);
-    const char* refusal_of(Inbound& inbound, const Message& message) const;
+    void on_readable(InboundIterator inbound);
+    void read_messages(InboundIterator inbound);
+    bool on_hello(Inbound& inbound, const Message& message);
+    const char* refusal_reason(Inbound& inbound, const Message& message) const;
 
     Outbound& outbound_to(MemberIndex member);
     void drop_excess(Outbound& outbound);
     void drop_expired(Outbound& outbound, TimePoint now);
     void connect(Outbound& outbound);
     void on_connected(Outbound& outbound);
-    void on_ended(Outbound& outbound);
+    void on_disconnected(Outbound& outbound);
     void on_timer(Outbound& outbound);
     void reconnect_later(Outbound& outbound);
     void flush(Outbound& outbound);
@@ -70,7 +70,7 @@
     std::function<void(MemberIndex, Message)> on_message_;
     std::unique_ptr<evconnlistener, void (*)(evconnlistener*)> listener_;
     std::list<Inbound> inbound_;
-    std::map<MemberIndex, Outbound> outbound_;  // to members that anything was ever sent to
+    std::map<MemberIndex, Outbound> outbound_;  // to members that a message was ever sent to
     TrafficCounts counts_;
 };
 
--- a/src/fleet/transport/traffic.h
+++ b/src/fleet/transport/traffic.h
@@ -1,4 +1,4 @@
-// What one member's connections to the other members have carried, since its process started.
+// Traffic on a member's connections to other members since its process started.
 #pragma once
 
 #include <cstdint>
@@ -9,12 +9,13 @@
 
 struct TrafficCounts {
     uint64_t messages_in = 0, messages_out = 0, bytes_in = 0, bytes_out = 0;
-    uint64_t dropped = 0;    // of the queues, for want of room or by age
-    uint64_t garbage = 0;    // connections ended for what could not be read
-    uint64_t strangers = 0;  // refused: another fleet or version, an unknown member, or meant for another
+    uint64_t dropped = 0;    // from queues that were full, or after the queue timeout
+    uint64_t malformed = 0;  // connections closed after an unreadable frame
+    uint64_t refused =
+        0;  // connections refused at the Hello: wrong fleet or version, unknown sender, other receiver
 };
 
-// The line `traffic ...` of show-fleet, with its end.
+// The `traffic` line of show-fleet, with its newline.
 inline std::string to_string(const TrafficCounts& counts)
 {
     return "traffic messages_in " + std::to_string(counts.messages_in) + " messages_out " +
