--- a/src/fleet/host/commands.h
+++ b/src/fleet/host/commands.h
@@ -1,4 +1,4 @@
-// What the command line does with fleets, beside serving in one.
+// Fleet commands of the command line, other than serving.
 #pragma once
 
 #include <string>
@@ -8,13 +8,14 @@
 namespace firtide::fleet
 {
 
-// Throws CannotStart with one line: file, line and key.
+// Throws CannotStart with a one-line message that names the file, line and key.
 FleetConfig read_fleet_config(const std::string& path);
 
-// Both return the exit status.
+// The following functions return the exit status.
 int check_file(const std::string& path);
-// A snapshot's file: whether it is whole, and what it holds.
+// Checks a snapshot file; with `dump`, prints its content.
 int check_snapshot(const std::string& path, bool dump);
+// Sends one line to the management address and prints the response.
 int ask_management(const std::string& address, const std::string& line);
 
 }  // namespace firtide::fleet
--- a/src/fleet/host/fleet_clock.h
+++ b/src/fleet/host/fleet_clock.h
@@ -1,4 +1,4 @@
-// The fleet's clock: goes on while the machine is suspended, and starts anew with each boot of it.
+// The fleet's clock, which continues while the machine is suspended and restarts at boot.
 #pragma once
 
 #include <string>
@@ -10,7 +10,7 @@
 
 TimePoint fleet_now();
 
-// Of the machine since its start; empty where the system does not tell.
+// Identifies the current boot of the machine; empty if the system does not provide it.
 std::string boot_id();
 
 }  // namespace firtide::fleet
--- a/src/fleet/host/host.cpp
+++ b/src/fleet/host/host.cpp
@@ -12,7 +12,7 @@
 
 constexpr Duration tick_interval = seconds(0.05);
 
-uint64_t draw_seed()
+uint64_t random_seed()
 {
     std::random_device device;
     return uint64_t{device()} << 32 | device();
@@ -25,9 +25,9 @@
       config_(std::move(config)),
       hooks_(std::move(hooks)),
       directory_(config_, path),
-      instance_(draw_seed() | 1),
-      fleet_(config_, instance_, directory_.next_incarnation(), draw_seed()),
-      peers_(base, config_, instance_, draw_seed(),
+      instance_(random_seed() | 1),
+      fleet_(config_, instance_, directory_.next_incarnation(), random_seed()),
+      peers_(base, config_, instance_, random_seed(),
              [this](MemberIndex from, Message message) {
                  notify(MessageReceived{from, std::move(message)});
              }),
@@ -49,7 +49,7 @@
             notify(VoterAgentReported{std::move(effect)});
         };
         voter_agent_ =
-            std::make_unique<VoterAgentThread>(base_, config_, directory_.files(), draw_seed(), on_effect);
+            std::make_unique<VoterAgentThread>(base_, config_, directory_.files(), random_seed(), on_effect);
     }
     if (config_.recovery) {
         notify(load_snapshot());
@@ -64,15 +64,15 @@
 {
     if (auto* request = std::get_if<AdminRequest>(&event)) request->traffic = peers_.counts();
     events_.push_back(std::move(event));
-    if (reducing_) return;
-    reducing_ = true;
+    if (is_processing_) return;
+    is_processing_ = true;
     while (!events_.empty()) {
         FleetEvent next = std::move(events_.front());
         events_.pop_front();
         auto effects = fleet_.reduce(fleet_now(), std::move(next));
         for (FleetEffect& effect : effects) std::visit([this](auto& each) { on(each); }, effect);
     }
-    reducing_ = false;
+    is_processing_ = false;
 }
 
 bool Host::authorize(const std::string& duty, Epoch epoch, Duration duration) const
@@ -87,13 +87,13 @@
     if (snapshot_writer_) report_snapshot_errors();
 }
 
-// A disk that fails costs no more than that other members have to be asked how far the incarnation had come.
+// A failing disk is tolerable: the member then has to learn its last incarnation from other members.
 void Host::store_incarnation()
 {
     if (const auto error = directory_.store_incarnation(fleet_.incarnation())) {
         LogEvent event;
         event.subject = config_.id;
-        event.reason = "the incarnation is not kept: " + error.message();
+        event.reason = "the incarnation cannot be stored: " + error.message();
         on(event);
     }
 }
@@ -118,7 +118,7 @@
     auto decoded = decode_member_snapshot(*bytes);
     if (auto* error = std::get_if<SnapshotError>(&decoded)) return {std::move(*error), {}};
     auto& snapshot = std::get<MemberSnapshot>(decoded);
-    // The boot clock goes on for as long as the machine does; wall clocks are not asked.
+    // The boot clock is valid until the next boot. Wall clocks are not used.
     std::optional<Duration> age;
     const Duration since{fleet_now().us - snapshot.written_at_boot_us};
     if (snapshot.boot_id == boot_id() && since >= Duration{}) age = since;
@@ -141,7 +141,7 @@
     }
 }
 
-// The check stands right before the bytes leave: getting a connection takes time.
+// Checks the lease right before the bytes are sent, because connecting takes time.
 void Host::notify_subscriber(const LeasedEffect& effect, const NotifySubscriber& notification)
 {
     const DutyNotification message{effect.duty, config_.id, effect.epoch, notification.number,
@@ -212,7 +212,7 @@
     if (snapshot_writer_) snapshot_writer_->write(std::move(write.snapshot));
 }
 
-// One line of JSON for each change that somebody may have to trace.
+// Writes one line of JSON per event, for later tracing.
 void Host::on(LogEvent& event)
 {
     if (!spdlog::should_log(spdlog::level::info)) return;
--- a/src/fleet/host/host.h
+++ b/src/fleet/host/host.h
@@ -1,7 +1,7 @@
-// A member on a real loop: hands the fleet its events and carries out its effects. All that it does for a
-// duty passes one check here, with the clock read right before it.
+// Runs a member on an event loop: passes events to the fleet and executes its effects. Each effect of a duty
+// passes one lease check here, with the clock read right before it.
 //
-// Used on the loop's thread.
+// Must be used on the loop's thread.
 #pragma once
 
 #include <deque>
@@ -23,7 +23,7 @@
 class Host
 {
   public:
-    // What the balancer does for the fleet. Each may be empty.
+    // Callbacks into the balancer. Each may be empty.
     struct Hooks {
         std::function<void(uint64_t caller, const std::string& text)> reply;
         std::function<void(bool on)> set_discovery_polling;
@@ -35,27 +35,28 @@
         std::function<void(ApplyOutlierReports&)> apply_outlier_reports;
         std::function<void(ApplySnapshot&)> apply_snapshot;
         std::function<void(const ApplyFleetState&)> apply_fleet_state;
-        std::function<void(ApplyQuotas&)> apply_quotas;  // its points in time are of fleet_now()
+        std::function<void(ApplyQuotas&)> apply_quotas;  // its time points are of fleet_now()
     };
 
-    // Creates or opens the member's directory; throws CannotStart where that, or the address, cannot be had.
-    // `path`: of the fleet file, for errors.
+    // Creates or opens the member's directory. Throws CannotStart if that is impossible, std::runtime_error
+    // if it cannot listen on its address. `path`: of the fleet file, for error messages.
     Host(event_base* base, FleetConfig config, const std::string& path, Hooks hooks);
     ~Host();
     Host(const Host&) = delete;
     Host& operator=(const Host&) = delete;
 
     void start();
-    // Events that come while effects are carried out wait for their turn.
+    // Events that arrive while effects are executed are queued.
     void notify(FleetEvent event);
-    // Whether an effect of a duty may leave now: to be asked again for what leaves later than it was decided.
+    // Whether an effect of a duty may be executed now. Must be called again for effects that are executed
+    // later.
     [[nodiscard]] bool authorize(const std::string& duty, Epoch epoch, Duration duration = {}) const;
 
     [[nodiscard]] const FleetConfig& config() const { return config_; }
     [[nodiscard]] const Fleet& fleet() const { return fleet_; }
     [[nodiscard]] const TrafficCounts& traffic() const { return peers_.counts(); }
 
-    // Checks the directory of a fleet file as a start would, and lets go of it.
+    // Checks the member's directory as a start would, and releases it.
     static void check(const FleetConfig& config, const std::string& path) { MemberDirectory(config, path); }
 
   private:
@@ -64,7 +65,7 @@
     void report_snapshot_errors();
     SnapshotLoaded load_snapshot();
 
-    // Each carries out one effect.
+    // Each executes one effect.
     void on(Send& send) { peers_.send(send.to, send.message); }
     void on(CallVoterAgent& call);
     void on(LeasedEffect& effect);
@@ -95,7 +96,7 @@
     std::error_code reported_snapshot_error_;
     EventPtr tick_timer_;
     std::deque<FleetEvent> events_;
-    bool reducing_ = false;
+    bool is_processing_ = false;
 };
 
 }  // namespace firtide::fleet
--- a/src/fleet/host/member_directory.cpp
+++ b/src/fleet/host/member_directory.cpp
@@ -16,7 +16,7 @@
 {
     std::optional<Directory> directory;
     const auto error = Directory::open(config.data, directory);
-    if (error == std::errc::operation_would_block) fail(config, path, "another process has it");
+    if (error == std::errc::operation_would_block) fail(config, path, "in use by another process");
     if (error) fail(config, path, error.message());
     return std::move(*directory);
 }
@@ -45,8 +45,8 @@
 
 std::error_code MemberDirectory::store_incarnation(Incarnation incarnation)
 {
-    if (incarnation == stored_) return {};
-    stored_ = incarnation;
+    if (incarnation == stored_incarnation_) return {};
+    stored_incarnation_ = incarnation;
     return directory_.replace(incarnation_file, pack(MemberRecord{fleet_, member_, incarnation}));
 }
 
--- a/src/fleet/host/member_directory.h
+++ b/src/fleet/host/member_directory.h
@@ -1,4 +1,4 @@
-// The directory that a member keeps its files in: whose it is, and the member's last incarnation.
+// The directory with a member's files. Stores which member it belongs to, and that member's last incarnation.
 #pragma once
 
 #include <stdexcept>
@@ -11,7 +11,7 @@
 namespace firtide::fleet
 {
 
-// Why a fleet file cannot be used on this machine. The text names the file, the key and the cause.
+// The fleet file cannot be used on this machine. The message names the file, the key and the cause.
 struct CannotStart : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
@@ -19,18 +19,18 @@
 class MemberDirectory
 {
   public:
-    // Creates the directory where there is none, and locks it. `path`: of the fleet file, for errors. Throws
-    // CannotStart where the directory cannot be had, or is another member's.
+    // Creates the directory if there is none, and locks it. `path`: of the fleet file, for error messages.
+    // Throws CannotStart if the directory cannot be used or belongs to another member.
     MemberDirectory(const FleetConfig& config, const std::string& path);
 
     [[nodiscard]] FileSystem& files() { return directory_; }
-    // Higher than any that was stored.
+    // Higher than any stored incarnation.
     [[nodiscard]] Incarnation next_incarnation();
-    // Stores an incarnation; does nothing where it is stored already.
+    // Does nothing if the incarnation is already stored.
     [[nodiscard]] std::error_code store_incarnation(Incarnation incarnation);
 
   private:
-    // The stored form.
+    // The content of the file.
     struct MemberRecord {
         std::string fleet, member;
         Incarnation incarnation = 0;
@@ -39,7 +39,7 @@
 
     const std::string fleet_, member_;
     Directory directory_;
-    Incarnation stored_ = 0;
+    Incarnation stored_incarnation_ = 0;
 };
 
 }  // namespace firtide::fleet
--- a/src/fleet/host/snapshot_writer.cpp
+++ b/src/fleet/host/snapshot_writer.cpp
@@ -22,7 +22,7 @@
 {
     {
         const std::lock_guard lock(mutex_);
-        next_ = std::move(snapshot);
+        pending_ = std::move(snapshot);
     }
     changed_.notify_one();
 }
@@ -37,9 +37,9 @@
 {
     std::unique_lock lock(mutex_);
     for (;;) {
-        changed_.wait(lock, [this] { return stopping_ || next_; });
+        changed_.wait(lock, [this] { return stopping_ || pending_; });
         if (stopping_) return;
-        MemberSnapshot snapshot = std::move(*std::exchange(next_, std::nullopt));
+        MemberSnapshot snapshot = std::move(*std::exchange(pending_, std::nullopt));
         lock.unlock();
         snapshot.boot_id = boot_;
         const auto error = files_.replace(snapshot_file_name, encode_member_snapshot(snapshot));
--- a/src/fleet/host/snapshot_writer.h
+++ b/src/fleet/host/snapshot_writer.h
@@ -1,4 +1,5 @@
-// Writes snapshots on a thread of its own, the newest at a time: encoding and the disk cost the loop nothing.
+// Writes snapshots on a separate thread, so that neither encoding nor the disk delays the event loop. Skips
+// snapshots that a newer one has replaced.
 #pragma once
 
 #include <condition_variable>
@@ -17,15 +18,15 @@
 class SnapshotWriter
 {
   public:
-    // `files` must outlive the writer. `boot`: the machine's, see boot_id().
+    // `files` must outlive the writer. `boot`: see boot_id().
     SnapshotWriter(FileSystem& files, std::string boot);
-    // Waits for the thread to end. What is not written by then is not written.
+    // Stops and joins the thread. A snapshot that it has not started to write is dropped.
     ~SnapshotWriter();
     SnapshotWriter(const SnapshotWriter&) = delete;
     SnapshotWriter& operator=(const SnapshotWriter&) = delete;
 
     void write(MemberSnapshot snapshot);
-    // Of the last write; no error where it succeeded.
+    // The error of the last write, or none if it succeeded.
     [[nodiscard]] std::error_code last_error();
 
   private:
@@ -33,9 +34,9 @@
 
     FileSystem& files_;
     const std::string boot_;
-    std::mutex mutex_;  // guards what follows
+    std::mutex mutex_;  // guards the members below
     std::condition_variable changed_;
-    std::optional<MemberSnapshot> next_;
+    std::optional<MemberSnapshot> pending_;
     std::error_code last_error_;
     bool stopping_ = false;
     std::thread thread_;
--- a/src/fleet/host/voter_agent_thread.cpp
+++ b/src/fleet/host/voter_agent_thread.cpp
@@ -11,7 +11,7 @@
 {
 
 constexpr Duration tick_interval = seconds(0.02);
-constexpr size_t max_calls = 4096;  // what is older than these nobody waits for any more
+constexpr size_t max_calls = 4096;  // nobody waits for older ones any more
 
 }  // namespace
 
@@ -73,12 +73,12 @@
     for (VoterAgentEffect& effect : effects) on_effect_(std::move(effect));
 }
 
-// Returns early where calls are there already, or the thread is to stop.
-std::deque<VoterAgentCall> VoterAgentThread::wait_for_calls(Duration at_most)
+// Returns early if calls are queued or the thread must stop.
+std::deque<VoterAgentCall> VoterAgentThread::wait_for_calls(Duration timeout)
 {
     std::unique_lock lock(mutex_);
-    if (!stopping_ && calls_.empty() && at_most > Duration{})
-        calls_changed_.wait_for(lock, std::chrono::microseconds(at_most.us));
+    if (!stopping_ && calls_.empty() && timeout > Duration{})
+        calls_changed_.wait_for(lock, std::chrono::microseconds(timeout.us));
     return std::exchange(calls_, {});
 }
 
--- a/src/fleet/host/voter_agent_thread.h
+++ b/src/fleet/host/voter_agent_thread.h
@@ -1,4 +1,4 @@
-// The voter agent on a thread of its own, which may block on the disk for as long as that takes.
+// Runs the voter agent on a separate thread, which may block on the disk.
 #pragma once
 
 #include <condition_variable>
@@ -17,24 +17,24 @@
 class VoterAgentThread
 {
   public:
-    // `on_effect` is called on the loop. `config` and `files` must outlive the thread.
+    // `on_effect` is called on the event loop. `config` and `files` must outlive the thread.
     VoterAgentThread(event_base* base, const FleetConfig& config, FileSystem& files, uint64_t seed,
                      std::function<void(VoterAgentEffect)> on_effect);
-    // Waits for the thread to end.
+    // Stops and joins the thread.
     ~VoterAgentThread();
     VoterAgentThread(const VoterAgentThread&) = delete;
     VoterAgentThread& operator=(const VoterAgentThread&) = delete;
 
-    // To be called on the loop. Where the disk does not answer for long, the oldest calls are dropped.
+    // To be called on the event loop. While the disk blocks for long, the oldest calls are dropped.
     void call(VoterAgentCall call);
 
   private:
-    // On the thread.
+    // On the agent's thread.
     void run(uint64_t seed);
-    std::deque<VoterAgentCall> wait_for_calls(Duration at_most);
+    std::deque<VoterAgentCall> wait_for_calls(Duration timeout);
     void post(std::vector<VoterAgentEffect> effects);
 
-    // On the loop.
+    // On the event loop.
     void deliver();
 
     const FleetConfig& config_;
@@ -42,7 +42,7 @@
     std::function<void(VoterAgentEffect)> on_effect_;
     Descriptor wakeup_;
     EventPtr wakeup_event_;
-    std::mutex mutex_;  // guards what follows
+    std::mutex mutex_;  // guards the members below
     std::condition_variable calls_changed_;
     std::deque<VoterAgentCall> calls_;
     std::deque<VoterAgentEffect> effects_;
