--- a/src/fleet/admin_service.cpp
+++ b/src/fleet/admin_service.cpp
@@ -5,8 +5,9 @@
 namespace
 {
 
-constexpr Duration answer_grace = seconds(10);  // beyond three leases
-constexpr double answer_leases = 3;
+// A command times out after this many lease durations plus the grace period.
+constexpr double timeout_leases = 3;
+constexpr Duration timeout_grace = seconds(10);
 
 // Names of commands on the wire.
 constexpr const char* transfer_command = "hand-over";
@@ -36,7 +37,7 @@
     if (request.name == transfer_command && !context_.config.duty_of(request.first))
         return context_.reply(request.caller, "FAILURE no such duty\n");
     const AdminCommand command{++last_number_, request.name, request.first, request.second};
-    const TimePoint deadline = context_.now + context_.config.lease.length * answer_leases + answer_grace;
+    const TimePoint deadline = context_.now + context_.config.lease.length * timeout_leases + timeout_grace;
     callers_[command.number] = {request.caller, deadline};
     if (lease_manager_.is_leader()) return on_command(context_.self, command);
     const auto last_leader = context_.lease_client.leader();
@@ -47,9 +48,9 @@
     context_.reply(request.caller, "FAILURE no leader is known\n");
 }
 
-// Nothing: it may be carried out. A vote can be taken from whoever has one, also from who has left the fleet
-// file.
-std::optional<std::string> AdminService::refusal(const AdminCommand& command) const
+// Returns nothing if the command may be executed. Any voter can be removed, even one that is no longer in the
+// fleet file.
+std::optional<std::string> AdminService::rejection_reason(const AdminCommand& command) const
 {
     if (!lease_manager_.is_leader()) return "this member does not lead";
     if (command.name != add_voter_command) return {};
@@ -62,7 +63,7 @@
 {
     if (command.name == transfer_command) return lease_manager_.transfer(context_.now, from, command);
     const Origin origin{from, command.number};
-    if (const auto text = refusal(command)) return answer(origin, false, *text);
+    if (const auto text = rejection_reason(command)) return send_result(origin, false, *text);
     const uint64_t proposal = next_proposal_++;
     pending_proposals_[proposal] = origin;
     const auto kind =
@@ -70,7 +71,7 @@
     context_.emit(CallVoterAgent{VoterConfigChange{proposal, kind, command.first}});
 }
 
-void AdminService::answer(const Origin& origin, bool success, std::string text)
+void AdminService::send_result(const Origin& origin, bool success, std::string text)
 {
     const AdminCommandResult result{origin.number, success, std::move(text)};
     if (origin.member == context_.self)
@@ -83,7 +84,7 @@
 {
     auto node = pending_proposals_.extract(result.id);
     if (node.empty()) return false;
-    answer(node.mapped(), result.committed, result.committed ? "done" : result.error);
+    send_result(node.mapped(), result.committed, result.committed ? "done" : result.error);
     return true;
 }
 
--- a/src/fleet/admin_service.h
+++ b/src/fleet/admin_service.h
@@ -1,5 +1,5 @@
-// Operators' commands that the leader carries out: sent to it on behalf of a caller here, or carried out here
-// on behalf of a caller at another member.
+// Operators' commands that only the leader can execute. Forwards them to the leader for callers at this
+// member, and at the leader executes those that members have forwarded.
 #pragma once
 
 #include <map>
@@ -21,15 +21,16 @@
     {
     }
 
-    // Answers callers whose command was not answered in time.
+    // Replies to callers whose command has timed out.
     void tick();
-    // hand-over DUTY [ID], let-in ID, put-out ID, from a caller here. `leader`: zero where none is known.
+    // hand-over DUTY [ID], let-in ID, put-out ID, from a caller at this member. `leader`: zero if none is
+    // known.
     void on_request(const AdminRequest& request, MemberKey leader);
     void on_disconnected(uint64_t caller);
     // At the leader.
     void on_command(MemberIndex from, const AdminCommand& command);
     void on_result(const AdminCommandResult& result);
-    // Returns false where the proposal is not an operator's.
+    // Returns false if the proposal does not belong to an operator's command.
     [[nodiscard]] bool on_proposal_result(const ProposalResult& result);
 
   private:
@@ -37,21 +38,21 @@
         uint64_t id = 0;
         TimePoint deadline;
     };
-    // A command that was received, and its number at its sender.
+    // Where a received command came from, and its number there.
     struct Origin {
         MemberIndex member = 0;
         uint64_t number = 0;
     };
 
-    void answer(const Origin& origin, bool success, std::string text);
-    std::optional<std::string> refusal(const AdminCommand& command) const;
+    void send_result(const Origin& origin, bool success, std::string text);
+    std::optional<std::string> rejection_reason(const AdminCommand& command) const;
 
     FleetContext& context_;
     LeaseManager& lease_manager_;
-    std::map<uint64_t, Caller> callers_;            // by the number of their command
-    std::map<uint64_t, Origin> pending_proposals_;  // changes of who votes
+    std::map<uint64_t, Caller> callers_;            // by command number
+    std::map<uint64_t, Origin> pending_proposals_;  // changes of the set of voters
     uint64_t last_number_ = 0;
-    uint64_t next_proposal_ = uint64_t{1} << 63;  // apart from the lease manager's
+    uint64_t next_proposal_ = uint64_t{1} << 63;  // a range distinct from the lease manager's
 };
 
 }  // namespace firtide::fleet
--- a/src/fleet/config.h
+++ b/src/fleet/config.h
@@ -1,4 +1,4 @@
-// The fleet file: TOML, read, checked and given its defaults in this one place.
+// The fleet file: a TOML file, which is parsed, validated and completed with defaults here only.
 #pragma once
 
 #include <optional>
@@ -15,52 +15,52 @@
 namespace firtide::fleet
 {
 
-using DutyIndex = uint32_t;  // place among the duties
+using DutyIndex = uint32_t;  // index in FleetConfig::duties
 
 struct LeaseConfig {
     Duration length = seconds(3);
-    double drift = 0.02;  // clocks' rates differ by this part at the most
+    double drift = 0.02;  // maximum relative difference between the rates of two clocks
 
-    // By its own clock a holder stops so long after it asked.
+    // How long a holder may use a lease, by its own clock and counted from its request.
     Duration holder_duration() const { return length * (1 - 2 * drift); }
 };
 
 enum class DutyKind : uint8_t {
-    other,  // of programs beside the balancer
-    list,   // asks discovery
-    probe,  // probes some of the upstreams
-    drain,  // a turn to drain: held on request only
-    parts,  // gives parts of the fleet's budgets
+    other,  // performed by an external program next to the balancer
+    list,   // polls discovery and publishes the endpoint list
+    probe,  // probes one partition of the upstreams
+    drain,  // a permit to drain: granted on request only
+    parts,  // allocates quotas of the fleet-wide budgets
 };
 
 struct Duty {
     std::string name;
     DutyKind kind = DutyKind::other;
-    std::string subscriber;  // address of the program beside each balancer that is notified; empty: none
+    std::string subscriber;  // address of the external program to notify; empty: none
     Duration every = seconds(1);
-    uint32_t line = 0;
+    uint32_t line = 0;  // in the fleet file
 };
 
 struct EndpointListConfig {
-    Duration stale = seconds(4);  // older than that, and each asks discovery itself
+    Duration stale = seconds(4);  // with an older list, each member polls discovery itself
 };
-// The list goes round as deltas, and members repair each other's replicas.
+// Distribution of the list as deltas, with which members also repair each other's replicas.
 struct EndpointDeltaConfig {
-    uint32_t history = 1000;       // changes that a member keeps to repair others
-    Duration repair = seconds(1);  // a member that finds itself behind asks again after so long
-    uint32_t chunk = 64 * 1024;    // bytes of entries in one message
+    uint32_t history = 1000;       // changes that a member keeps for members that are behind
+    Duration repair = seconds(1);  // after which a member that is behind repeats its request
+    uint32_t chunk = 64 * 1024;    // bytes of entries per message
 };
 struct ProbeConfig {
     Duration every = seconds(1);
     uint32_t parts = 4;
 };
 struct DrainConfig {
-    uint32_t most = 1;  // balancers drained at a time
+    uint32_t most = 1;  // balancers that may drain at the same time
 };
 
 struct FleetConfig {
     std::string name, id, listen, data;
-    Roster members;  // held once by all copies
+    Roster members;  // shared between copies of this struct
     MemberIndex self = 0;
     LeaseConfig lease;
     std::vector<Duty> duties;
--- a/src/fleet/duty_broadcasts.h
+++ b/src/fleet/duty_broadcasts.h
@@ -1,4 +1,5 @@
-// Broadcasts of duties: numbered within their epoch, checked against the fence, and passed on.
+// Broadcasts of duties: numbers them within their epoch, checks received ones against the fencing guard, and
+// forwards them.
 #pragma once
 
 #include <map>
@@ -14,14 +15,14 @@
   public:
     explicit DutyBroadcasts(FleetContext& context) : context_(context) {}
 
-    // To be called when a duty is gained: its numbers begin anew with the epoch.
+    // To be called when a duty is gained: numbers restart with each epoch.
     void restart(const std::string& duty) { last_numbers_[duty] = 0; }
-    // The next broadcast of a duty that this member holds. Without content, `content_number` names the
-    // broadcast whose content still holds.
+    // Creates the next broadcast of a duty that this member holds. If `content` is empty, `content_number` is
+    // the number of the broadcast whose content is still valid.
     Broadcast next(const std::string& duty, Epoch epoch, std::string content, uint64_t content_number);
-    // Sends a broadcast to the gossip targets, for as long as the lease holds.
+    // Sends a broadcast to the gossip targets if the lease is still valid then.
     void publish(const Broadcast& broadcast);
-    // Checks one that was received, and passes it on. Returns false where it is to be ignored.
+    // Checks a received broadcast and forwards it. Returns false if it must be ignored.
     [[nodiscard]] bool accept(MemberIndex from, const Broadcast& broadcast);
 
   private:
--- a/src/fleet/duty_runner.cpp
+++ b/src/fleet/duty_runner.cpp
@@ -10,8 +10,8 @@
 constexpr const char* drain_family = "drain";
 constexpr const char* drain_prefix = "drain.";
 
-// The number behind the dot: "probe.3".
-uint32_t part_of(const std::string& duty)
+// The number after the dot, as in "probe.3".
+uint32_t partition_of(const std::string& duty)
 {
     return static_cast<uint32_t>(std::stoul(duty.substr(duty.find('.') + 1)));
 }
@@ -22,7 +22,7 @@
 {
     for (auto& [name, task] : tasks_) {
         const auto duty = context_.config.duty_of(name);
-        if (duty && context_.now >= task.next) run(name, context_.config.duties[*duty], task);
+        if (duty && context_.now >= task.next_run) run(name, context_.config.duties[*duty], task);
     }
 }
 
@@ -36,16 +36,17 @@
 
 void DutyRunner::start_probes(const std::string& name, Task& task)
 {
-    // Slices keep in step, though ticks come between their times.
+    // Based on the scheduled time, so that slices keep their interval although ticks fall between them.
     const Duration slice = context_.config.probe->every * (1.0 / probe_slices);
-    task.next = std::max(task.next, context_.now - slice) + slice;
-    context_.emit(LeasedEffect{name, task.epoch, probe_duration, StartProbes{part_of(name), task.slice}});
+    task.next_run = std::max(task.next_run, context_.now - slice) + slice;
+    context_.emit(
+        LeasedEffect{name, task.epoch, probe_duration, StartProbes{partition_of(name), task.slice}});
     task.slice = (task.slice + 1) % probe_slices;
 }
 
 void DutyRunner::notify_subscriber(const std::string& name, const Duty& duty, Task& task)
 {
-    task.next = context_.now + duty.every;
+    task.next_run = context_.now + duty.every;
     const int64_t left_ms = context_.lease_client.time_left(context_.now).us / 1000;
     context_.emit(
         LeasedEffect{name, task.epoch, {}, NotifySubscriber{duty.subscriber, ++task.last_number, left_ms}});
@@ -58,7 +59,7 @@
     const DutyKind kind = context_.config.duties[*duty].kind;
     const bool gained = change.kind == LeaseChange::Kind::gained;
     if (gained) {
-        // The last holder's probes may still be out.
+        // Waits for probes that the last holder may still have in flight.
         const TimePoint first = kind == DutyKind::probe ? context_.now + probe_duration : context_.now;
         tasks_[change.duty] = {change.epoch, 0, first, 0};
     } else {
@@ -80,7 +81,7 @@
 void DutyRunner::on_effect_refused(const EffectRefused& refused)
 {
     if (context_.held_epoch(refused.duty) == refused.epoch)
-        context_.lease_client.release(context_.now, refused.duty, "a receiver has met a higher epoch");
+        context_.lease_client.release(context_.now, refused.duty, "a receiver has seen a higher epoch");
 }
 
 // ---- the permit to drain ----
@@ -105,7 +106,7 @@
             context_.lease_client.release(context_.now, duty, "its turn is over");
 }
 
-// Whoever waited for a permit and is gone needs none.
+// A caller that has disconnected no longer needs the permit.
 void DutyRunner::on_admin_disconnected(uint64_t caller)
 {
     if (permit_caller_ != caller) return;
@@ -117,14 +118,15 @@
 void DutyRunner::on_permit_gained(const LeaseChange& change)
 {
     if (!wants_permit_)
-        return context_.lease_client.release(context_.now, change.duty, "nobody waits for it any more");
+        return context_.lease_client.release(context_.now, change.duty, "the permit is no longer wanted");
     context_.emit(LeasedEffect{change.duty, change.epoch, {}, StartDrain{}});
     if (permit_caller_)
         context_.reply(*std::exchange(permit_caller_, std::nullopt),
                        "SUCCESS draining at epoch " + std::to_string(change.epoch) + "\n");
 }
 
-// Another member may have the permit before long: no more may drain at a time than is allowed.
+// Another member may get the permit soon. Ending the drain keeps the number of draining members within the
+// limit.
 void DutyRunner::on_permit_lost()
 {
     if (!wants_permit_) return;
--- a/src/fleet/duty_runner.h
+++ b/src/fleet/duty_runner.h
@@ -1,5 +1,5 @@
-// What a member does for the duties that it holds: repeated effects (probes, notifications of subscribers)
-// and the permit to drain.
+// Executes the duties that a member holds: periodic probes and notifications of subscribers, and the permit
+// to drain.
 #pragma once
 
 #include <map>
@@ -26,17 +26,17 @@
     void on_probes_completed(ProbesCompleted& probes);
     void on_effect_refused(const EffectRefused& refused);
 
-    // The permit to drain: an operator asks for it and is answered once it is there.
+    // Replies to the caller once the permit is granted, or with an error.
     void request_drain_permit(uint64_t caller);
     void return_drain_permit();
     void on_admin_disconnected(uint64_t caller);
 
   private:
-    // A duty that is held.
+    // A duty that this member holds.
     struct Task {
         Epoch epoch = 0;
         uint64_t last_number = 0;
-        TimePoint next;
+        TimePoint next_run;
         uint32_t slice = 0;
     };
 
@@ -49,7 +49,7 @@
     FleetContext& context_;
     DutyBroadcasts& broadcasts_;
     std::map<std::string, Task> tasks_;
-    std::optional<uint64_t> permit_caller_;  // who waits for the permit
+    std::optional<uint64_t> permit_caller_;  // waits for the permit
     bool wants_permit_ = false;
 };
 
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -23,13 +23,13 @@
 {
     context_.now = now;
     std::visit([this](auto& each) { on(each); }, event);
-    settle();
+    collect_effects();
     return std::exchange(context_.effects, {});
 }
 
-// ---- what the parts have to say ----
+// ---- output of the components ----
 
-void Fleet::settle()
+void Fleet::collect_effects()
 {
     for (bool has_more = true; has_more;) {
         std::vector<Send> sends = context_.membership.take_sends();
@@ -52,7 +52,7 @@
     }
 }
 
-// Returns true where something was for this member itself.
+// Returns true if any message was for this member itself.
 bool Fleet::deliver(std::vector<Send> sends)
 {
     bool any_for_self = false;
@@ -147,7 +147,7 @@
     std::visit([&](auto& message) { handle(from, message); }, received.message);
 }
 
-// The transport has dealt with it.
+// Handled by the transport.
 void Fleet::handle(MemberIndex /*from*/, const Hello&) {}
 
 void Fleet::handle(MemberIndex from, const Ping& ping)
@@ -268,7 +268,7 @@
     std::visit([this](auto& effect) { handle(effect); }, reported.effect);
 }
 
-// A voter that is being added knows nobody but those that it has heard of.
+// A voter that is being added can reach only the voters that it has received messages from.
 void Fleet::handle(SendRaftMessage& send)
 {
     const auto receiver = voter_of_disk_.find(send.to);
@@ -323,7 +323,7 @@
     context_.emit(LogEvent{kind, context_.config.id, "", term, "", {}});
 }
 
-// Zero: this member's voter knows of none.
+// Returns zero if this member's voter knows no leader.
 MemberKey Fleet::leader_key() const
 {
     if (!voter_status_ || voter_status_->stage != VoterStage::voting || !voter_status_->raft.leader) return 0;
@@ -365,7 +365,7 @@
 {
     const MemberState& state = context_.membership.state_of(member);
     const MemberConfig& config = context_.config.members[member];
-    // Whoever was never heard of is not there, whatever becomes of it later.
+    // A member that was never heard of is shown as gone.
     const bool was_heard_of = state.incarnation || member == context_.self;
     const Health health = was_heard_of ? state.health : Health::gone;
     return "member " + config.id + " " + to_string(health) + " zone " +
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -1,8 +1,8 @@
-// One member of a fleet: a typed event in, effects out. It joins the parts (membership, leases, the endpoint
-// list, shared choices, snapshots, operators' commands) and hands each message to the one that it is for. The
-// voter agent stands beside it, for it may block on the disk.
+// One member of a fleet, as a state machine that takes events and returns effects. It combines the components
+// (membership, leases, the endpoint list, traffic coordination, snapshots, operators' commands) and
+// dispatches each message to its component. The voter agent is separate, because it may block on the disk.
 //
-// No I/O and no clock of its own: real processes, the simulation and the model checker drive the same code.
+// Does no I/O and reads no clock: real processes, the simulation and the model checker run the same code.
 // Not thread-safe.
 #pragma once
 
@@ -27,17 +27,16 @@
 class Fleet
 {
   public:
-    // `config` must outlive the fleet. `incarnation`: higher than any that this id had before, as far as its
-    // disk knows.
+    // `config` must outlive the fleet. `incarnation`: higher than any that the member's disk has stored.
     Fleet(const FleetConfig& config, InstanceId instance, Incarnation incarnation, uint64_t seed);
     Fleet(const Fleet&) = delete;
     Fleet& operator=(const Fleet&) = delete;
 
-    // The effects are to be carried out in their order.
+    // The effects must be executed in order.
     [[nodiscard]] std::vector<FleetEffect> reduce(TimePoint now, FleetEvent event);
 
-    // The one place where it is decided whether an effect of a duty may leave. To be asked right before it
-    // does, with a clock read for it.
+    // The only place that decides whether an effect of a duty may be executed. To be called right before the
+    // execution, with a clock read for this call.
     [[nodiscard]] bool lease_allows(TimePoint now, const std::string& duty, Epoch epoch,
                                     Duration duration) const
     {
@@ -53,7 +52,7 @@
     [[nodiscard]] const LeaseClient& lease_client() const { return context_.lease_client; }
     [[nodiscard]] LeaseManager& lease_manager() { return lease_manager_; }
     [[nodiscard]] uint64_t fenced_effects() const { return context_.fenced_effects; }
-    // Of the endpoint list; nothing without [deltas].
+    // The replica of the endpoint list; null without [deltas].
     [[nodiscard]] const EndpointReplica* replica() const { return endpoints_.replica(); }
     [[nodiscard]] EndpointReplica* replica_to_corrupt() { return endpoints_.replica_to_corrupt(); }
 
@@ -107,8 +106,8 @@
     void send_to_voters(const Message& message);
     void update_leadership(bool was_leader, Term last_term);
 
-    // Turns what the parts have to say into effects; what they say to this member is handled at once.
-    void settle();
+    // Turns the output of the components into effects. Messages to this member itself are handled at once.
+    void collect_effects();
     bool deliver(std::vector<Send> sends);
     void on_lease_changed(const LeaseChange& change);
     void report_duplicate_identity();
--- a/src/fleet/fleet_context.cpp
+++ b/src/fleet/fleet_context.cpp
@@ -7,7 +7,8 @@
 namespace
 {
 
-// Of monitoring: so that a silent member is gone before its lease can be granted again.
+// Interval of failure detection: short enough that a silent member is gone before its lease can be granted to
+// another.
 Duration monitoring_period(const FleetConfig& config)
 {
     return std::clamp(config.lease.length * 0.125, seconds(0.1), seconds(2));
@@ -30,12 +31,12 @@
     return "";
 }
 
-FleetContext::FleetContext(const FleetConfig& file, InstanceId instance, Incarnation incarnation,
+FleetContext::FleetContext(const FleetConfig& fleet_config, InstanceId instance, Incarnation incarnation,
                            uint64_t seed)
-    : config(file),
-      self(file.self),
-      membership(file, instance, incarnation, monitoring_period(file), seed + 1),
-      lease_client(file, instance, seed + 2)
+    : config(fleet_config),
+      self(fleet_config.self),
+      membership(fleet_config, instance, incarnation, monitoring_period(fleet_config), seed + 1),
+      lease_client(fleet_config, instance, seed + 2)
 {
 }
 
--- a/src/fleet/fleet_context.h
+++ b/src/fleet/fleet_context.h
@@ -1,5 +1,5 @@
-// What the parts of one member share: its configuration, membership and leases, the time of the present
-// event, and the effects that it has called for.
+// State shared by the components of one member: configuration, membership, leases, the time of the current
+// event, and the effects that the event has produced so far.
 #pragma once
 
 #include "fleet_events.h"
@@ -10,9 +10,10 @@
 namespace firtide::fleet
 {
 
-// Owned by Fleet, and outlives the parts that refer to it.
+// Owned by Fleet, and outlives the components that refer to it.
 struct FleetContext {
-    FleetContext(const FleetConfig& file, InstanceId instance, Incarnation incarnation, uint64_t seed);
+    FleetContext(const FleetConfig& fleet_config, InstanceId instance, Incarnation incarnation,
+                 uint64_t seed);
 
     template <class Effect>
     void emit(Effect effect)
@@ -20,7 +21,7 @@
         effects.emplace_back(std::move(effect));
     }
     void send(MemberIndex to, Message message) { emit(Send{to, std::move(message)}); }
-    // To every member, by way of the gossip targets.
+    // Sends to the gossip targets, which pass it on to all members. `except`: the member that it came from.
     template <class Content>
     void gossip(const Content& content, MemberIndex except)
     {
@@ -43,7 +44,7 @@
     Membership membership;
     LeaseClient lease_client;
     FencingGuard fencing;
-    uint64_t fenced_effects = 0;  // effects of others that were refused for their epoch
+    uint64_t fenced_effects = 0;  // effects of other members that were rejected for an outdated epoch
     bool shutting_down = false;
     std::vector<FleetEffect> effects;
 };
--- a/src/fleet/fleet_events.h
+++ b/src/fleet/fleet_events.h
@@ -1,4 +1,4 @@
-// What one member of a fleet is told (events) and what it wants done (effects). See Fleet.
+// Inputs (events) and outputs (effects) of one member of a fleet. See Fleet.
 #pragma once
 
 #include <map>
@@ -19,7 +19,7 @@
 
 // ---- events ----
 
-// The first event, but for SnapshotLoaded.
+// The first event, unless SnapshotLoaded precedes it.
 struct StartupEvent {
 };
 struct MessageReceived {
@@ -32,29 +32,29 @@
 struct VoterAgentReported {
     VoterAgentEffect effect;
 };
-// Names of AdminRequests that are not sent to other members.
+// Names of AdminRequests that this member handles itself.
 inline constexpr const char* show_fleet = "show-fleet";
 inline constexpr const char* show_recovery = "show-recovery";
 inline constexpr const char* request_drain_permit = "drain-permit";
 inline constexpr const char* return_drain_permit = "return-drain-permit";
 
-// From the admin address: one of those above, or hand-over, let-in and put-out, which go to the leader under
-// these names (see decode_fleet_command for what operators write).
+// A request from the admin address: one of the names above, or hand-over, let-in or put-out, which are sent
+// to the leader under these names (see decode_fleet_command for the commands that operators type).
 struct AdminRequest {
     uint64_t caller = 0;
     std::string name, first, second;
-    std::optional<TrafficCounts> traffic{};  // of the member's connections, where it has any
+    std::optional<TrafficCounts> traffic{};  // of the member's connections, if it has any
 };
 struct AdminDisconnected {
     uint64_t caller = 0;
 };
-// This member's own discovery has answered.
+// A response of the discovery service that this member polls.
 struct EndpointListFetched {
-    std::string source;  // its address: versions of another source say nothing of this one's
+    std::string source;  // its address; versions of different sources are not comparable
     uint64_t version = 0;
     std::string full_text;                               // without [deltas]
     std::shared_ptr<const EndpointMap> texts = nullptr;  // with [deltas]
-    // With [deltas]: all uids that can differ from the last answer; nothing: any.
+    // With [deltas]: all uids that may differ from the last response; absent: any may.
     std::optional<std::vector<std::string>> changed = std::nullopt;
 };
 struct ProbesCompleted {
@@ -69,12 +69,13 @@
 };
 struct ShutdownRequested {
 };
-// What this member has persisted, or why that is not used; nothing: there was none. Before StartupEvent.
+// The persisted snapshot of this member, the reason for which it is not used, or neither if there was none.
+// Precedes StartupEvent.
 struct SnapshotLoaded {
     std::variant<std::monostate, MemberSnapshot, SnapshotError> snapshot;
-    std::optional<Duration> age;  // nothing: no clock can tell, for the machine has been restarted
+    std::optional<Duration> age;  // absent: unknown, because the machine was restarted
 };
-// The members as a fleet at rest holds them. For simulations that don't begin with all unknown.
+// Initial state of all members, for simulations that start from an established fleet.
 struct SeedMembership {
     std::shared_ptr<const std::vector<MemberState>> members;
 };
@@ -87,23 +88,23 @@
 struct Publish {
     std::vector<Send> sends;
 };
-// Tells the program beside this balancer that its member holds the duty.
+// Tells the external program next to this balancer that this member holds the duty.
 struct NotifySubscriber {
     std::string address;
     uint64_t number = 0;
     int64_t left_ms = 0;
 };
-// Probes those of the upstreams of this part whose turn is this slice of the period.
+// Probes the upstreams of one partition that are scheduled for this slice of the probe interval.
 struct StartProbes {
     uint32_t part = 0, slice = 0;
 };
 struct StartDrain {
 };
-// The host passes it through Fleet::lease_allows with a clock read for it, and only then carries it out.
+// The host reads the clock, calls Fleet::lease_allows, and executes the action only if that permits it.
 struct LeasedEffect {
     std::string duty;
     Epoch epoch = 0;
-    Duration duration;  // for which the lease has to hold
+    Duration duration;  // for which the lease must remain valid
     std::variant<Publish, NotifySubscriber, StartProbes, StartDrain> action;
 };
 
@@ -112,7 +113,7 @@
 struct CallVoterAgent {
     VoterAgentCall call;
 };
-// The permit to drain is over.
+// The permit to drain was lost while it was still wanted.
 struct EndDrain {
 };
 struct SetDiscoveryPolling {
@@ -123,7 +124,7 @@
     std::string reports;  // encoded ProbeReports
     Duration age;
 };
-// Who shares the upstreams.
+// The members among which the upstreams are divided into subsets.
 struct ApplySubsetPeers {
     std::vector<SubsetPeer> peers;
 };
@@ -133,14 +134,14 @@
 struct ApplyQuotas {
     std::vector<QuotaLease> leases;
 };
-// What was persisted; its list is a hint.
+// The persisted snapshot. Its endpoint list is only a hint.
 struct ApplySnapshot {
     MemberSnapshot snapshot;
 };
 struct ApplyFleetState {
     FleetState state;
 };
-// Persists a snapshot in the place of the last one. The host adds what it knows of the machine.
+// Replaces the persisted snapshot. The host adds the boot id of the machine.
 struct WriteSnapshot {
     MemberSnapshot snapshot;
 };
@@ -163,11 +164,11 @@
 
     Kind kind = Kind::fault;
     std::string subject, reason;
-    uint64_t number = 0;  // an epoch, an incarnation or a term; zero: none
+    uint64_t number = 0;  // epoch, incarnation or term; zero: none
     std::string health;
-    TimePoint until;  // lease_lost: when the lease ended, at the latest
+    TimePoint until;  // lease_lost: the latest time at which the lease ended
 };
-// As it stands in the log.
+// The name in the log.
 const char* to_string(LogEvent::Kind kind);
 
 using FleetEffect =
@@ -177,10 +178,10 @@
 
 // ---- probes of the fleet ----
 
-inline constexpr uint32_t probe_slices = 10;              // of a period
-inline constexpr Duration probe_duration = seconds(0.3);  // until its answer, or its being given up
+inline constexpr uint32_t probe_slices = 10;              // per probe interval
+inline constexpr Duration probe_duration = seconds(0.3);  // until a probe is answered or times out
 
-// What one probe has found; a broadcast of a probing duty holds a list of them.
+// The result of one probe. A broadcast of a probe duty carries a list of them.
 struct ProbeReport {
     std::string upstream;  // uid
     bool success = false;
--- a/src/fleet/ids.h
+++ b/src/fleet/ids.h
@@ -1,4 +1,4 @@
-// Identities and counters that members of a fleet exchange and store.
+// Identifiers and counters that members of a fleet exchange and store.
 #pragma once
 
 #include <cstdint>
@@ -7,15 +7,15 @@
 namespace firtide::fleet
 {
 
-using MemberIndex = uint32_t;  // place of a member in the fleet file; local to a process
-using MemberKey = uint64_t;    // hash of a member's id, the same in every process; never zero
-using InstanceId = uint64_t;   // one run of a member's process, drawn at its start
-using Incarnation = uint64_t;  // of a member's health; grows with every refutation and restart
-using Epoch = uint64_t;        // fencing token of a duty; grows with every grant
+using MemberIndex = uint32_t;  // index of a member in the fleet file; valid in this process only
+using MemberKey = uint64_t;    // hash of a member's id, equal in all processes; never zero
+using InstanceId = uint64_t;   // random identifier of one run of a member's process
+using Incarnation = uint64_t;  // version of a member's health; increases with each refutation and restart
+using Epoch = uint64_t;        // fencing token of a duty; increases with each grant
 
-using Term = uint64_t;      // of an election
-using LogIndex = uint64_t;  // of the replicated log, from 1
-using DiskId = uint64_t;    // drawn once for each new disk of a voter; the voter's name in the log
+using Term = uint64_t;      // election term
+using LogIndex = uint64_t;  // index in the replicated log, from 1
+using DiskId = uint64_t;    // random identifier of a voter's disk, by which the log names the voter
 
 inline constexpr MemberIndex no_member = UINT32_MAX;
 
--- a/src/fleet/shared_choices.cpp
+++ b/src/fleet/shared_choices.cpp
@@ -13,9 +13,9 @@
 constexpr const char* allocator_duty = "parts";
 constexpr Duration weight_interval = seconds(10), subset_interval = seconds(0.2);
 constexpr double weight_hysteresis = 1.5;        // steps
-constexpr double quota_request_interval = 0.25;  // of a quota's length
+constexpr double quota_request_interval = 0.25;  // of a quota's lease duration
 
-// A weight of traffic in steps: 100 is one request a second, and four steps double it.
+// Traffic weights are logarithmic steps: 100 is one request per second, and four steps double the rate.
 constexpr double base_steps = 100, steps_per_doubling = 4, max_steps = 255;
 constexpr double min_rate = 1e-6;
 
@@ -27,10 +27,10 @@
 
 double rate_of(uint8_t steps) { return std::exp2((steps - base_steps) / steps_per_doubling); }
 
-std::string two_decimals(double number)
+std::string two_decimals(double value)
 {
     std::array<char, 32> text;
-    std::snprintf(text.data(), text.size(), "%.2f", number);
+    std::snprintf(text.data(), text.size(), "%.2f", value);
     return text.data();
 }
 
@@ -64,7 +64,7 @@
 
 // ---- subsets ----
 
-// Weights move in steps, and seldom: each step moves the subsets of all members a little.
+// Announces a new weight rarely and in steps, because each step shifts the subsets of all members.
 void SharedChoices::update_weight(double request_rate)
 {
     if (!context_.config.subset || request_rate <= 0) return;
@@ -89,8 +89,8 @@
     context_.emit(ApplySubsetPeers{std::move(peers)});
 }
 
-// Suspects stay until they are gone, and after a start whoever was not heard of yet: a moment's silence must
-// not move subsets, and members that start together must not all have the same one.
+// Includes suspects until they are gone, so that a short silence does not shift subsets, and members that
+// were not heard of yet, so that members that start together do not all choose the same subset.
 std::vector<SubsetPeer> SharedChoices::subset_peers() const
 {
     const FleetConfig& config = context_.config;
@@ -122,7 +122,7 @@
     if (!digest.reports.empty()) context_.gossip(digest, no_member);
     auto verdicts = outliers_->verdicts(context_.now);
     const bool has_verdicts = !verdicts.empty();
-    // Once more after the last one, so that nothing of it stays in force.
+    // Sends one empty update after the last verdict, so that none stays in force.
     if (std::exchange(had_verdicts_, has_verdicts) || has_verdicts)
         context_.emit(ApplyOutlierReports{std::move(verdicts)});
 }
@@ -145,7 +145,7 @@
     const auto holder = lease.holder ? context_.config.member_of(lease.holder) : std::nullopt;
     if (!holder) return;
     auto request = quotas_->make_request(context_.now, lease.epoch);
-    // The table may name this member where its lease is over.
+    // The table may still name this member after its lease has expired.
     if (*holder == context_.self) return on_quota_request(context_.self, request);
     context_.send(*holder, std::move(request));
 }
@@ -172,7 +172,7 @@
     if (allocator_) allocator_->on_lease_gained(context_.now, epoch);
 }
 
-// ---- shown ----
+// ---- show-fleet ----
 
 std::string SharedChoices::status() const { return subset_status() + outlier_status() + quota_status(); }
 
--- a/src/fleet/shared_choices.h
+++ b/src/fleet/shared_choices.h
@@ -1,5 +1,5 @@
-// Choices of many balancers that add up, each where the fleet file has its table: who shares the upstreams
-// ([subset]), reports of outliers ([signals]) and quotas of budgets ([turns]).
+// Coordinates decisions whose effects add up over all balancers: subsets of upstreams ([subset]), outlier
+// reports ([signals]) and quotas of budgets ([turns]). Each is active if the fleet file has its table.
 #pragma once
 
 #include <optional>
@@ -17,7 +17,7 @@
 class SharedChoices
 {
   public:
-    // `context` must outlive this.
+    // `context` must outlive this object.
     SharedChoices(FleetContext& context, InstanceId instance);
 
     void tick();
@@ -25,12 +25,12 @@
     void on_outlier_digest(const OutlierDigest& digest);
     void on_quota_request(MemberIndex from, const QuotaRequest& request);
     void on_quota_response(const QuotaResponse& response);
-    // This member allocates quotas from now on.
+    // To be called when this member becomes the quota allocator.
     void on_allocator_lease_gained(Epoch epoch);
 
-    // The last ones of this balancer.
+    // The latest observations of this balancer.
     [[nodiscard]] const LocalObservations& observations() const { return observations_; }
-    // For show-fleet.
+    // The lines for show-fleet.
     [[nodiscard]] std::string status() const;
 
   private:
@@ -50,7 +50,7 @@
     std::optional<QuotaAllocator> allocator_;
     LocalObservations observations_;
     std::vector<SubsetPeer> subset_peers_;
-    std::optional<uint64_t> subset_version_;  // of the membership, when the peers were last reported
+    std::optional<uint64_t> subset_version_;  // membership version at the last update of subset_peers_
     TimePoint last_weight_change_, last_subset_update_, last_quota_request_;
     bool had_verdicts_ = false;
 };
--- a/src/fleet/shared_choices_config.h
+++ b/src/fleet/shared_choices_config.h
@@ -1,5 +1,5 @@
-// What the fleet file says of choices that many balancers make: how they share upstreams, what they tell each
-// other, and budgets.
+// Settings of the fleet file for traffic decisions that many balancers make together: subsets of upstreams,
+// outlier reports, quotas of fleet-wide budgets, and startup.
 #pragma once
 
 #include <map>
@@ -13,46 +13,47 @@
 {
 
 struct SubsetConfig {
-    uint32_t size = 20;             // upstreams of middling size in an arc
-    bool zones = false;             // an arc of the own zone's, and a smaller one of the others
-    uint32_t beyond = 4;            // in that smaller one
-    Duration narrow = seconds(10);  // without need at the present width: one step back
+    uint32_t size = 20;   // upstreams of mean capacity in a subset
+    bool zones = false;   // a subset of the own zone, and a smaller one of the other zones
+    uint32_t beyond = 4;  // size of the subset of the other zones
+    Duration narrow =
+        seconds(10);  // without need for the present width, after which it is narrowed by one step
 };
 
 struct OutlierGossipConfig {
-    double alone = 0.5;  // one balancer's word counts so far
+    double alone = 0.5;  // the largest reduction that the reports of a single balancer can cause
     Duration validity = seconds(1.5);
-    uint32_t bytes = 2000;  // a second that a member sends
+    uint32_t bytes = 2000;  // that a member sends per second
 };
 
 struct StartupConfig {
-    Duration every = seconds(2);  // the snapshot is written again
-    Duration wait = seconds(3);   // the longest of a stage
-    Duration warm = seconds(60);  // and of upstreams' warming
+    Duration every = seconds(2);  // interval between snapshots
+    Duration wait = seconds(3);   // maximum duration of a startup stage
+    Duration warm = seconds(60);  // maximum duration of the stage that warms up upstreams
 };
 
 enum class Budget : uint8_t { retries, probes, cold, tenant };
 struct BudgetName {
     Budget of = Budget::retries;
-    uint64_t which = 0;  // cold: the upstream; tenant: by its name
+    uint64_t which = 0;  // cold: global id of the upstream; tenant: hash of its name; otherwise 0
 
     auto operator<=>(const BudgetName&) const = default;
 };
 const char* to_string(Budget budget);
 
-// Of each budget, the share that is allocated by demand, and the share that is guaranteed: an even part for
-// each member of the fleet file, also for one that is cut off. What is left over covers files that name too
-// few.
+// Shares of each budget: one is allocated by demand, the other is guaranteed and divided evenly between the
+// members of the fleet file, including unreachable ones. The remainder covers members whose fleet file names
+// too few members.
 inline constexpr double allocatable_share = 0.7, guaranteed_share = 0.2;
 
 inline constexpr std::string_view tenant_prefix = "tenant.";
 
 struct QuotaConfig {
     Duration length = seconds(1);
-    std::map<std::string, double> whole;  // a second: "retries", "probes", "cold", "tenant.NAME"
-    std::optional<double> floor;          // of each member; absent: an even part of what is kept for that
+    std::map<std::string, double> whole;  // rates per second of "retries", "probes", "cold" and "tenant.NAME"
+    std::optional<double> floor;  // guaranteed to each member; absent: an even part of guaranteed_share
 
-    double total_of(BudgetName name) const;  // zero: there is no such budget
+    double total_of(BudgetName name) const;  // zero: no such budget
 };
 
 }  // namespace firtide::fleet
