--- a/tests/fleet.cpp
+++ b/tests/fleet.cpp
@@ -1,4 +1,6 @@
-// What many instances do together, each with a part of the traffic: counts over all of them.
+// Simulates many balancers that share upstreams but no state, each with a part of the traffic, and checks
+// their combined load: on warming upstreams, after a zone fails and returns, and during rolling replacements.
+// Guards against limits that hold for each balancer but not for their sum.
 #include <algorithm>
 #include <cmath>
 #include <memory>
@@ -12,14 +14,14 @@
 namespace
 {
 
-// Instances that share nothing but the upstreams. An upstream holds what it was sent for `took`, and reports
-// how much it holds with each answer.
-class Fleet
+// Balancers that share nothing but the upstreams. An upstream answers each request after `response_time` and
+// reports its requests in flight with each response.
+class BalancerFleet
 {
   public:
-    // uneven: the first has five times the traffic of each other one.
-    Fleet(uint32_t balancers, uint32_t upstreams, uint32_t seed = 0, bool uneven = false)
-        : upstreams_(upstreams), held(upstreams), first_parts_(uneven ? 5 : 1), chance(7 + seed)
+    // uneven: the first balancer has five times the traffic of each other one.
+    BalancerFleet(uint32_t balancers, uint32_t upstreams, uint32_t seed = 0, bool uneven = false)
+        : upstreams_(upstreams), in_flight(upstreams), first_shares_(uneven ? 5 : 1), random(7 + seed)
     {
         auto settings = TracingHost::make_settings(TracingHost::make_operation(Idempotency::idempotent));
         settings.balancer_count = balancers;
@@ -31,238 +33,258 @@
         for (uint32_t i = 0; i < balancers; ++i) {
             settings.self_index = i;
             settings.zone = i % 2;
-            stages.push_back(std::make_unique<TracingHost>(settings, i + 1 + seed * 1000));
-            stages.back()->recording_paused = true;
-            stages.back()->set_endpoints(upstreams);
-            spare.emplace_back();
+            hosts.push_back(std::make_unique<TracingHost>(settings, i + 1 + seed * 1000));
+            hosts.back()->recording_paused = true;
+            hosts.back()->set_endpoints(upstreams);
+            free_invocations.emplace_back();
         }
     }
 
-    void change(UpstreamId t, EndpointPhase phase, std::optional<TimePoint> started = {})
+    void change_endpoint(UpstreamId upstream, EndpointPhase phase, std::optional<TimePoint> started = {})
     {
-        for (auto& s : stages) s->now = now, s->change_endpoint(t, phase, started);
+        for (auto& host : hosts) host->now = now, host->change_endpoint(upstream, phase, started);
     }
 
-    // `rate` invocations a second, dealt out by chance.
-    void play(Duration span, double rate)
+    // Runs `rate` invocations per second, distributed at random over the balancers.
+    void run(Duration span, double rate)
     {
         const TimePoint end = now + span;
         sends.clear();
-        away = 0;
-        const auto next = [&] { return now + seconds(std::exponential_distribution<>(rate)(chance)); };
-        for (TimePoint arrival = next(); arrival < end || (!out.empty() && out.top().at < end);) {
-            if (!out.empty() && out.top().at < arrival) {
-                const Out o = out.top();
-                out.pop();
-                now = o.at;
-                TracingHost& s = *stages[o.stage];
-                s.now = now;
+        throttled = 0;
+        const auto next = [&] { return now + seconds(std::exponential_distribution<>(rate)(random)); };
+        for (TimePoint arrival = next(); arrival < end || (!pending.empty() && pending.top().at < end);) {
+            if (!pending.empty() && pending.top().at < arrival) {
+                const PendingAttempt attempt = pending.top();
+                pending.pop();
+                now = attempt.at;
+                TracingHost& host = *hosts[attempt.balancer];
+                host.now = now;
                 LoadReport report;
-                report.in_flight = --held[o.upstream_id];
-                const bool up = !lost(o.upstream_id);
-                s.last_upstream = ~0u;
-                s.end_attempt(o.inv, up ? AttemptResult::succeeded : AttemptResult::unreachable, took,
-                              up ? report : LoadReport{});
-                settle(o.stage, o.inv);
+                report.in_flight = --in_flight[attempt.upstream];
+                const bool reachable = !is_unreachable(attempt.upstream);
+                host.last_upstream = no_upstream;
+                host.end_attempt(attempt.invocation,
+                                 reachable ? AttemptResult::succeeded : AttemptResult::unreachable,
+                                 response_time, reachable ? report : LoadReport{});
+                send_or_free(attempt.balancer, attempt.invocation);
                 continue;
             }
             now = arrival;
             arrival = next();
-            const auto part = chance() % (stages.size() + first_parts_ - 1);
-            const auto i = static_cast<uint32_t>(part < first_parts_ ? 0 : part - first_parts_ + 1);
-            if (spare[i].empty()) spare[i].push_back(names++);
-            const InvocationId inv = spare[i].back();
-            TracingHost& s = *stages[i];
-            s.now = now;
-            s.last_upstream = ~0u;
-            s.accept(inv);
-            spare[i].pop_back();
-            away += s.last_upstream == ~0u;
-            settle(i, inv);
+            const auto share = random() % (hosts.size() + first_shares_ - 1);
+            const auto balancer =
+                static_cast<uint32_t>(share < first_shares_ ? 0 : share - first_shares_ + 1);
+            if (free_invocations[balancer].empty()) free_invocations[balancer].push_back(next_invocation++);
+            const InvocationId invocation = free_invocations[balancer].back();
+            TracingHost& host = *hosts[balancer];
+            host.now = now;
+            host.last_upstream = no_upstream;
+            host.accept(invocation);
+            free_invocations[balancer].pop_back();
+            throttled += host.last_upstream == no_upstream;
+            send_or_free(balancer, invocation);
         }
         now = end;
     }
 
-    // Sends a second to each of some upstreams in the last play, and the most that one got in any second.
-    template <class Which>
-    void tell(const char* what, Duration span, Which which) const
+    // Prints, for the selected upstreams in the last run, the mean request rate per upstream and the maximum
+    // number of requests to one upstream within any second.
+    template <class Selected>
+    void print_rates(const char* label, Duration span, Selected is_selected) const
     {
-        int n = 0, count = 0, most = 0;
-        for (UpstreamId t = 0; t < upstreams_; ++t) {
-            if (!which(t)) continue;
+        int total = 0, count = 0, peak = 0;
+        for (UpstreamId upstream = 0; upstream < upstreams_; ++upstream) {
+            if (!is_selected(upstream)) continue;
             ++count;
             std::vector<TimePoint> at;
-            for (const auto& [when, upstream_id] : sends)
-                if (upstream_id == t) at.push_back(when);
-            n += static_cast<int>(at.size());
+            for (const auto& [when, receiver] : sends)
+                if (receiver == upstream) at.push_back(when);
+            total += static_cast<int>(at.size());
             for (size_t first = 0, last = 0; last < at.size(); ++last) {
                 while (at[last] - at[first] >= seconds(1)) ++first;
-                most = std::max(most, static_cast<int>(last - first + 1));
+                peak = std::max(peak, static_cast<int>(last - first + 1));
             }
         }
-        std::printf("%s: %.1f a second each, %d in any one second at the most\n", what,
-                    n / span.seconds() / std::max(1, count), most);
+        std::printf("%s: %.1f requests/s per upstream, at most %d in any second\n", label,
+                    total / span.seconds() / std::max(1, count), peak);
     }
 
-    // Of the windows of one second that begin with a send to it: how many there are, how many hold more than
-    // N + 2 root N + 2, and the greatest excess over N as a part of 2 root N + 2. N: what the settings allow
-    // it at its age, of so many a second to a warm one.
-    struct Windows {
-        uint64_t all = 0, over = 0;
-        double worst = 0;
+    // Statistics of the one-second windows that begin with a request to an upstream. N is the number of
+    // requests that the settings allow at the upstream's age, and 2 * sqrt(N) + 2 is the random tolerance.
+    struct WindowCounts {
+        uint64_t total = 0, exceeded = 0;  // exceeded: windows with more than N + tolerance
+        double max_excess = 0;             // over N, as a fraction of the tolerance
     };
-    void windows(UpstreamId upstream_id, TimePoint started, double warm_rate, Windows& w) const
+    // `warm_rate`: requests per second to a warm upstream.
+    void count_windows(UpstreamId upstream, TimePoint started, double warm_rate, WindowCounts& counts) const
     {
         std::vector<TimePoint> at;
-        for (const auto& [when, to] : sends)
-            if (to == upstream_id) at.push_back(when);
+        for (const auto& [when, receiver] : sends)
+            if (receiver == upstream) at.push_back(when);
         for (size_t first = 0, last = 0; first < at.size(); ++first) {
             while (last < at.size() && at[last] - at[first] < seconds(1)) ++last;
             const double warm = 0.16 + 0.84 * ((at[first] - started).seconds() / 20);
-            const double n = 2.5 * warm * warm_rate, chance_of_it = 2 * std::sqrt(n) + 2;
-            const double excess = static_cast<double>(last - first) - n;
-            ++w.all;
-            w.over += excess > chance_of_it;
-            w.worst = std::max(w.worst, excess / chance_of_it);
+            const double allowed = 2.5 * warm * warm_rate, tolerance = 2 * std::sqrt(allowed) + 2;
+            const double excess = static_cast<double>(last - first) - allowed;
+            ++counts.total;
+            counts.exceeded += excess > tolerance;
+            counts.max_excess = std::max(counts.max_excess, excess / tolerance);
         }
     }
 
-    // What some upstreams hold now, in the mean.
-    template <class Which>
-    double holds(Which which) const
+    // The mean number of requests in flight at the selected upstreams.
+    template <class Selected>
+    double mean_in_flight(Selected is_selected) const
     {
-        double n = 0, sum = 0;
-        for (UpstreamId t = 0; t < upstreams_; ++t)
-            if (which(t)) ++n, sum += held[t];
-        return sum / n;
+        double count = 0, sum = 0;
+        for (UpstreamId upstream = 0; upstream < upstreams_; ++upstream)
+            if (is_selected(upstream)) ++count, sum += in_flight[upstream];
+        return sum / count;
     }
 
-    Duration took = seconds(0.2);
+    Duration response_time = seconds(0.2);
     TimePoint now{1'000'000'000};
-    int away = 0;
-    std::function<bool(UpstreamId)> lost = [](UpstreamId) {
-        return false;
-    };  // cannot be reached; seen in 75 ms
+    int throttled = 0;
+    // Attempts to unreachable upstreams fail after 75 ms.
+    std::function<bool(UpstreamId)> is_unreachable = [](UpstreamId) { return false; };
 
   private:
-    // Sends what the instance has just forwarded, or takes the invocation's name back.
-    void settle(uint32_t i, InvocationId inv)
+    static constexpr UpstreamId no_upstream = ~0u;
+
+    // Starts the attempt that the balancer has just decided on, or frees the invocation's id if there is
+    // none.
+    void send_or_free(uint32_t balancer, InvocationId invocation)
     {
-        const UpstreamId upstream_id = stages[i]->last_upstream;
-        if (upstream_id == ~0u) return spare[i].push_back(inv);
-        ++held[upstream_id];
-        sends.emplace_back(now, upstream_id);
-        out.push({now + (lost(upstream_id) ? seconds(0.075) : took), i, inv, upstream_id});
+        const UpstreamId upstream = hosts[balancer]->last_upstream;
+        if (upstream == no_upstream) return free_invocations[balancer].push_back(invocation);
+        ++in_flight[upstream];
+        sends.emplace_back(now, upstream);
+        pending.push({now + (is_unreachable(upstream) ? seconds(0.075) : response_time), balancer, invocation,
+                      upstream});
     }
 
-    struct Out {
-        TimePoint at;
-        uint32_t stage;
-        InvocationId inv;
-        UpstreamId upstream_id;
-        bool operator<(const Out& o) const { return o.at < at || (o.at == at && o.stage < stage); }
+    struct PendingAttempt {
+        TimePoint at;  // of its end
+        uint32_t balancer;
+        InvocationId invocation;
+        UpstreamId upstream;
+        bool operator<(const PendingAttempt& other) const
+        {
+            return other.at < at || (other.at == at && other.balancer < balancer);
+        }
     };
     uint32_t upstreams_;
-    std::vector<double> held;
-    std::vector<std::unique_ptr<TracingHost>> stages;
-    std::vector<std::vector<InvocationId>> spare;
-    InvocationId names = 0;
-    std::priority_queue<Out> out;
+    std::vector<double> in_flight;
+    std::vector<std::unique_ptr<TracingHost>> hosts;
+    std::vector<std::vector<InvocationId>> free_invocations;
+    InvocationId next_invocation = 0;
+    std::priority_queue<PendingAttempt> pending;
     std::vector<std::pair<TimePoint, UpstreamId>> sends;
-    size_t first_parts_;
-    std::ranlux24_base chance;
+    size_t first_shares_;  // of the traffic, for the first balancer; each other one has one share
+    std::ranlux24_base random;
 };
 
 }  // namespace
 
-// One of many upstreams restarts, and then six in ten are replaced by new ones, one after the other.
-void replaced()
+// One of many upstreams restarts. Then six in ten are replaced one after the other.
+void rolling_replacement()
 {
-    std::printf("-- a hundred instances and 20 upstreams, one of which restarts\n");
-    Fleet f(100, 32);
-    for (UpstreamId t = 20; t < 32; ++t) f.change(t, EndpointPhase::gone);
-    f.play(seconds(10), 240);
-    f.change(3, EndpointPhase::ready, f.now);
+    std::printf("-- 100 balancers and 20 upstreams, one of which restarts\n");
+    BalancerFleet fleet(100, 32);
+    for (UpstreamId upstream = 20; upstream < 32; ++upstream)
+        fleet.change_endpoint(upstream, EndpointPhase::gone);
+    fleet.run(seconds(10), 240);
+    fleet.change_endpoint(3, EndpointPhase::ready, fleet.now);
     for (int i = 0; i < 3; ++i) {
-        f.play(seconds(5), 240);
-        f.tell("cold", seconds(5), [](UpstreamId t) { return t == 3; });
+        fleet.run(seconds(5), 240);
+        fleet.print_rates("warming", seconds(5), [](UpstreamId upstream) { return upstream == 3; });
     }
 
-    std::printf("-- 12 of them are replaced by new ones within 7 s\n");
-    for (UpstreamId t = 20; t < 32; ++t) {
-        f.change(t, EndpointPhase::ready, f.now);
-        f.change(t - 16, EndpointPhase::draining);
-        f.play(seconds(0.58), 240);
-        f.change(t - 16, EndpointPhase::gone);
+    std::printf("-- 12 upstreams are replaced within 7 s\n");
+    for (UpstreamId upstream = 20; upstream < 32; ++upstream) {
+        fleet.change_endpoint(upstream, EndpointPhase::ready, fleet.now);
+        fleet.change_endpoint(upstream - 16, EndpointPhase::draining);
+        fleet.run(seconds(0.58), 240);
+        fleet.change_endpoint(upstream - 16, EndpointPhase::gone);
     }
-    const auto is_new = [](UpstreamId t) { return t >= 20; };
-    const auto stays = [](UpstreamId t) { return t < 4 || (t >= 16 && t < 20); };
+    const auto is_new = [](UpstreamId upstream) { return upstream >= 20; };
+    const auto is_kept = [](UpstreamId upstream) {
+        return upstream < 4 || (upstream >= 16 && upstream < 20);
+    };
     for (int i = 0; i < 3; ++i) {
-        f.play(seconds(5), 240);
-        f.tell("those that stay", seconds(5), stays);
-        f.tell("new ones", seconds(5), is_new);
-        std::printf("%d of 1200 throttled\n", f.away);
+        fleet.run(seconds(5), 240);
+        fleet.print_rates("kept", seconds(5), is_kept);
+        fleet.print_rates("new", seconds(5), is_new);
+        std::printf("%d of 1200 throttled\n", fleet.throttled);
     }
 }
 
-// What all together send to cold upstreams, against what the settings allow and chance may add: 200 seeds
-// each.
-void cold_windows(const char* what, bool uneven, double before, double after, Duration lead = seconds(5))
+// Compares the combined load on warming upstreams with the allowed load plus the random tolerance, over 200
+// seeds per number of balancers.
+void check_slow_start_load(const char* label, bool uneven, double before, double after,
+                           Duration lead_time = seconds(5))
 {
-    std::printf("-- cold upstreams under the sum of all, %s\n", what);
+    std::printf("-- combined load on warming upstreams, %s\n", label);
     for (const uint32_t balancers : {1u, 5u, 20u, 30u}) {
-        Fleet::Windows w;
+        BalancerFleet::WindowCounts counts;
         for (uint32_t seed = 1; seed <= 200; ++seed) {
-            Fleet fleet(balancers, 20, seed, uneven);
-            fleet.play(lead, before);
+            BalancerFleet fleet(balancers, 20, seed, uneven);
+            fleet.run(lead_time, before);
             const TimePoint started = fleet.now;
-            fleet.change(0, EndpointPhase::ready, started), fleet.change(1, EndpointPhase::ready, started);
-            fleet.play(seconds(4), after);
-            for (const UpstreamId t : {0u, 1u}) fleet.windows(t, started, after / 20, w);
+            fleet.change_endpoint(0, EndpointPhase::ready, started);
+            fleet.change_endpoint(1, EndpointPhase::ready, started);
+            fleet.run(seconds(4), after);
+            for (const UpstreamId upstream : {0u, 1u})
+                fleet.count_windows(upstream, started, after / 20, counts);
         }
         std::printf(
-            "%u balancers: %.2f in 100 windows over N + 2 root N + 2, the worst at %.2f of the chance\n",
-            balancers, 100.0 * static_cast<double>(w.over) / static_cast<double>(w.all), w.worst);
+            "%u balancers: %.2f%% of windows above N + 2 * sqrt(N) + 2, max excess %.2f of the tolerance\n",
+            balancers, 100.0 * static_cast<double>(counts.exceeded) / static_cast<double>(counts.total),
+            counts.max_excess);
     }
 }
 
 int main()
 {
-    std::printf("-- a hundred instances, 20 upstreams in two zones; one zone comes back cold\n");
-    Fleet f(100, 20);
-    f.play(seconds(10), 240);
-    f.tell("before", seconds(10), [](UpstreamId) { return true; });
-    for (UpstreamId t = 1; t < 20; t += 2) f.change(t, EndpointPhase::ready, f.now);
+    std::printf("-- 100 balancers, 20 upstreams in two zones; one zone restarts\n");
+    BalancerFleet restarted(100, 20);
+    restarted.run(seconds(10), 240);
+    restarted.print_rates("before", seconds(10), [](UpstreamId) { return true; });
+    for (UpstreamId upstream = 1; upstream < 20; upstream += 2)
+        restarted.change_endpoint(upstream, EndpointPhase::ready, restarted.now);
     for (int i = 0; i < 3; ++i) {
-        f.play(seconds(5), 240);
-        f.tell("warm", seconds(5), [](UpstreamId t) { return t % 2 == 0; });
-        f.tell("cold", seconds(5), [](UpstreamId t) { return t % 2 == 1; });
+        restarted.run(seconds(5), 240);
+        restarted.print_rates("warm", seconds(5), [](UpstreamId upstream) { return upstream % 2 == 0; });
+        restarted.print_rates("warming", seconds(5), [](UpstreamId upstream) { return upstream % 2 == 1; });
     }
 
     std::printf(
-        "-- a hundred instances, 20 upstreams that answer in a quarter of a second; one zone cannot be "
-        "reached\n");
-    Fleet z(100, 20);
-    z.took = seconds(0.25);
-    const auto stays = [](UpstreamId t) { return t % 2 == 0; };
-    z.play(seconds(20), 480);
-    std::printf("before: %.1f held, %d of 9600 throttled\n", z.holds(stays), z.away);
-    z.lost = [&](UpstreamId t) { return !stays(t); };
+        "-- 100 balancers, 20 upstreams with a response time of 250 ms; one zone becomes unreachable\n");
+    BalancerFleet partitioned(100, 20);
+    partitioned.response_time = seconds(0.25);
+    const auto is_reachable = [](UpstreamId upstream) { return upstream % 2 == 0; };
+    partitioned.run(seconds(20), 480);
+    std::printf("before: %.1f in flight, %d of 9600 throttled\n", partitioned.mean_in_flight(is_reachable),
+                partitioned.throttled);
+    partitioned.is_unreachable = [&](UpstreamId upstream) { return !is_reachable(upstream); };
     for (int i = 0; i < 3; ++i) {
-        z.play(seconds(3), 480);
-        std::printf("survivors: %.1f held, %d of 1440 throttled\n", z.holds(stays), z.away);
+        partitioned.run(seconds(3), 480);
+        std::printf("survivors: %.1f in flight, %d of 1440 throttled\n",
+                    partitioned.mean_in_flight(is_reachable), partitioned.throttled);
     }
-    std::printf("-- it is back, cold\n");
-    z.lost = [](UpstreamId) { return false; };
-    for (UpstreamId t = 1; t < 20; t += 2) z.change(t, EndpointPhase::ready, z.now);
+    std::printf("-- the zone restarts\n");
+    partitioned.is_unreachable = [](UpstreamId) { return false; };
+    for (UpstreamId upstream = 1; upstream < 20; upstream += 2)
+        partitioned.change_endpoint(upstream, EndpointPhase::ready, partitioned.now);
     for (int i = 0; i < 4; ++i) {
-        z.play(seconds(3), 480);
-        std::printf("survivors: %.1f held, %d of 1440 throttled\n", z.holds(stays), z.away);
+        partitioned.run(seconds(3), 480);
+        std::printf("survivors: %.1f in flight, %d of 1440 throttled\n",
+                    partitioned.mean_in_flight(is_reachable), partitioned.throttled);
     }
 
-    replaced();
-    cold_windows("traffic dealt out evenly", false, 120, 120);
-    cold_windows("one balancer with five times the traffic of each other", true, 120, 120);
-    cold_windows("the traffic comes back from a sixth as they start", true, 20, 120);
-    cold_windows("all balancers have started 0.3 s before", true, 120, 120, seconds(0.3));
+    rolling_replacement();
+    check_slow_start_load("even traffic", false, 120, 120);
+    check_slow_start_load("one balancer has five times the traffic of each other", true, 120, 120);
+    check_slow_start_load("traffic returns from a sixth as they start", true, 20, 120);
+    check_slow_start_load("all balancers started 0.3 s before", true, 120, 120, seconds(0.3));
 }
--- a/tests/fleet_commands.cpp
+++ b/tests/fleet_commands.cpp
@@ -1,4 +1,4 @@
-// Operators' commands about the fleet: their names, the older names that still work, and what is refused.
+// Operators' fleet commands: current names, older names that still work, and rejected input.
 #include <gtest/gtest.h>
 
 #include "src/net/fleet_command.h"
@@ -18,7 +18,7 @@
     return request->name + "|" + request->first + "|" + request->second;
 }
 
-TEST(FleetCommands, HaveStandardNames)
+TEST(FleetCommands, CurrentNamesAreDecoded)
 {
     EXPECT_EQ(decoded({"show-fleet"}), "show-fleet||");
     EXPECT_EQ(decoded({"show-recovery"}), "show-recovery||");
@@ -29,7 +29,7 @@
     EXPECT_EQ(decoded({"drain", "permit"}), std::string(fleet::request_drain_permit) + "||");
 }
 
-TEST(FleetCommands, StillHaveTheirOlderNames)
+TEST(FleetCommands, OlderNamesAreEquivalent)
 {
     EXPECT_EQ(decoded({"hand-over", "list", "m-2"}), decoded({"transfer-duty", "list", "m-2"}));
     EXPECT_EQ(decoded({"hand-over", "list"}), decoded({"transfer-duty", "list"}));
@@ -38,7 +38,7 @@
     EXPECT_EQ(decoded({"drain", "turn"}), decoded({"drain", "permit"}));
 }
 
-TEST(FleetCommands, WithOtherWordsAreNone)
+TEST(FleetCommands, OtherInputIsRejected)
 {
     EXPECT_EQ(decoded({}), "none");
     EXPECT_EQ(decoded({"drain"}), "none");
