--- a/src/fleet/config.h
+++ b/src/fleet/config.h
@@ -36,7 +36,7 @@
 struct Duty {
     std::string name;
     DutyKind kind = DutyKind::other;
-    std::string subscriber;  // address of the external program to notify; empty: none
+    std::string subscriber;  // address of the program next to each balancer that is notified; empty: none
     Duration every = seconds(1);
     uint32_t line = 0;  // in the fleet file
 };
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -365,7 +365,7 @@
 {
     const MemberState& state = context_.membership.state_of(member);
     const MemberConfig& config = context_.config.members[member];
-    // A member that was never heard of is shown as gone.
+    // A member that was never heard of is shown as gone, whatever its state says.
     const bool was_heard_of = state.incarnation || member == context_.self;
     const Health health = was_heard_of ? state.health : Health::gone;
     return "member " + config.id + " " + to_string(health) + " zone " +
--- a/src/fleet/shared_choices_config.h
+++ b/src/fleet/shared_choices_config.h
@@ -16,8 +16,8 @@
     uint32_t size = 20;   // upstreams of mean capacity in a subset
     bool zones = false;   // a subset of the own zone, and a smaller one of the other zones
     uint32_t beyond = 4;  // size of the subset of the other zones
-    Duration narrow =
-        seconds(10);  // without need for the present width, after which it is narrowed by one step
+    // After this time without need for the present width, the subset is narrowed by one step.
+    Duration narrow = seconds(10);
 };
 
 struct OutlierGossipConfig {
--- a/src/fleet/transport/duty_notifier.h
+++ b/src/fleet/transport/duty_notifier.h
@@ -41,10 +41,10 @@
 
     event_base* base_;
     std::function<void(const std::string&, Epoch)> on_refused_;
-    std::map<std::string, Subscriber>
-        subscribers_;  // by address and duty, so that none waits for another's response
-    ServiceConfig
-        response_config_;  // defaults; ResponseReader, which also reads upstreams' responses, needs one
+    // By address and duty, so that none waits for another's response.
+    std::map<std::string, Subscriber> subscribers_;
+    // Empty. Required by ResponseReader, which also reads the responses of upstreams.
+    ServiceConfig response_config_;
 };
 
 }  // namespace firtide::fleet
--- a/src/fleet/transport/messages.h
+++ b/src/fleet/transport/messages.h
@@ -80,11 +80,11 @@
 // A Raft message between voters; see raft_wire.h.
 struct RaftMessage {
     DiskId from = 0, to = 0;
-    uint64_t writes = 0;  // to the sender's disk that this message depends on
+    uint64_t writes = 0;  // number of writes to the sender's disk that this message depends on
     std::string bytes;
     MSGPACK_DEFINE(from, to, writes, bytes)
 };
-// Number of writes to a voter's disk that another voter has seen. A disk that contains fewer has lost data.
+// Number of writes to a voter's disk that another voter has seen. A disk that records fewer has lost writes.
 struct SeenDisk {
     DiskId disk = 0;
     uint64_t writes = 0;
@@ -289,7 +289,7 @@
     int64_t age_us = 0;                // since the sender's list was last confirmed
     MSGPACK_DEFINE(from, to, version, changed, removed, digest, partial, answer, more, age_us)
 };
-// Asks for the changes after `from`, as deltas or as a snapshot.
+// Asks for the changes after `from`, as deltas or as the first chunk of a snapshot.
 struct EndpointDeltaRequest {
     EndpointRevision from;
     EndpointListVersion version;  // at `from`
--- a/src/fleet/transport/pack.h
+++ b/src/fleet/transport/pack.h
@@ -29,8 +29,8 @@
         size_t offset = 0;
         const auto size = bytes.size();
         const msgpack::unpack_limit limits(size + 1, size + 1, size + 1, size + 1, size + 1, 16);
-        // False positive: the caller's temporary lives until this function returns, and msgpack copies from
-        // it. cppcheck-suppress danglingTemporaryLifetime
+        // False positive: the caller's temporary lives until this returns, and msgpack copies from it.
+        // cppcheck-suppress danglingTemporaryLifetime
         const auto handle = msgpack::unpack(bytes.data(), size, offset, nullptr, nullptr, limits);
         if (offset != size) return {};
         T value;
--- a/src/fleet/transport/traffic.h
+++ b/src/fleet/transport/traffic.h
@@ -11,8 +11,8 @@
     uint64_t messages_in = 0, messages_out = 0, bytes_in = 0, bytes_out = 0;
     uint64_t dropped = 0;    // from queues that were full, or after the queue timeout
     uint64_t malformed = 0;  // connections closed after an unreadable frame
-    uint64_t refused =
-        0;  // connections refused at the Hello: wrong fleet or version, unknown sender, other receiver
+    // Connections refused at the Hello: other fleet or version, unknown sender, or other receiver.
+    uint64_t refused = 0;
 };
 
 // The `traffic` line of show-fleet, with its newline.
