--- a/src/fleet/shared_choices_config.h
+++ b/src/fleet/shared_choices_config.h
@@ -35,7 +35,7 @@
 enum class Budget : uint8_t { retries, probes, cold, tenant };
 struct BudgetName {
     Budget of = Budget::retries;
-    uint64_t which = 0;  // cold: global id of the upstream; tenant: hash of its name; otherwise 0
+    uint64_t which = 0;  // global id of the upstream, or hash of the tenant's name, or 0
 
     auto operator<=>(const BudgetName&) const = default;
 };
--- a/src/fleet/transport/messages.h
+++ b/src/fleet/transport/messages.h
@@ -336,11 +336,11 @@
 {
   public:
     enum class State { more, message, broken };
-    // Appends received bytes. Call next() afterwards until it returns `more` or `broken`.
+    // Appends received bytes. Call next() afterwards for as long as it returns State::message.
     void take(std::string_view bytes) { buffer_.append(bytes); }
     State next();
     Message& message() { return message_; }
-    const char* why() const { return error_; }  // the error, in state `broken`
+    const char* why() const { return error_; }  // what next() failed on; empty otherwise
 
   private:
     State fail(const char* error);
