--- a/src/net/service.cpp
+++ b/src/net/service.cpp
@@ -23,7 +23,7 @@
 constexpr Duration idle_before_close = seconds(0.3), silent_before_close = seconds(1);
 constexpr Duration warning_interval = seconds(1);  // of the same problem, in the log
 constexpr const char* peer_messages_unsupported =
-    "settings.policy_limits.peers: messages to other balancers are not supported; serving without them";
+    "settings.policy_limits.peers: messages are not carried on sockets; serving without";
 constexpr Duration probe_report_interval = seconds(0.2);  // of the results of duty probes
 constexpr size_t max_duty_probes = 256;
 constexpr Duration tick_interval = seconds(0.1);  // of what the balancer reports to its fleet
