--- a/simulation/fault_scenarios.cpp
+++ b/simulation/fault_scenarios.cpp
@@ -9,46 +9,46 @@
 namespace
 {
 
-constexpr double usual = 0.75;  // of what all upstreams can do
+constexpr double usual_load = 0.75;  // of what all upstreams can do
 
 void start_all(ServiceSimulation& t)
 {
     for (size_t i = 0; i < t.balancers(); ++i) t.start(i);
     t.run(seconds(4));
-    t.reset();
+    t.reset_counts();
 }
 
-void calm(ServiceSimulation& t)
+void no_fault(ServiceSimulation& t)
 {
     start_all(t);
     t.run(seconds(6));
 }
 
-void views_differ(ServiceSimulation& t)
+void different_lists(ServiceSimulation& t)
 {
     start_all(t);
     for (size_t b = 0; b < t.balancers(); ++b) {
         std::vector<size_t> without;
         for (size_t u = 0; u < t.upstreams(); ++u)
-            if (t.cluster().roll() < 0.05) without.push_back(u);
-        t.list_to(b, without);
+            if (t.cluster().uniform() < 0.05) without.push_back(u);
+        t.send_list(b, without);
     }
     t.run(seconds(1));
-    t.reset();
+    t.reset_counts();
     t.run(seconds(6));
 }
 
 // A tenth of the balancers can't reach a third of the upstreams.
-void one_sided_road(ServiceSimulation& t)
+void unreachable_upstreams(ServiceSimulation& t)
 {
     start_all(t);
     for (size_t b = 0; b < t.balancers(); b += 10)
-        for (size_t u = 0; u < t.upstreams(); u += 3) t.road(b, u, false);
+        for (size_t u = 0; u < t.upstreams(); u += 3) t.set_reachable(b, u, false);
     t.run(seconds(10));
 }
 
 // A fifth of the upstreams stands still, twice.
-void frozen_group(ServiceSimulation& t)
+void frozen_upstreams(ServiceSimulation& t)
 {
     start_all(t);
     for (int n = 0; n < 2; ++n) {
@@ -66,31 +66,31 @@
 }
 
 // Each balancer asks so little that it meets an upstream once in seconds; a sixth of them freezes.
-void thin_spread(ServiceSimulation& t)
+void frozen_upstreams_at_low_load(ServiceSimulation& t)
 {
-    t.load(0.15);
+    t.set_load(0.15);
     start_all(t);
     for (size_t u = 0; u < t.upstreams(); u += 6) t.freeze(u, seconds(4));
     t.run(seconds(8));
 }
 
 // One balancer tells all others that half of the upstreams are gone.
-void liar(ServiceSimulation& t)
+void false_reports(ServiceSimulation& t)
 {
     start_all(t);
     std::vector<size_t> about;
     for (size_t u = 0; u < t.upstreams(); u += 2) about.push_back(u);
-    t.lies(1, about);
+    t.set_false_reports(1, about);
     t.run(seconds(8));
 }
 
 // A tenth of the balancers, all of them within two seconds, and back.
-void growth(ServiceSimulation& t)
+void grow_and_shrink(ServiceSimulation& t)
 {
     const size_t few = std::max<size_t>(6, t.balancers() / 10);
     for (size_t i = 0; i < few; ++i) t.start(i);
     t.run(seconds(4));
-    t.reset();
+    t.reset_counts();
     for (size_t i = few; i < t.balancers(); ++i) {
         t.start(i);
         t.run(seconds(2.0 / static_cast<double>(t.balancers())));
@@ -104,7 +104,7 @@
 }
 
 // A third of the balancers is killed at once.
-void third_killed(ServiceSimulation& t)
+void kill_a_third(ServiceSimulation& t)
 {
     start_all(t);
     for (size_t i = 2; i < t.balancers(); i += 3) t.stop(i);
@@ -112,7 +112,7 @@
 }
 
 // Two halves of the fleet that don't hear each other, and together again.
-void split(ServiceSimulation& t)
+void partition(ServiceSimulation& t)
 {
     start_all(t);
     const size_t n = t.balancers();
@@ -125,91 +125,95 @@
 
 // All balancers and upstreams stop; upstreams come back cold, balancers within `within`, in an order that
 // differs by `part` of them never, and callers ask `times` as much for ten seconds.
-void power(ServiceSimulation& t, double within, double part, double times)
+void power_loss(ServiceSimulation& t, double within, double part, double times)
 {
     start_all(t);
     t.run(seconds(10));
     for (size_t b = 0; b < t.balancers(); ++b) t.stop(b);
     t.run(seconds(1));
     for (size_t u = 0; u < t.upstreams(); ++u) t.restart(u);
-    t.reset();
-    t.load(usual * times);
+    t.reset_counts();
+    t.set_load(usual_load * times);
     const auto back = static_cast<size_t>(static_cast<double>(t.balancers()) * (1 - part));
     for (size_t i = 0; i < back; ++i) {
         t.start(i);
         t.run(seconds(within / static_cast<double>(back)));
     }
     t.run(seconds(10));
-    t.load(usual);
+    t.set_load(usual_load);
     t.run(seconds(20));
 }
-void power_at_once(ServiceSimulation& t) { power(t, 0.2, 0, 1); }
-void power_storm(ServiceSimulation& t) { power(t, 1, 0, 6); }
-void power_third_never(ServiceSimulation& t) { power(t, 4, 0.34, 3); }
+void power_loss_all_at_once(ServiceSimulation& t) { power_loss(t, 0.2, 0, 1); }
+void power_loss_retry_storm(ServiceSimulation& t) { power_loss(t, 1, 0, 6); }
+void power_loss_third_missing(ServiceSimulation& t) { power_loss(t, 4, 0.34, 3); }
 
 }  // namespace
 
-const std::vector<Trouble>& troubles()
-{
-    static const std::vector<Trouble> all = {{"calm", calm},
-                                             {"lists that differ", views_differ},
-                                             {"a one-sided road", one_sided_road},
-                                             {"frozen groups", frozen_group},
-                                             {"a quarter restarts cold", mass_restart},
-                                             {"a thin spread, and frozen groups", thin_spread},
-                                             {"a liar", liar},
-                                             {"growth and back", growth},
-                                             {"a third killed", third_killed},
-                                             {"two halves and back", split},
-                                             {"power loss, all back at once", power_at_once, true},
-                                             {"power loss, callers ask six times as much", power_storm, true},
-                                             {"power loss, a third never back", power_third_never, true}};
+const std::vector<FaultScenario>& fault_scenarios()
+{
+    static const std::vector<FaultScenario> all = {
+        {"calm", no_fault},
+        {"lists that differ", different_lists},
+        {"a one-sided road", unreachable_upstreams},
+        {"frozen groups", frozen_upstreams},
+        {"a quarter restarts cold", mass_restart},
+        {"a thin spread, and frozen groups", frozen_upstreams_at_low_load},
+        {"a liar", false_reports},
+        {"growth and back", grow_and_shrink},
+        {"a third killed", kill_a_third},
+        {"two halves and back", partition},
+        {"power loss, all back at once", power_loss_all_at_once, true},
+        {"power loss, callers ask six times as much", power_loss_retry_storm, true},
+        {"power loss, a third never back", power_loss_third_missing, true}};
     return all;
 }
 
-ServiceSimulation::Options simulation_options(size_t balancers, size_t upstreams, On on)
+ServiceSimulation::Options simulation_options(size_t balancers, size_t upstreams, Features on)
 {
     ServiceSimulation::Options o;
     o.balancers = balancers, o.upstreams = upstreams;
-    o.load = usual;
-    const double able = static_cast<double>(o.upstream.slots) / o.upstream.mean;
+    o.load = usual_load;
+    const double able = static_cast<double>(o.upstream.slots) / o.upstream.mean_service_seconds;
     if (on.subset) {
         o.subset.emplace();
         o.subset->size = static_cast<uint32_t>(std::max<size_t>(4, upstreams * 3 / 10));
     }
-    if (on.signals) o.signals.emplace();
-    if (on.recovery) {
+    if (on.outlier_gossip) o.outlier_gossip.emplace();
+    if (on.staged_startup) {
         o.recovery.emplace();
         o.recovery->wait = seconds(1);
     }
-    if (on.turns) {
-        o.turns.emplace();
-        o.turns->whole["retries"] = 0.1 * able * static_cast<double>(upstreams);
-        o.turns->whole["cold"] = o.cold_share * able * o.push;
+    if (on.quotas) {
+        o.quotas.emplace();
+        o.quotas->whole["retries"] = 0.1 * able * static_cast<double>(upstreams);
+        o.quotas->whole["cold"] = o.cold_share * able * o.collapse_multiple;
     }
     return o;
 }
 
-Outcome play(const Trouble& trouble, const ServiceSimulation::Options& options, uint64_t seed)
+ScenarioResult run_scenario(const FaultScenario& trouble, const ServiceSimulation::Options& options,
+                            uint64_t seed)
 {
     ServiceSimulation t(options, seed);
-    trouble.plays(t);
-    Outcome o;
-    const auto asked = static_cast<double>(std::max<uint64_t>(1, t.count.asked));
-    o.value = static_cast<double>(t.count.in_time) / asked;
-    o.greatest_over_mean = t.greatest_over_mean();
+    trouble.run(t);
+    ScenarioResult o;
+    const auto asked = static_cast<double>(std::max<uint64_t>(1, t.count.requests));
+    o.in_time_share = static_cast<double>(t.count.in_time) / asked;
+    o.max_over_mean = t.max_over_mean();
     o.connections = static_cast<double>(t.connections());
-    o.digest_bytes =
-        static_cast<double>(t.count.digest_bytes) / t.since().seconds() / static_cast<double>(t.balancers());
-    o.fell_over = static_cast<double>(t.count.fell_over);
+    o.digest_bytes = static_cast<double>(t.count.digest_bytes) / t.elapsed().seconds() /
+                     static_cast<double>(t.balancers());
+    o.collapses = static_cast<double>(t.count.collapses);
     o.widened = static_cast<double>(t.count.widened), o.narrowed = static_cast<double>(t.count.narrowed);
-    if (trouble.power)
-        o.back50 = t.back_to(0.5, usual), o.back90 = t.back_to(0.9, usual), o.back99 = t.back_to(0.99, usual);
+    if (trouble.power_loss)
+        o.seconds_to_50_percent = t.seconds_until_recovered(0.5, usual_load),
+        o.seconds_to_90_percent = t.seconds_until_recovered(0.9, usual_load),
+        o.seconds_to_99_percent = t.seconds_until_recovered(0.99, usual_load);
     const auto served = t.served_by();
     if (!served.empty()) {
         const double sum = static_cast<double>(std::accumulate(served.begin(), served.end(), uint64_t{0}));
-        o.least_served = static_cast<double>(*std::min_element(served.begin(), served.end())) *
-                         static_cast<double>(served.size()) / std::max(1.0, sum);
+        o.min_served_over_mean = static_cast<double>(*std::min_element(served.begin(), served.end())) *
+                                 static_cast<double>(served.size()) / std::max(1.0, sum);
     }
     return o;
 }
--- a/simulation/fault_scenarios.h
+++ b/simulation/fault_scenarios.h
@@ -10,27 +10,29 @@
 namespace firtide::simulation
 {
 
-struct Outcome {
-    double value = 0;  // answered in time, of what was asked
-    double greatest_over_mean = 0;
+struct ScenarioResult {
+    double in_time_share = 0;  // answered in time, of what was asked
+    double max_over_mean = 0;
     double connections = 0;
     double digest_bytes = 0;  // a second and balancer
-    double fell_over = 0, widened = 0, narrowed = 0;
-    double least_served = 0;                    // of a balancer, over the mean
-    double back50 = 0, back90 = 0, back99 = 0;  // seconds; after a power loss
+    double collapses = 0, widened = 0, narrowed = 0;
+    double min_served_over_mean = 0;  // of a balancer, over the mean
+    double seconds_to_50_percent = 0, seconds_to_90_percent = 0,
+           seconds_to_99_percent = 0;  // seconds; after a power loss
 };
 
-struct Trouble {
+struct FaultScenario {
     std::string name;
-    void (*plays)(ServiceSimulation& simulation);
-    bool power = false;  // all come back: told in the times of return
+    void (*run)(ServiceSimulation& simulation);
+    bool power_loss = false;  // all come back: told in the times of return
 };
-const std::vector<Trouble>& troubles();
+const std::vector<FaultScenario>& fault_scenarios();
 
-struct On {  // what is on
-    bool subset = false, signals = false, turns = false, recovery = false;
+struct Features {  // what is on
+    bool subset = false, outlier_gossip = false, quotas = false, staged_startup = false;
 };
-ServiceSimulation::Options simulation_options(size_t balancers, size_t upstreams, On on);
-Outcome play(const Trouble& trouble, const ServiceSimulation::Options& options, uint64_t seed);
+ServiceSimulation::Options simulation_options(size_t balancers, size_t upstreams, Features on);
+ScenarioResult run_scenario(const FaultScenario& trouble, const ServiceSimulation::Options& options,
+                            uint64_t seed);
 
 }  // namespace firtide::simulation
--- a/simulation/main.cpp
+++ b/simulation/main.cpp
@@ -25,21 +25,21 @@
 };
 
 // So that walks of a minute meet snapshots of several chunks, and versions of several deltas.
-constexpr EndpointDeltaConfig small_deltas{8, seconds(0.5), 256};
+constexpr EndpointDeltaConfig small_delta_config{8, seconds(0.5), 256};
 
-struct Rules {
+struct DisabledRule {
     std::string without;
 
-    void take_out_of(SimulatedCluster::Options& o) const
+    void apply_to(SimulatedCluster::Options& o) const
     {
         if (without == "office")
-            o.lease_manager = [](LeaseManager& g) { g.disabled_checks.wait_after_election = true; };
+            o.configure_lease_manager = [](LeaseManager& g) { g.disabled_checks.wait_after_election = true; };
         if (without == "majority")
-            o.lease_manager = [](LeaseManager& g) { g.disabled_checks.confirm_by_majority = true; };
+            o.configure_lease_manager = [](LeaseManager& g) { g.disabled_checks.confirm_by_majority = true; };
         if (without == "expiry")
-            o.lease_manager = [](LeaseManager& g) { g.disabled_checks.full_expiry = true; };
-        if (without == "gate") o.gate = false;
-        if (without == "fence") o.fences = false;
+            o.configure_lease_manager = [](LeaseManager& g) { g.disabled_checks.full_expiry = true; };
+        if (without == "gate") o.lease_gate = false;
+        if (without == "fence") o.fencing = false;
     }
 };
 
@@ -48,7 +48,7 @@
     for (const auto& line : trace) std::puts(line.c_str());
 }
 
-int walks(const RandomizedRun& run, Seeds seeds, bool traced)
+int run_walks(const RandomizedRun& run, Seeds seeds, bool traced)
 {
     uint64_t faults = 0, broken = 0;
     for (uint64_t seed = seeds.first; seed <= seeds.last; ++seed) {
@@ -65,43 +65,46 @@
     return broken ? 1 : 0;
 }
 
-int checks(const Check& c)
+int run_check(const ModelCheck& c)
 {
-    const auto got = check(c);
+    const auto got = run_model_check(c);
     std::printf("%llu runs, up to %zu of %llu things that can go wrong at a time, %llu broken\n",
-                static_cast<unsigned long long>(got.runs), c.most, static_cast<unsigned long long>(got.forks),
-                static_cast<unsigned long long>(got.broken));
-    if (!got.broken) return 0;
+                static_cast<unsigned long long>(got.runs), c.max_faults,
+                static_cast<unsigned long long>(got.choice_points),
+                static_cast<unsigned long long>(got.violating_runs));
+    if (!got.violating_runs) return 0;
     std::printf("%s\n", got.rule.c_str());
     print(got.trace);
     return 1;
 }
 
 // From power back to so much of the usual work in time, alone and with a return in stages.
-int returns(size_t balancers, size_t upstreams, Seeds seeds)
+int measure_power_recovery(size_t balancers, size_t upstreams, Seeds seeds)
 {
-    const std::pair<const char*, On> ways[] = {
+    const std::pair<const char*, Features> ways[] = {
         {"alone", {}}, {"recovery", {false, false, false, true}}, {"all", {true, true, true, true}}};
     std::printf("%zu balancers, %zu upstreams, seeds %llu to %llu\n", balancers, upstreams,
                 static_cast<unsigned long long>(seeds.first), static_cast<unsigned long long>(seeds.last));
     std::puts(
         "| trouble | way | 50 %, s | 90 %, s | 99 %, s | never | in time | upstreams pushed over |\n"
         "| --- | --- | --- | --- | --- | --- | --- | --- |");
-    for (const Trouble& t : troubles()) {
-        if (!t.power) continue;
+    for (const FaultScenario& t : fault_scenarios()) {
+        if (!t.power_loss) continue;
         for (const auto& [name, on] : ways) {
-            Outcome sum;
+            ScenarioResult sum;
             size_t never = 0;
             for (uint64_t seed = seeds.first; seed <= seeds.last; ++seed) {
-                const Outcome o = play(t, simulation_options(balancers, upstreams, on), seed);
-                never += o.back90 < 0;
-                sum.back50 += o.back50, sum.back90 += o.back90, sum.back99 += o.back99;
-                sum.value += o.value, sum.fell_over += o.fell_over;
+                const ScenarioResult o = run_scenario(t, simulation_options(balancers, upstreams, on), seed);
+                never += o.seconds_to_90_percent < 0;
+                sum.seconds_to_50_percent += o.seconds_to_50_percent,
+                    sum.seconds_to_90_percent += o.seconds_to_90_percent,
+                    sum.seconds_to_99_percent += o.seconds_to_99_percent;
+                sum.in_time_share += o.in_time_share, sum.collapses += o.collapses;
             }
             const auto n = static_cast<double>(seeds.last - seeds.first + 1);
             std::printf("| %s | %s | %.1f | %.1f | %.1f | %zu | %.3f | %.1f |\n", t.name.c_str(), name,
-                        sum.back50 / n, sum.back90 / n, sum.back99 / n, never, sum.value / n,
-                        sum.fell_over / n);
+                        sum.seconds_to_50_percent / n, sum.seconds_to_90_percent / n,
+                        sum.seconds_to_99_percent / n, never, sum.in_time_share / n, sum.collapses / n);
             std::fflush(stdout);
         }
     }
@@ -109,17 +112,17 @@
 }
 
 // What a fleet at rest says, and how long a duty is held by nobody.
-int rest(SimulatedCluster::Options options, uint64_t seed, bool acquainted)
+int measure_idle_traffic(SimulatedCluster::Options options, uint64_t seed, bool acquainted)
 {
     SimulatedCluster w(options, seed);
     if (acquainted) w.start_all_with_known_members();
     for (size_t i = 0; i < w.size(); ++i) w.start(i);
     w.run(seconds(10));
     const auto before = w.count;
-    const auto sent_before = w.sent;
+    const auto sent_before = w.messages_sent;
     w.run(seconds(10));
     std::vector<uint64_t> sent;
-    for (size_t i = 0; i < w.size(); ++i) sent.push_back((w.sent[i] - sent_before[i]) / 10);
+    for (size_t i = 0; i < w.size(); ++i) sent.push_back((w.messages_sent[i] - sent_before[i]) / 10);
     std::sort(sent.begin(), sent.end());
     const double n = static_cast<double>(w.size()) * 10;
     std::printf(
@@ -141,9 +144,9 @@
 }
 
 // Exit status 2: the plan, or the file for the report, can't be used.
-int scale(const ScalePlan& plan, const std::string& json)
+int run_scale(const ScalePlan& plan, const std::string& json)
 {
-    if (const auto fault = plan.fault(); !fault.empty()) {
+    if (const auto fault = plan.validation_error(); !fault.empty()) {
         std::fprintf(stderr, "%s\n", fault.c_str());
         return 2;
     }
@@ -157,10 +160,10 @@
         std::fprintf(stderr, "%s cannot be written\n", json.c_str());
         return 2;
     }
-    return result.broken.empty() ? 0 : 1;
+    return result.violations.empty() ? 0 : 1;
 }
 
-int subsets(size_t members, size_t upstreams, uint32_t size, size_t seeds)
+int print_subset_comparison(size_t members, size_t upstreams, uint32_t size, size_t seeds)
 {
     std::printf("%zu members, %zu upstreams, %u in a subset, mean of %zu seeds\n", members, upstreams, size,
                 seeds);
@@ -169,8 +172,8 @@
         "|\n");
     std::printf("| --- | --- | --- | --- | --- | --- | --- |\n");
     for (const auto& c : compare_subsets(members, upstreams, size, seeds))
-        std::printf("| %s | %.0f | %.3f | %.3f | %.3f | %.2f | %.2f |\n", c.way.c_str(), c.connections,
-                    c.one_view, c.views_differ, c.unequal, c.member_moves, c.upstream_moves);
+        std::printf("| %s | %.0f | %.3f | %.3f | %.3f | %.2f | %.2f |\n", c.algorithm.c_str(), c.connections,
+                    c.same_view, c.views_differ, c.unequal_sizes, c.member_moves, c.upstream_moves);
     return 0;
 }
 
@@ -178,11 +181,11 @@
 // with the half-width of the 95 % interval of the paired differences.
 int simulate_service(size_t balancers, size_t upstreams, Seeds seeds, const std::string& only)
 {
-    const std::pair<const char*, On> ways[] = {{"alone", {}},
-                                               {"subset", {true, false, false}},
-                                               {"signals", {false, true, false}},
-                                               {"turns", {false, false, true}},
-                                               {"all", {true, true, true}}};
+    const std::pair<const char*, Features> ways[] = {{"alone", {}},
+                                                     {"subset", {true, false, false}},
+                                                     {"signals", {false, true, false}},
+                                                     {"turns", {false, false, true}},
+                                                     {"all", {true, true, true}}};
     std::printf("%zu balancers, %zu upstreams, seeds %llu to %llu\n", balancers, upstreams,
                 static_cast<unsigned long long>(seeds.first), static_cast<unsigned long long>(seeds.last));
     std::puts(
@@ -190,20 +193,20 @@
         "over | "
         "widened, narrowed | least served |\n"
         "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-    for (const Trouble& t : troubles()) {
-        if (!only.empty() ? t.name.find(only) == std::string::npos : t.power) continue;
+    for (const FaultScenario& t : fault_scenarios()) {
+        if (!only.empty() ? t.name.find(only) == std::string::npos : t.power_loss) continue;
         std::vector<double> alone;
         for (const auto& [name, on] : ways) {
-            Outcome sum;
+            ScenarioResult sum;
             std::vector<double> apart;
             for (uint64_t seed = seeds.first; seed <= seeds.last; ++seed) {
-                const Outcome o = play(t, simulation_options(balancers, upstreams, on), seed);
-                if (alone.size() < seeds.last - seeds.first + 1) alone.push_back(o.value);
-                apart.push_back(o.value - alone[seed - seeds.first]);
-                sum.value += o.value, sum.greatest_over_mean += o.greatest_over_mean;
+                const ScenarioResult o = run_scenario(t, simulation_options(balancers, upstreams, on), seed);
+                if (alone.size() < seeds.last - seeds.first + 1) alone.push_back(o.in_time_share);
+                apart.push_back(o.in_time_share - alone[seed - seeds.first]);
+                sum.in_time_share += o.in_time_share, sum.max_over_mean += o.max_over_mean;
                 sum.connections += o.connections, sum.digest_bytes += o.digest_bytes;
-                sum.fell_over += o.fell_over, sum.widened += o.widened, sum.narrowed += o.narrowed;
-                sum.least_served += o.least_served;
+                sum.collapses += o.collapses, sum.widened += o.widened, sum.narrowed += o.narrowed;
+                sum.min_served_over_mean += o.min_served_over_mean;
             }
             const double n = static_cast<double>(apart.size());
             double mean = 0, var = 0;
@@ -211,9 +214,9 @@
             for (const double d : apart) var += (d - mean) * (d - mean) / std::max(1.0, n - 1);
             std::printf(
                 "| %s | %s | %.3f | %+.3f +- %.3f | %.3f | %.0f | %.0f | %.1f | %.0f, %.0f | %.2f |\n",
-                t.name.c_str(), name, sum.value / n, mean, 1.96 * std::sqrt(var / n),
-                sum.greatest_over_mean / n, sum.connections / n, sum.digest_bytes / n, sum.fell_over / n,
-                sum.widened / n, sum.narrowed / n, sum.least_served / n);
+                t.name.c_str(), name, sum.in_time_share / n, mean, 1.96 * std::sqrt(var / n),
+                sum.max_over_mean / n, sum.connections / n, sum.digest_bytes / n, sum.collapses / n,
+                sum.widened / n, sum.narrowed / n, sum.min_served_over_mean / n);
             std::fflush(stdout);
         }
     }
@@ -227,9 +230,9 @@
     CLI::App app("firtide-simulation, fleets of balancers in virtual time");
     app.require_subcommand(1);
     RandomizedRun w;
-    Check c;
+    ModelCheck c;
     Seeds seeds;
-    Rules rules;
+    DisabledRule rules;
     double lasts = 60, faults = 1, lease = 3;
     bool traced = false, deltas = false;
     SimulatedCluster::Options options;
@@ -250,12 +253,12 @@
     walking->add_option("--to", seeds.last, "seed");
     walking->add_option("--lasts", lasts, "seconds of each");
     walking->add_option("--faults", faults, "a second");
-    walking->add_option("--clock-beyond", w.clock_beyond, "one clock is slower by this part than the others");
+    walking->add_option("--clock-beyond", w.excess_drift, "one clock is slower by this part than the others");
     walking->add_flag("--trace", traced);
     auto* checking = common(app.add_subcommand("check", "every way in which up to so many things go wrong"));
-    checking->add_option("--most", c.most, "things that go wrong in one run")->check(CLI::Range(1, 3));
-    checking->add_option("--part", c.part);
-    checking->add_option("--parts", c.parts);
+    checking->add_option("--most", c.max_faults, "things that go wrong in one run")->check(CLI::Range(1, 3));
+    checking->add_option("--part", c.shard);
+    checking->add_option("--parts", c.shards);
     checking->add_option("--seed", c.seed);
     checking->add_option("--lasts", lasts, "seconds in which they can");
     auto* resting = common(app.add_subcommand("rest", "what a fleet at rest says"));
@@ -305,29 +308,30 @@
         return 2;
     }
     if (scaling->parsed()) {
-        const auto known = scale_trouble_of(trouble);
+        const auto known = parse_scale_fault(trouble);
         if (!known) {
             std::fprintf(stderr, "trouble: none, killed, zone, regions or restart, not '%s'\n",
                          trouble.c_str());
             return 2;
         }
-        plan.trouble = *known;
-        return scale(plan, json);
+        plan.fault = *known;
+        return run_scale(plan, json);
     }
-    if (returning->parsed()) return returns(simulated_balancers, simulated_upstreams, seeds);
+    if (returning->parsed()) return measure_power_recovery(simulated_balancers, simulated_upstreams, seeds);
     if (simulating->parsed()) return simulate_service(simulated_balancers, simulated_upstreams, seeds, only);
-    if (subsetting->parsed()) return subsets(members, upstreams, static_cast<uint32_t>(size), seeds.last);
+    if (subsetting->parsed())
+        return print_subset_comparison(members, upstreams, static_cast<uint32_t>(size), seeds.last);
     options.lease.length = seconds(lease);
     options.tick = seconds(tick);
-    rules.take_out_of(options);
-    if (deltas) options.list = true, options.deltas = small_deltas;
+    rules.apply_to(options);
+    if (deltas) options.list = true, options.deltas = small_delta_config;
     if (walking->parsed()) {
-        w.options = options, w.lasts = seconds(lasts), w.faults = faults;
-        return walks(w, seeds, traced);
+        w.options = options, w.duration = seconds(lasts), w.faults_per_second = faults;
+        return run_walks(w, seeds, traced);
     }
-    if (resting->parsed()) return rest(options, seeds.first, acquainted);
-    options.voters_times = {seconds(0.2), seconds(0.1)};
+    if (resting->parsed()) return measure_idle_traffic(options, seeds.first, acquainted);
+    options.voter_timing = {seconds(0.2), seconds(0.1)};
     c.options = options;
-    c.lasts = seconds(lasts);
-    return checks(c);
+    c.fault_window = seconds(lasts);
+    return run_check(c);
 }
--- a/simulation/randomized_run.h
+++ b/simulation/randomized_run.h
@@ -8,15 +8,15 @@
 
 struct RandomizedRun {
     SimulatedCluster::Options options;
-    Duration lasts = seconds(60);
-    double faults = 1;        // a second, about
-    bool disks = true;        // lost, torn, full, slow
-    bool clocks = true;       // rates that differ, within the drift
-    double clock_beyond = 0;  // a clock faster than stated, by this part
-    bool quiet_end = true;    // at last all heals, and every duty has to be held again
+    Duration duration = seconds(60);
+    double faults_per_second = 1;  // a second, about
+    bool disk_faults = true;       // lost, torn, full, slow
+    bool clock_drift = true;       // rates that differ, within the drift
+    double excess_drift = 0;       // a clock faster than stated, by this part
+    bool heal_at_end = true;       // at last all heals, and every duty has to be held again
 };
 
-struct Walked {
+struct RandomizedRunResult {
     std::vector<Broken> broken;
     SimulatedCluster::Count count;
     uint64_t faults = 0;
@@ -24,6 +24,6 @@
     std::vector<Duration> gaps;
 };
 
-Walked run_randomized(const RandomizedRun& run, uint64_t seed, bool traced = false);
+RandomizedRunResult run_randomized(const RandomizedRun& run, uint64_t seed, bool traced = false);
 
 }  // namespace firtide::simulation
--- a/simulation/scale.cpp
+++ b/simulation/scale.cpp
@@ -11,21 +11,22 @@
 namespace
 {
 
-constexpr size_t most_members = 20000, most_upstreams = 50000, most_duties = 500, most_zones = 64;
-constexpr double most_seconds = 3600, most_changes = 1000;
-constexpr Duration warm_up = seconds(10), bucket = seconds(1), look_every = seconds(0.1);
-constexpr Duration killed_for = seconds(10), zone_gone_for = seconds(20), split_for = seconds(60),
-                   restarted_within = seconds(10), down_at_restart = seconds(0.5);
-constexpr Duration longest_settling = seconds(120);
-constexpr size_t one_killed_of = 20;
+constexpr size_t max_members = 20000, max_upstreams = 50000, max_duties = 500, max_zones = 64;
+constexpr double max_seconds = 3600, max_changes_per_second = 1000;
+constexpr Duration warm_up = seconds(10), bucket_length = seconds(1),
+                   convergence_poll_interval = seconds(0.1);
+constexpr Duration killed_downtime = seconds(10), zone_downtime = seconds(20), partition_length = seconds(60),
+                   rolling_restart_length = seconds(10), restart_downtime = seconds(0.5);
+constexpr Duration convergence_timeout = seconds(120);
+constexpr size_t members_per_killed = 20;
 constexpr uint32_t regions = 3;
 constexpr uint64_t first_version = 1;
 
-constexpr std::pair<ScaleTrouble, const char*> trouble_names[] = {{ScaleTrouble::none, "none"},
-                                                                  {ScaleTrouble::killed, "killed"},
-                                                                  {ScaleTrouble::zone, "zone"},
-                                                                  {ScaleTrouble::regions, "regions"},
-                                                                  {ScaleTrouble::restart, "restart"}};
+constexpr std::pair<ScaleFault, const char*> fault_names[] = {{ScaleFault::none, "none"},
+                                                              {ScaleFault::killed, "killed"},
+                                                              {ScaleFault::zone, "zone"},
+                                                              {ScaleFault::regions, "regions"},
+                                                              {ScaleFault::restart, "restart"}};
 
 template <class T>
 Spread spread_of(std::vector<T> values, double over)
@@ -72,21 +73,21 @@
 
 }  // namespace
 
-const char* to_string(ScaleTrouble trouble)
+const char* to_string(ScaleFault trouble)
 {
-    for (const auto& [value, name] : trouble_names)
+    for (const auto& [value, name] : fault_names)
         if (value == trouble) return name;
     return "";
 }
 
-std::optional<ScaleTrouble> scale_trouble_of(std::string_view text)
+std::optional<ScaleFault> parse_scale_fault(std::string_view text)
 {
-    for (const auto& [value, name] : trouble_names)
+    for (const auto& [value, name] : fault_names)
         if (text == name) return value;
     return {};
 }
 
-std::string ScalePlan::fault() const
+std::string ScalePlan::validation_error() const
 {
     const auto between = [](const char* what, double value, double least, double most) -> std::string {
         if (value >= least && value <= most) return "";
@@ -96,20 +97,20 @@
     };
     if (voters != 3 && voters != 5 && voters != 7)
         return "voters: 3, 5 or 7 members vote, not " + std::to_string(voters);
-    const std::string faults[] = {
-        between("members", static_cast<double>(members), static_cast<double>(voters), most_members),
-        between("duties", static_cast<double>(duties), 0, most_duties),
-        between("zones", static_cast<double>(zones), 1, most_zones),
-        between("upstreams", static_cast<double>(upstreams), 1, most_upstreams),
-        between("changes-per-second", changes_per_second, 0, most_changes),
-        between("seconds", seconds, 1, most_seconds)};
-    for (const std::string& fault : faults)
-        if (!fault.empty()) return fault;
-    if (trouble == ScaleTrouble::zone && zones < 2) return "zones: where one is lost, two are needed";
+    const std::string errors[] = {
+        between("members", static_cast<double>(members), static_cast<double>(voters), max_members),
+        between("duties", static_cast<double>(duties), 0, max_duties),
+        between("zones", static_cast<double>(zones), 1, max_zones),
+        between("upstreams", static_cast<double>(upstreams), 1, max_upstreams),
+        between("changes-per-second", changes_per_second, 0, max_changes_per_second),
+        between("seconds", seconds, 1, max_seconds)};
+    for (const std::string& error : errors)
+        if (!error.empty()) return error;
+    if (fault == ScaleFault::zone && zones < 2) return "zones: where one is lost, two are needed";
     return "";
 }
 
-SimulatedCluster::Options ScaleRun::world_options() const
+SimulatedCluster::Options ScaleRun::cluster_options() const
 {
     SimulatedCluster::Options options;
     options.members = plan_.members, options.voters = plan_.voters, options.duties = plan_.duties;
@@ -123,25 +124,25 @@
 
 ScaleRun::ScaleRun(const ScalePlan& plan)
     : plan_(plan),
-      cluster_(world_options(), plan.seed),
+      cluster_(cluster_options(), plan.seed),
       members_(plan.members),
-      chance_(static_cast<uint32_t>(plan.seed + 1))
+      random_(static_cast<uint32_t>(plan.seed + 1))
 {
     changed_at_.assign(first_version + 1, cluster_.now());
     cluster_.discovery_is(first_version,
                           encode_full_list(first_version, cluster_.discovery_lines(first_version)));
     cluster_.on_effect = [this](size_t node, FleetEffect& effect) {
-        if (const auto* use = std::get_if<ApplyEndpointList>(&effect)) list_in_use(node, use->version);
+        if (const auto* use = std::get_if<ApplyEndpointList>(&effect)) list_applied(node, use->version);
     };
 }
 
-void ScaleRun::list_in_use(size_t node, uint64_t version)
+void ScaleRun::list_applied(size_t node, uint64_t version)
 {
     MemberState& member = members_[node];
-    for (uint64_t v = std::max(member.list + 1, member.first_counted); v <= version; ++v)
+    for (uint64_t v = std::max(member.list_version + 1, member.first_counted_version); v <= version; ++v)
         if (v > first_version)
-            waits_us_.push_back(static_cast<uint32_t>((cluster_.now() - changed_at_[v]).us));
-    member.list = std::max(member.list, version);
+            latencies_us_.push_back(static_cast<uint32_t>((cluster_.now() - changed_at_[v]).us));
+    member.list_version = std::max(member.list_version, version);
 }
 
 void ScaleRun::change_list()
@@ -155,31 +156,31 @@
 // Of a Poisson process: changes keep no step with the times at which discovery is asked.
 Duration ScaleRun::until_next_change()
 {
-    return seconds(std::exponential_distribution<>(plan_.changes_per_second)(chance_));
+    return seconds(std::exponential_distribution<>(plan_.changes_per_second)(random_));
 }
 
-void ScaleRun::begin_seconds()
+void ScaleRun::start_buckets()
 {
-    seconds_.clear();
-    second_began_ = cluster_.now();
-    second_before_ = cluster_.count;
+    buckets_.clear();
+    bucket_start_ = cluster_.now();
+    count_at_bucket_start_ = cluster_.count;
 }
 
 void ScaleRun::advance(TimePoint until)
 {
     while (cluster_.now() < until) {
-        const bool change = changing_ && next_change_ <= until;
-        const TimePoint second_ends = second_began_ + bucket;
+        const bool change = changes_enabled_ && next_change_ <= until;
+        const TimePoint second_ends = bucket_start_ + bucket_length;
         cluster_.run_until(std::min(second_ends, change ? next_change_ : until));
         if (change && cluster_.now() >= next_change_) {
             change_list();
             next_change_ = next_change_ + until_next_change();
         }
         if (cluster_.now() < second_ends) continue;
-        seconds_.push_back(
-            {cluster_.count.messages - second_before_.messages, cluster_.count.bytes - second_before_.bytes});
-        second_began_ = cluster_.now();
-        second_before_ = cluster_.count;
+        buckets_.push_back({cluster_.count.messages - count_at_bucket_start_.messages,
+                            cluster_.count.bytes - count_at_bucket_start_.bytes});
+        bucket_start_ = cluster_.now();
+        count_at_bucket_start_ = cluster_.count;
     }
 }
 
@@ -199,7 +200,7 @@
 }
 
 // What each member's role is at the end counts for the whole time: at rest roles do not move.
-void ScaleRun::measure_rest()
+void ScaleRun::measure_steady_state()
 {
     const auto before = cluster_.traffic;
     run_for(seconds(plan_.seconds));
@@ -222,8 +223,8 @@
 {
     std::vector<size_t> all(plan_.members);
     for (size_t i = 0; i < all.size(); ++i) all[i] = i;
-    std::shuffle(all.begin(), all.end(), cluster_.chance());
-    all.resize(std::max<size_t>(1, all.size() / one_killed_of));
+    std::shuffle(all.begin(), all.end(), cluster_.random());
+    all.resize(std::max<size_t>(1, all.size() / members_per_killed));
     return all;
 }
 
@@ -234,7 +235,7 @@
     for (const size_t i : nodes) start(i);
 }
 
-void ScaleRun::split_regions()
+void ScaleRun::partition_regions()
 {
     for (size_t i = 0; i < plan_.members; ++i) cluster_.set_region(i, region_of(i, plan_.voters));
     const auto holder = list_holder();
@@ -242,56 +243,57 @@
     cluster_.discovery_answers = [this, known_in](size_t node) {
         return region_of(node, plan_.voters) == known_in;
     };
-    run_for(split_for);
+    run_for(partition_length);
     cluster_.discovery_answers = nullptr;
     cluster_.heal();
 }
 
 void ScaleRun::restart_all()
 {
-    const Duration step = restarted_within * (1.0 / static_cast<double>(plan_.members));
+    const Duration step = rolling_restart_length * (1.0 / static_cast<double>(plan_.members));
     for (size_t i = 0; i < plan_.members; ++i) {
         cluster_.schedule(step * static_cast<double>(i), SIZE_MAX, [this, i] { crash(i); });
-        cluster_.schedule(step * static_cast<double>(i) + down_at_restart, SIZE_MAX, [this, i] { start(i); });
+        cluster_.schedule(step * static_cast<double>(i) + restart_downtime, SIZE_MAX,
+                          [this, i] { start(i); });
     }
-    run_for(restarted_within + down_at_restart);
+    run_for(rolling_restart_length + restart_downtime);
 }
 
-void ScaleRun::play_trouble()
+void ScaleRun::inject_fault()
 {
     double messages = 0, bytes = 0;
-    for (const Second& s : seconds_) {
-        messages += static_cast<double>(s.messages) / static_cast<double>(seconds_.size());
-        bytes += static_cast<double>(s.bytes) / static_cast<double>(seconds_.size());
+    for (const TrafficBucket& s : buckets_) {
+        messages += static_cast<double>(s.messages) / static_cast<double>(buckets_.size());
+        bytes += static_cast<double>(s.bytes) / static_cast<double>(buckets_.size());
     }
-    begin_seconds();
-    switch (plan_.trouble) {
-        case ScaleTrouble::none: return;
-        case ScaleTrouble::killed: crash_for(members_to_kill(), killed_for); break;
-        case ScaleTrouble::zone: {
+    start_buckets();
+    switch (plan_.fault) {
+        case ScaleFault::none: return;
+        case ScaleFault::killed: crash_for(members_to_kill(), killed_downtime); break;
+        case ScaleFault::zone: {
             std::vector<size_t> zone;
             for (size_t i = plan_.zones - 1; i < plan_.members; i += plan_.zones) zone.push_back(i);
-            crash_for(zone, zone_gone_for);
+            crash_for(zone, zone_downtime);
             break;
         }
-        case ScaleTrouble::regions: split_regions(); break;
-        case ScaleTrouble::restart: restart_all(); break;
+        case ScaleFault::regions: partition_regions(); break;
+        case ScaleFault::restart: restart_all(); break;
     }
-    TroubleOutcome outcome;
+    FaultOutcome outcome;
     const TimePoint ended = cluster_.now();
-    if (settle(changed_at_.size() - 1, longest_settling))
+    if (wait_until_converged(changed_at_.size() - 1, convergence_timeout))
         outcome.seconds_until_agreed = (cluster_.now() - ended).seconds();
-    run_for(bucket);  // so that the last second is whole
-    for (const Second& s : seconds_) {
+    run_for(bucket_length);  // so that the last second is whole
+    for (const TrafficBucket& s : buckets_) {
         outcome.traffic_peak_over_rest =
             std::max(outcome.traffic_peak_over_rest, static_cast<double>(s.messages) / messages);
         outcome.bytes_peak_over_rest =
             std::max(outcome.bytes_peak_over_rest, static_cast<double>(s.bytes) / bytes);
     }
-    result_.trouble = outcome;
+    result_.fault = outcome;
 }
 
-bool ScaleRun::agreed(uint64_t version)
+bool ScaleRun::converged(uint64_t version)
 {
     std::optional<size_t> first;
     size_t up = 0;
@@ -300,18 +302,18 @@
         if (!cluster_.up(i)) continue;
         if (!first) first = i;
         const Membership& members = cluster_.fleet(i).membership();
-        if (members.alive_count() != up || members_[i].list < version) return false;
+        if (members.alive_count() != up || members_[i].list_version < version) return false;
         if (members.view_digest() != cluster_.fleet(*first).membership().view_digest()) return false;
     }
     return true;
 }
 
-bool ScaleRun::settle(uint64_t version, Duration longest)
+bool ScaleRun::wait_until_converged(uint64_t version, Duration longest)
 {
     const TimePoint end = cluster_.now() + longest;
-    while (!agreed(version)) {
+    while (!converged(version)) {
         if (cluster_.now() >= end) return false;
-        run_for(look_every);
+        run_for(convergence_poll_interval);
     }
     return true;
 }
@@ -319,45 +321,45 @@
 // No more changes; those that were made have to be in force.
 void ScaleRun::finish()
 {
-    changing_ = false;
+    changes_enabled_ = false;
     const uint64_t newest = changed_at_.size() - 1;
-    settle(newest, longest_settling);
+    wait_until_converged(newest, convergence_timeout);
     for (size_t i = 0; i < plan_.members; ++i) {
         if (!cluster_.up(i)) continue;
-        const uint64_t has = std::max(members_[i].list, members_[i].first_counted - 1);
+        const uint64_t has = std::max(members_[i].list_version, members_[i].first_counted_version - 1);
         result_.changes_missing += newest - std::min(newest, has);
     }
     // Who was started anew needs the newest list, however old its changes are.
     for (size_t i = 0; i < plan_.members; ++i)
         result_.changes_missing +=
-            cluster_.up(i) && members_[i].list < newest && members_[i].first_counted > newest;
-    std::sort(waits_us_.begin(), waits_us_.end());
-    ChangeTimes& times = result_.change_in_force;
-    times.counted = waits_us_.size();
+            cluster_.up(i) && members_[i].list_version < newest && members_[i].first_counted_version > newest;
+    std::sort(latencies_us_.begin(), latencies_us_.end());
+    ChangeLatency& times = result_.change_in_force;
+    times.samples = latencies_us_.size();
     const auto at = [&](double part) {
-        if (waits_us_.empty()) return 0.0;
-        const auto place = static_cast<size_t>(part * static_cast<double>(waits_us_.size() - 1));
-        return waits_us_[place] / 1e6;
+        if (latencies_us_.empty()) return 0.0;
+        const auto place = static_cast<size_t>(part * static_cast<double>(latencies_us_.size() - 1));
+        return latencies_us_[place] / 1e6;
     };
-    times.p50 = at(0.5), times.p99 = at(0.99), times.greatest = at(1);
+    times.p50 = at(0.5), times.p99 = at(0.99), times.max = at(1);
     result_.messages = cluster_.count.messages, result_.bytes = cluster_.count.bytes;
-    result_.broken = cluster_.broken();
+    result_.violations = cluster_.broken();
 }
 
 ScaleResult ScaleRun::run()
 {
     cluster_.start_all_with_known_members();
     cluster_.run(warm_up);
-    changing_ = plan_.changes_per_second > 0;
-    if (changing_) next_change_ = cluster_.now() + until_next_change();
-    begin_seconds();
-    measure_rest();
-    if (plan_.trouble != ScaleTrouble::none) play_trouble();
+    changes_enabled_ = plan_.changes_per_second > 0;
+    if (changes_enabled_) next_change_ = cluster_.now() + until_next_change();
+    start_buckets();
+    measure_steady_state();
+    if (plan_.fault != ScaleFault::none) inject_fault();
     finish();
     return std::move(result_);
 }
 
-std::string scale_report(const ScalePlan& plan, const ScaleResult& result, const ScaleMachine& machine)
+std::string scale_report(const ScalePlan& plan, const ScaleResult& result, const MachineUsage& machine)
 {
     using Json = nlohmann::ordered_json;
     const auto rounded = [](double value) {
@@ -371,7 +373,7 @@
         return std::string(text);
     };
     const auto spread = [&](const Spread& s) {
-        return Json{{"median", rounded(s.median)}, {"greatest", rounded(s.greatest)}};
+        return Json{{"median", rounded(s.median)}, {"greatest", rounded(s.max)}};
     };
     const std::string command = "firtide-simulation scale --members " + std::to_string(plan.members) +
                                 " --voters " + std::to_string(plan.voters) + " --duties " +
@@ -379,7 +381,7 @@
                                 " --upstreams " + std::to_string(plan.upstreams) + " --changes-per-second " +
                                 number(plan.changes_per_second) + " --seconds " + number(plan.seconds) +
                                 " --seed " + std::to_string(plan.seed) + " --trouble " +
-                                to_string(plan.trouble) + (plan.deltas ? " --deltas" : "");
+                                to_string(plan.fault) + (plan.deltas ? " --deltas" : "");
     Json json;
     json["run"] = {{"command", command},
                    {"members", plan.members},
@@ -390,7 +392,7 @@
                    {"changes_per_second", plan.changes_per_second},
                    {"seconds", plan.seconds},
                    {"seed", plan.seed},
-                   {"trouble", to_string(plan.trouble)},
+                   {"trouble", to_string(plan.fault)},
                    {"deltas", plan.deltas},
                    {"virtual", true}};
     json["roles"] = Json::object();
@@ -402,15 +404,15 @@
                                {"kb_per_second", spread(traffic.kilobytes)},
                                {"kb_in_per_second", spread(traffic.kilobytes_in)},
                                {"kb_out_per_second", spread(traffic.kilobytes_out)}};
-    const ChangeTimes& times = result.change_in_force;
+    const ChangeLatency& times = result.change_in_force;
     json["change_in_force_seconds"] = {{"p50", rounded(times.p50)},
                                        {"p99", rounded(times.p99)},
-                                       {"max", rounded(times.greatest)},
-                                       {"counted", times.counted}};
+                                       {"max", rounded(times.max)},
+                                       {"counted", times.samples}};
     json["changes_missing"] = result.changes_missing;
-    json["rules_broken"] = result.broken.size();
+    json["rules_broken"] = result.violations.size();
     json["trouble"] = nullptr;
-    if (const auto& trouble = result.trouble) {
+    if (const auto& trouble = result.fault) {
         json["trouble"] = {{"traffic_peak_over_rest", rounded(trouble->traffic_peak_over_rest)},
                            {"bytes_peak_over_rest", rounded(trouble->bytes_peak_over_rest)},
                            {"seconds_until_agreed", nullptr},
--- a/simulation/simulated_cluster.cpp
+++ b/simulation/simulated_cluster.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-bool is_of_replicas(const Message& message)
+bool is_replication_message(const Message& message)
 {
     return std::get_if<EndpointDelta>(&message) || std::get_if<EndpointDeltaRequest>(&message) ||
            std::get_if<EndpointSnapshotChunk>(&message);
@@ -21,7 +21,7 @@
 {
     into.reset();
     if (broken) return std::make_error_code(std::errc::io_error);
-    if (const auto at = now_.find(name); at != now_.end()) into = at->second;
+    if (const auto at = written_.find(name); at != written_.end()) into = at->second;
     return {};
 }
 
@@ -29,69 +29,70 @@
 {
     if (broken) return std::make_error_code(std::errc::io_error);
     if (full) {
-        now_[name].append(bytes.substr(0, bytes.size() / 2));  // as much as there was room for
+        written_[name].append(bytes.substr(0, bytes.size() / 2));  // as much as there was room for
         return std::make_error_code(std::errc::no_space_on_device);
     }
-    now_[name].append(bytes);
+    written_[name].append(bytes);
     return {};
 }
 
 std::error_code Disk::sync(const std::string& name)
 {
-    waited = waited + sync_takes;
+    time_waited = time_waited + sync_duration;
     if (broken) return std::make_error_code(std::errc::io_error);
-    if (!lies) kept_[name] = now_[name];
+    if (!ignores_sync) durable_[name] = written_[name];
     return {};
 }
 
 std::error_code Disk::replace(const std::string& name, std::string_view bytes)
 {
-    waited = waited + sync_takes;
+    time_waited = time_waited + sync_duration;
     if (broken) return std::make_error_code(std::errc::io_error);
     if (full) return std::make_error_code(std::errc::no_space_on_device);
-    now_[name] = std::string(bytes);
-    if (!lies) kept_[name] = now_[name];
+    written_[name] = std::string(bytes);
+    if (!ignores_sync) durable_[name] = written_[name];
     return {};
 }
 
 void Disk::lose_power()
 {
-    for (auto& [name, bytes] : now_) {
-        auto& kept = kept_[name];
-        if (bytes.size() > kept.size() && bytes.starts_with(kept) && tear != SIZE_MAX)
-            kept = bytes.substr(0, std::min(bytes.size(), kept.size() + tear));
+    for (auto& [name, bytes] : written_) {
+        auto& kept = durable_[name];
+        if (bytes.size() > kept.size() && bytes.starts_with(kept) && surviving_bytes != SIZE_MAX)
+            kept = bytes.substr(0, std::min(bytes.size(), kept.size() + surviving_bytes));
         bytes = kept;
     }
 }
 
 struct SimulatedCluster::Node {
-    FleetConfig file;
+    FleetConfig config;
     Disk disk;
     std::unique_ptr<Fleet> fleet;
     std::unique_ptr<VoterAgent> voter_agent;
-    uint64_t run = 0;
+    uint64_t generation = 0;
     Incarnation incarnation = 0;
     bool up = false;
-    TimePoint frozen_until, voter_agent_free;
+    TimePoint frozen_until, voter_agent_idle_at;
     double rate = 1;
-    TimePoint clock_from, clock_was;  // true time, and its own at that
+    TimePoint rate_set_at, clock_at_rate_set;  // true time, and its own at that
     std::optional<Duration> freeze_at_effect;
-    std::unordered_map<size_t, TimePoint> arrives;  // of the last message from each: links keep their order
+    std::unordered_map<size_t, TimePoint>
+        last_arrival;  // of the last message from each: links keep their order
     uint32_t region = 0;
     InstanceId instance = 0;
-    size_t candidate_of = 0;  // duties
-    bool asking = false;
-    std::optional<MemberSnapshot> memory;
-    uint64_t list = 0, ticks = 0;
+    size_t candidacies = 0;  // duties
+    bool polling_discovery = false;
+    std::optional<MemberSnapshot> snapshot;
+    uint64_t list_version = 0, ticks = 0;
     // With deltas: what its balancer uses, what discovery told last, and the version of its agent.
-    EndpointMap shown;
-    std::shared_ptr<const EndpointMap> seen;
-    std::optional<uint64_t> discovery;
+    EndpointMap applied_list;
+    std::shared_ptr<const EndpointMap> last_fetched;
+    std::optional<uint64_t> agent_version;
     bool list_corrupted = false;
 };
 
 SimulatedCluster::SimulatedCluster(Options options, uint64_t seed)
-    : options_(std::move(options)), chance_(static_cast<uint32_t>(seed * 2654435761u + 1))
+    : options_(std::move(options)), random_(static_cast<uint32_t>(seed * 2654435761u + 1))
 {
     FleetConfig file;
     file.name = "lab";
@@ -116,64 +117,64 @@
         for (uint32_t i = 0; i < *options_.probe_parts; ++i)
             file.duties.push_back({"probe." + std::to_string(i), DutyKind::probe, "", {}, 0});
     }
-    if (options_.drain_most) {
-        file.drain = DrainConfig{*options_.drain_most};
-        for (uint32_t i = 0; i < *options_.drain_most; ++i)
+    if (options_.drain_limit) {
+        file.drain = DrainConfig{*options_.drain_limit};
+        for (uint32_t i = 0; i < *options_.drain_limit; ++i)
             file.duties.push_back({"drain." + std::to_string(i), DutyKind::drain, "", {}, 0});
     }
     file.recovery = options_.recovery;
-    file.subset = options_.subset, file.signals = options_.signals, file.turns = options_.turns;
+    file.subset = options_.subset, file.signals = options_.outlier_gossip, file.turns = options_.quotas;
     if (file.turns) file.duties.push_back({"parts", DutyKind::parts, "", {}, 0});
-    sent.resize(options_.members);
+    messages_sent.resize(options_.members);
     traffic.resize(options_.members);
     for (size_t i = 0; i < options_.members; ++i) {
         auto node = std::make_unique<Node>();
-        node->file = file;
-        node->file.self = static_cast<MemberIndex>(i);
-        node->file.id = file.members[i].id;
-        node->clock_from = now_;
-        node->clock_was = TimePoint{5'000'000} + seconds(100 * roll());
+        node->config = file;
+        node->config.self = static_cast<MemberIndex>(i);
+        node->config.id = file.members[i].id;
+        node->rate_set_at = now_;
+        node->clock_at_rate_set = TimePoint{5'000'000} + seconds(100 * uniform());
         nodes_.push_back(std::move(node));
     }
     for (const Duty& d : file.duties)
-        if (d.kind != DutyKind::drain) watched_[d.name].without = now_;
+        if (d.kind != DutyKind::drain) watched_duties_[d.name].vacant_since = now_;
 }
 
 SimulatedCluster::~SimulatedCluster() = default;
 
-TimePoint SimulatedCluster::clock_of(size_t node) const
+TimePoint SimulatedCluster::local_time(size_t node) const
 {
     const Node& n = *nodes_[node];
-    return n.clock_was + (now_ - n.clock_from) * n.rate;
+    return n.clock_at_rate_set + (now_ - n.rate_set_at) * n.rate;
 }
 
-void SimulatedCluster::clock(size_t node, double rate)
+void SimulatedCluster::set_clock_rate(size_t node, double rate)
 {
     Node& n = *nodes_[node];
-    n.clock_was = clock_of(node);
-    n.clock_from = now_;
+    n.clock_at_rate_set = local_time(node);
+    n.rate_set_at = now_;
     n.rate = rate;
     check_due_ = true;
 }
 
-void SimulatedCluster::note(const std::string& text)
+void SimulatedCluster::add_trace(const std::string& text)
 {
-    if (!traced) return;
+    if (!trace_enabled) return;
     char at[32];
     std::snprintf(at, sizeof at, "%9.3f ", (now_ - TimePoint{1'000'000'000}).seconds());
     trace_.push_back(at + text);
 }
 
-void SimulatedCluster::breaks(const std::string& rule)
+void SimulatedCluster::report_violation(const std::string& rule)
 {
-    note("BROKEN " + rule);
-    broken_.push_back({rule, now_});
+    add_trace("BROKEN " + rule);
+    violations_.push_back({rule, now_});
 }
 
-void SimulatedCluster::later(Duration after, size_t node, std::function<void()> what, bool checked)
+void SimulatedCluster::schedule_event(Duration after, size_t node, std::function<void()> what, bool checked)
 {
-    events_.push({now_ + std::max(after, Duration{}), order_++, node, node < size() ? nodes_[node]->run : 0,
-                  std::move(what), checked});
+    events_.push({now_ + std::max(after, Duration{}), next_order_++, node,
+                  node < size() ? nodes_[node]->generation : 0, std::move(what), checked});
 }
 
 bool SimulatedCluster::step(TimePoint until)
@@ -183,20 +184,20 @@
     events_.pop();
     now_ = std::max(now_, e.at);
     if (e.node >= size()) {
-        e.what();
+        e.action();
         return true;
     }
     Node& n = *nodes_[e.node];
-    if (n.run != e.run) return true;
+    if (n.generation != e.generation) return true;
     if (now_ < n.frozen_until) {  // it waits, in its order, for the process to go on
         e.at = n.frozen_until;
         events_.push(std::move(e));
         return true;
     }
-    e.what();
-    check_due_ |= n.candidate_of > 0;  // a renewal may have come after the lease had ended
-    if (e.checked && options_.deltas) check_replica(e.node);
-    if (e.checked) check();
+    e.action();
+    check_due_ |= n.candidacies > 0;  // a renewal may have come after the lease had ended
+    if (e.may_change_holders && options_.deltas) check_replica(e.node);
+    if (e.may_change_holders) check_holders();
     return true;
 }
 
@@ -211,33 +212,34 @@
 {
     Node& n = *nodes_[node];
     if (n.up) return;
-    ++n.run;
+    ++n.generation;
     n.up = true;
-    n.frozen_until = n.voter_agent_free = now_;
-    n.asking = false;
-    n.list = 0;
-    n.shown.clear();
-    n.seen.reset();
+    n.frozen_until = n.voter_agent_idle_at = now_;
+    n.polling_discovery = false;
+    n.list_version = 0;
+    n.applied_list.clear();
+    n.last_fetched.reset();
     n.list_corrupted = false;
     n.freeze_at_effect.reset();
-    n.instance = uint64_t{chance_()} << 24 | chance_();
+    n.instance = uint64_t{random_()} << 24 | random_();
     n.fleet =
-        std::make_unique<Fleet>(n.file, n.instance, ++n.incarnation, uint64_t{chance_()} << 24 | chance_());
-    if (options_.lease_manager) options_.lease_manager(n.fleet->lease_manager());
-    note(n.file.id + " starts");
-    if (n.file.members[node].is_voter) {
-        n.voter_agent = std::make_unique<VoterAgent>(n.file, n.disk, options_.voters_times,
-                                                     uint64_t{chance_()} << 24 | chance_());
-        later({}, node, [this, node] {
+        std::make_unique<Fleet>(n.config, n.instance, ++n.incarnation, uint64_t{random_()} << 24 | random_());
+    if (options_.configure_lease_manager) options_.configure_lease_manager(n.fleet->lease_manager());
+    add_trace(n.config.id + " starts");
+    if (n.config.members[node].is_voter) {
+        n.voter_agent = std::make_unique<VoterAgent>(n.config, n.disk, options_.voter_timing,
+                                                     uint64_t{random_()} << 24 | random_());
+        schedule_event({}, node, [this, node] {
             call_voter_agent(node, [this, node](TimePoint p) { return nodes_[node]->voter_agent->start(p); });
         });
     }
-    later({}, node, [this, node] {
+    schedule_event({}, node, [this, node] {
         // A power loss: its clock begins anew.
-        if (options_.recovery && nodes_[node]->memory) tell(node, SnapshotLoaded{*nodes_[node]->memory, {}});
-        tell(node, StartupEvent{});
+        if (options_.recovery && nodes_[node]->snapshot)
+            dispatch(node, SnapshotLoaded{*nodes_[node]->snapshot, {}});
+        dispatch(node, StartupEvent{});
     });
-    later(options_.tick * roll(), node, [this, node] { tick(node); });
+    schedule_event(options_.tick * uniform(), node, [this, node] { tick(node); });
 }
 
 void SimulatedCluster::start_all_with_known_members()
@@ -248,14 +250,14 @@
         members->push_back({nodes_[i]->incarnation, nodes_[i]->instance, Health::alive, 0});
     }
     for (size_t i = 0; i < size(); ++i)
-        later({}, i, [this, i, members] { tell(i, SeedMembership{members}); });
+        schedule_event({}, i, [this, i, members] { dispatch(i, SeedMembership{members}); });
 }
 
 // Another way for a process to go on than to go on.
-bool SimulatedCluster::forked_turn(size_t node)
+bool SimulatedCluster::inject_tick_fault(size_t node)
 {
     const Duration lease = options_.lease.length;
-    switch (fork(Fork::turn)) {
+    switch (choose(ChoicePoint::tick)) {
         case 1: freeze(node, lease * 0.7); break;
         case 2: freeze(node, lease * 1.4); break;
         case 3:
@@ -265,30 +267,30 @@
         case 4: crash(node); return true;
         default: return false;
     }
-    later({}, node, [this, node] { tick(node); });
+    schedule_event({}, node, [this, node] { tick(node); });
     return true;
 }
 
 void SimulatedCluster::tick(size_t node)
 {
     Node& n = *nodes_[node];
-    if (options_.fork && ++n.ticks % 10 == 0 && forked_turn(node)) return;
-    tell(node, Tick{});
+    if (options_.choose && ++n.ticks % 10 == 0 && inject_tick_fault(node)) return;
+    dispatch(node, Tick{});
     if (n.voter_agent) call_voter_agent(node, [&n](TimePoint p) { return n.voter_agent->tick(p); });
-    later(options_.tick, node, [this, node] { tick(node); });
+    schedule_event(options_.tick, node, [this, node] { tick(node); });
 }
 
 void SimulatedCluster::crash(size_t node, bool power)
 {
     Node& n = *nodes_[node];
     if (!n.up) return;
-    note(n.file.id + (power ? " loses its power" : " is killed"));
-    ++n.run;
+    add_trace(n.config.id + (power ? " loses its power" : " is killed"));
+    ++n.generation;
     n.up = false;
     n.fleet.reset();
     n.voter_agent.reset();
-    for (auto& [duty, watched] : watched_) std::erase(watched.candidates, node);
-    n.candidate_of = 0;
+    for (auto& [duty, watched] : watched_duties_) std::erase(watched.candidates, node);
+    n.candidacies = 0;
     check_due_ = true;
     if (power) n.disk.lose_power();
 }
@@ -296,30 +298,33 @@
 void SimulatedCluster::stop(size_t node)
 {
     if (!nodes_[node]->up) return;
-    note(nodes_[node]->file.id + " stops");
-    tell(node, ShutdownRequested{});
-    later(seconds(0.3), node, [this, node] { crash(node); });
+    add_trace(nodes_[node]->config.id + " stops");
+    dispatch(node, ShutdownRequested{});
+    schedule_event(seconds(0.3), node, [this, node] { crash(node); });
 }
 
 void SimulatedCluster::freeze(size_t node, Duration span)
 {
     Node& n = *nodes_[node];
-    note(n.file.id + " stands still for " + std::to_string(span.us / 1000) + " ms");
+    add_trace(n.config.id + " stands still for " + std::to_string(span.us / 1000) + " ms");
     n.frozen_until = std::max(n.frozen_until, now_ + span);
 }
 
-void SimulatedCluster::freeze_in_effect(size_t node, Duration span) { nodes_[node]->freeze_at_effect = span; }
+void SimulatedCluster::freeze_at_next_effect(size_t node, Duration span)
+{
+    nodes_[node]->freeze_at_effect = span;
+}
 
 void SimulatedCluster::isolate(size_t node, bool cut)
 {
-    note(nodes_[node]->file.id + (cut ? " is cut off" : " is joined again"));
+    add_trace(nodes_[node]->config.id + (cut ? " is cut off" : " is joined again"));
     for (size_t i = 0; i < size(); ++i)
         if (i != node) link(i, node).cut = link(node, i).cut = cut;
 }
 
 void SimulatedCluster::heal()
 {
-    note("all links are whole");
+    add_trace("all links are whole");
     links_.clear();
     for (auto& node : nodes_) node->region = 0;
 }
@@ -337,18 +342,18 @@
 Disk& SimulatedCluster::disk(size_t node) { return nodes_[node]->disk; }
 bool SimulatedCluster::up(size_t node) const { return nodes_[node]->up; }
 Fleet& SimulatedCluster::fleet(size_t node) { return *nodes_[node]->fleet; }
-uint64_t SimulatedCluster::list_of(size_t node) const { return nodes_[node]->list; }
+uint64_t SimulatedCluster::list_of(size_t node) const { return nodes_[node]->list_version; }
 
 void SimulatedCluster::ask(size_t node, const std::string& what, const std::string& first,
                            const std::string& second)
 {
-    later({}, node, [=, this] { tell(node, AdminRequest{1, what, first, second}); });
+    schedule_event({}, node, [=, this] { dispatch(node, AdminRequest{1, what, first, second}); });
 }
 
 std::string SimulatedCluster::show(size_t node)
 {
     last_reply.clear();
-    tell(node, AdminRequest{1, "show-fleet", "", ""});
+    dispatch(node, AdminRequest{1, "show-fleet", "", ""});
     return last_reply;
 }
 
@@ -363,15 +368,15 @@
 {
     std::vector<size_t> out;
     for (size_t i = 0; i < size(); ++i)
-        if (nodes_[i]->up && nodes_[i]->fleet->holds(clock_of(i), duty)) out.push_back(i);
+        if (nodes_[i]->up && nodes_[i]->fleet->holds(local_time(i), duty)) out.push_back(i);
     return out;
 }
 
-void SimulatedCluster::tell(size_t node, FleetEvent event)
+void SimulatedCluster::dispatch(size_t node, FleetEvent event)
 {
     Node& n = *nodes_[node];
     if (!n.up) return;
-    carry_out(node, n.fleet->reduce(clock_of(node), std::move(event)));
+    apply_effects(node, n.fleet->reduce(local_time(node), std::move(event)));
 }
 
 void SimulatedCluster::call_voter_agent(size_t node,
@@ -379,14 +384,15 @@
 {
     Node& n = *nodes_[node];
     // The voter agent has a thread of its own, that may wait for the disk.
-    if (now_ < n.voter_agent_free)
-        return later(n.voter_agent_free - now_, node, [this, node, call] { call_voter_agent(node, call); });
-    n.disk.waited = {};
-    auto effects = call(clock_of(node));
-    n.voter_agent_free = now_ + n.disk.waited;
+    if (now_ < n.voter_agent_idle_at)
+        return schedule_event(n.voter_agent_idle_at - now_, node,
+                              [this, node, call] { call_voter_agent(node, call); });
+    n.disk.time_waited = {};
+    auto effects = call(local_time(node));
+    n.voter_agent_idle_at = now_ + n.disk.time_waited;
     if (effects.empty()) return;
-    later(n.disk.waited, node, [this, node, effects = std::move(effects)]() mutable {
-        for (VoterAgentEffect& e : effects) tell(node, VoterAgentReported{std::move(e)});
+    schedule_event(n.disk.time_waited, node, [this, node, effects = std::move(effects)]() mutable {
+        for (VoterAgentEffect& e : effects) dispatch(node, VoterAgentReported{std::move(e)});
     });
 }
 
@@ -395,22 +401,23 @@
     const size_t to = s.to;
     const Link l = link_between(from, to);
     const auto frame = std::make_shared<const std::string>(encode_frame(s.message, 0));
-    ++count.messages, ++sent[from];
+    ++count.messages, ++messages_sent[from];
     count.bytes += frame->size();
     ++traffic[from].messages_out;
     traffic[from].bytes_out += frame->size();
-    if (is_of_replicas(s.message)) count.list_bytes += frame->size();
-    if (l.cut || !nodes_[to]->up || roll() < l.loss) return;
-    Duration takes = l.least + (l.most - l.least) * roll();
-    if (options_.fork && urgency_of(s.message) == Urgency::leases) {
-        const size_t way = fork(Fork::message);
+    if (is_replication_message(s.message)) count.list_bytes += frame->size();
+    if (l.cut || !nodes_[to]->up || uniform() < l.loss) return;
+    Duration takes = l.min_latency + (l.most - l.min_latency) * uniform();
+    if (options_.choose && urgency_of(s.message) == Urgency::leases) {
+        const size_t way = choose(ChoicePoint::message);
         if (way == 1)
-            return note(nodes_[from]->file.id + " to " + nodes_[to]->file.id + ": a message is lost");
+            return add_trace(nodes_[from]->config.id + " to " + nodes_[to]->config.id +
+                             ": a message is lost");
         if (way > 1)
             takes = options_.lease.length * (way == 2 ? 0.6 : 1.3),
-            note(nodes_[from]->file.id + " to " + nodes_[to]->file.id + ": a message is late");
+            add_trace(nodes_[from]->config.id + " to " + nodes_[to]->config.id + ": a message is late");
     }
-    TimePoint& before = nodes_[to]->arrives[from];
+    TimePoint& before = nodes_[to]->last_arrival[from];
     const TimePoint at = std::max(before, now_ + takes);
     before = at;
     const auto deliver = [this, to, from, frame] {
@@ -419,61 +426,62 @@
         FrameReader reader;
         reader.take(*frame);
         if (reader.next() == FrameReader::State::message)
-            tell(to, MessageReceived{static_cast<MemberIndex>(from), std::move(reader.message())});
+            dispatch(to, MessageReceived{static_cast<MemberIndex>(from), std::move(reader.message())});
     };
-    later(at - now_, to, deliver);
-    if (l.repeat > 0 && roll() < l.repeat) later(at - now_ + seconds(0.5 * roll()), to, deliver);
+    schedule_event(at - now_, to, deliver);
+    if (l.repeat > 0 && uniform() < l.repeat)
+        schedule_event(at - now_ + seconds(0.5 * uniform()), to, deliver);
 }
 
-void SimulatedCluster::act(size_t node, const LeasedEffect& a, Duration travels)
+void SimulatedCluster::perform_effect(size_t node, const LeasedEffect& a, Duration travels)
 {
     Node& n = *nodes_[node];
-    if (options_.gate && !n.fleet->lease_allows(clock_of(node), a.duty, a.epoch, a.duration)) {
-        ++count.stopped_at_gate;
+    if (options_.lease_gate && !n.fleet->lease_allows(local_time(node), a.duty, a.epoch, a.duration)) {
+        ++count.blocked_effects;
         return;
     }
     ++count.effects;
-    if (!n.fleet->holds(clock_of(node), a.duty))
-        breaks(n.file.id + " let an effect of " + a.duty + " leave without its lease");
+    if (!n.fleet->holds(local_time(node), a.duty))
+        report_violation(n.config.id + " let an effect of " + a.duty + " leave without its lease");
     if (const auto* publish = std::get_if<Publish>(&a.action)) {
         for (const Send& s : publish->sends) send(node, s);
     } else if (const auto* told = std::get_if<NotifySubscriber>(&a.action)) {
         // To a receiver outside the fleet, that knows nothing but the epochs that it has met.
-        later(travels + seconds(0.0002 + 0.002 * roll()), node,
-              [this, node, duty = a.duty, epoch = a.epoch, number = told->number] {
-                  auto& taken = taken_[duty];
-                  if (options_.fences && epoch < taken.first) {
-                      ++count.refused;
-                      tell(node, EffectRefused{duty, epoch});
-                      return;
-                  }
-                  if (epoch < taken.first)
-                      breaks("a receiver took epoch " + std::to_string(epoch) + " of " + duty + " after " +
-                             std::to_string(taken.first));
-                  if (!effects_.insert({duty, epoch, number}).second)
-                      breaks("a receiver took effect " + std::to_string(number) + " of " + duty +
-                             " twice at one epoch");
-                  taken = std::max(taken, {epoch, number});
-              });
+        schedule_event(travels + seconds(0.0002 + 0.002 * uniform()), node,
+                       [this, node, duty = a.duty, epoch = a.epoch, number = told->number] {
+                           auto& taken = accepted_[duty];
+                           if (options_.fencing && epoch < taken.first) {
+                               ++count.refused_effects;
+                               dispatch(node, EffectRefused{duty, epoch});
+                               return;
+                           }
+                           if (epoch < taken.first)
+                               report_violation("a receiver took epoch " + std::to_string(epoch) + " of " +
+                                                duty + " after " + std::to_string(taken.first));
+                           if (!accepted_effects_.insert({duty, epoch, number}).second)
+                               report_violation("a receiver took effect " + std::to_string(number) + " of " +
+                                                duty + " twice at one epoch");
+                           taken = std::max(taken, {epoch, number});
+                       });
     } else if (std::get_if<StartProbes>(&a.action)) {
         ++count.probes;
     }
 }
 
-void SimulatedCluster::ask_discovery(size_t node)
+void SimulatedCluster::poll_discovery(size_t node)
 {
     Node& n = *nodes_[node];
-    if (!n.asking) return;
+    if (!n.polling_discovery) return;
     ++count.list_calls;
-    if (!discovery_answers || discovery_answers(node)) tell(node, discovery_answer(node));
-    later(seconds(0.5), node, [this, node] { ask_discovery(node); });
+    if (!discovery_answers || discovery_answers(node)) dispatch(node, fetch_list(node));
+    schedule_event(seconds(0.5), node, [this, node] { poll_discovery(node); });
 }
 
 void SimulatedCluster::discovery_of(size_t node, std::optional<uint64_t> version)
 {
-    nodes_[node]->discovery = version;
+    nodes_[node]->agent_version = version;
 }
-const EndpointMap& SimulatedCluster::shown_list(size_t node) const { return nodes_[node]->shown; }
+const EndpointMap& SimulatedCluster::shown_list(size_t node) const { return nodes_[node]->applied_list; }
 
 void SimulatedCluster::corrupt_list(size_t node, const std::string& uid, const std::string& text)
 {
@@ -494,38 +502,40 @@
     return lines;
 }
 
-EndpointListFetched SimulatedCluster::discovery_answer(size_t node)
+EndpointListFetched SimulatedCluster::fetch_list(size_t node)
 {
     Node& n = *nodes_[node];
-    const uint64_t version = n.discovery.value_or(discovery_);
+    const uint64_t version = n.agent_version.value_or(discovery_version_);
     if (!options_.deltas) {
-        const bool newest = version == discovery_;
+        const bool newest = version == discovery_version_;
         return {"", version, newest ? discovery_list_ : "list " + std::to_string(version), nullptr, {}};
     }
-    const auto before = std::exchange(n.seen, std::make_shared<const EndpointMap>(discovery_lines(version)));
-    if (!before) return {"", version, "", n.seen, {}};
+    const auto before =
+        std::exchange(n.last_fetched, std::make_shared<const EndpointMap>(discovery_lines(version)));
+    if (!before) return {"", version, "", n.last_fetched, {}};
     std::vector<std::string> uids;
     for (size_t entry = 0; entry < options_.list_entries; ++entry) {
         const auto uid = "u" + std::to_string(entry);
-        const auto was = before->find(uid), is = n.seen->find(uid);
-        const bool known = was != before->end(), there = is != n.seen->end();
+        const auto was = before->find(uid), is = n.last_fetched->find(uid);
+        const bool known = was != before->end(), there = is != n.last_fetched->end();
         if (known != there || (known && was->second != is->second)) uids.push_back(uid);
     }
-    return {"", version, "", n.seen, std::move(uids)};
+    return {"", version, "", n.last_fetched, std::move(uids)};
 }
 
-void SimulatedCluster::use_list(size_t node, const ApplyEndpointList& use)
+void SimulatedCluster::apply_list(size_t node, const ApplyEndpointList& use)
 {
     Node& n = *nodes_[node];
-    if (use.version < n.list) breaks("an older list was taken");
-    n.list = use.version;
+    if (use.version < n.list_version) report_violation("an older list was taken");
+    n.list_version = use.version;
     if (!options_.deltas) return;
-    net::apply_list_update(n.shown, use.text);
-    if (n.shown != discovery_lines(use.version))
-        breaks(n.file.id + " uses a list that is not that of version " + std::to_string(use.version));
+    net::apply_list_update(n.applied_list, use.text);
+    if (n.applied_list != discovery_lines(use.version))
+        report_violation(n.config.id + " uses a list that is not that of version " +
+                         std::to_string(use.version));
 }
 
-void SimulatedCluster::carry_out(size_t node, std::vector<FleetEffect> effects)
+void SimulatedCluster::apply_effects(size_t node, std::vector<FleetEffect> effects)
 {
     Node& n = *nodes_[node];
     for (FleetEffect& e : effects) {
@@ -538,30 +548,30 @@
                 return n.voter_agent->handle(p, call);
             });
         } else if (auto* a = std::get_if<LeasedEffect>(&e)) {
-            const size_t way = options_.fork ? fork(Fork::effect) : 0;
+            const size_t way = options_.choose ? choose(ChoicePoint::effect) : 0;
             if (way == 1 || way == 2) n.freeze_at_effect = options_.lease.length * (way == 1 ? 0.7 : 1.4);
             if (n.freeze_at_effect) {
                 freeze(node, *std::exchange(n.freeze_at_effect, std::nullopt));
-                later({}, node, [this, node, held = *a] { act(node, held); });
+                schedule_event({}, node, [this, node, held = *a] { perform_effect(node, held); });
             } else {
-                act(node, *a, way == 3 ? options_.lease.length * 1.4 : Duration{});
+                perform_effect(node, *a, way == 3 ? options_.lease.length * 1.4 : Duration{});
             }
         } else if (auto* q = std::get_if<SetDiscoveryPolling>(&e)) {
-            const bool was = std::exchange(n.asking, q->on);
-            n.seen.reset();
-            if (q->on && !was) later(seconds(0.005), node, [this, node] { ask_discovery(node); });
+            const bool was = std::exchange(n.polling_discovery, q->on);
+            n.last_fetched.reset();
+            if (q->on && !was) schedule_event(seconds(0.005), node, [this, node] { poll_discovery(node); });
         } else if (auto* keep = std::get_if<WriteSnapshot>(&e)) {
-            n.memory = std::move(keep->snapshot);
+            n.snapshot = std::move(keep->snapshot);
         } else if (auto* u = std::get_if<ApplyEndpointList>(&e)) {
-            use_list(node, *u);
+            apply_list(node, *u);
         } else if (auto* r = std::get_if<Reply>(&e)) {
             last_reply = r->text;
-            note(n.file.id + " answers " + r->text.substr(0, r->text.find('\n')));
+            add_trace(n.config.id + " answers " + r->text.substr(0, r->text.find('\n')));
         } else if (auto* m = std::get_if<LogEvent>(&e)) {
-            holders_changed(node, *m);
-            note(n.file.id + " " + std::string(to_string(m->kind)) + " " + m->subject + " " + m->health +
-                 (m->number ? " " + std::to_string(m->number) : "") +
-                 (m->reason.empty() ? "" : ": " + m->reason));
+            update_candidates(node, *m);
+            add_trace(n.config.id + " " + std::string(to_string(m->kind)) + " " + m->subject + " " +
+                      m->health + (m->number ? " " + std::to_string(m->number) : "") +
+                      (m->reason.empty() ? "" : ": " + m->reason));
         }
     }
 }
@@ -572,22 +582,23 @@
     Node& node = *nodes_[at_node];
     if (!node.up || !node.fleet->replica()) return;
     const EndpointReplica& replica = *node.fleet->replica();
-    const auto at = digests_.emplace(replica.revision(), replica.digest()).first;
+    const auto at = digest_by_revision_.emplace(replica.revision(), replica.digest()).first;
     if (at->second == replica.digest())
         node.list_corrupted = false;
     else if (!node.list_corrupted)
-        breaks(node.file.id + " has another list than others have at revision " +
-               std::to_string(replica.revision().epoch) + "." + std::to_string(replica.revision().number));
+        report_violation(node.config.id + " has another list than others have at revision " +
+                         std::to_string(replica.revision().epoch) + "." +
+                         std::to_string(replica.revision().number));
 }
 
-void SimulatedCluster::holders_changed(size_t node, const LogEvent& noted)
+void SimulatedCluster::update_candidates(size_t node, const LogEvent& noted)
 {
     if (noted.kind != LogEvent::Kind::lease_gained && noted.kind != LogEvent::Kind::lease_lost) return;
     check_due_ = true;
-    const auto at = watched_.find(noted.subject);
-    if (at == watched_.end()) return;
+    const auto at = watched_duties_.find(noted.subject);
+    if (at == watched_duties_.end()) return;
     auto& candidates = at->second.candidates;
-    size_t& candidate_of = nodes_[node]->candidate_of;
+    size_t& candidate_of = nodes_[node]->candidacies;
     candidate_of -= std::erase(candidates, node);
     if (noted.kind == LogEvent::Kind::lease_lost) return;
     candidates.insert(std::upper_bound(candidates.begin(), candidates.end(), node), node);
@@ -595,46 +606,46 @@
 }
 
 // No later than its lease ends, in true time.
-TimePoint SimulatedCluster::lease_ends(size_t node) const
+TimePoint SimulatedCluster::lease_expiry(size_t node) const
 {
     const Node& n = *nodes_[node];
-    const Duration left = n.fleet->lease_client().time_left(clock_of(node));
+    const Duration left = n.fleet->lease_client().time_left(local_time(node));
     return now_ + left * (1 / n.rate) - Duration{2};
 }
 
 // At every moment, by each one's own clock. Between events of those that were granted something and the end
 // of a lease nothing can be other than it was.
-void SimulatedCluster::check()
+void SimulatedCluster::check_holders()
 {
-    if (!check_due_ && now_ < check_at_) return;
+    if (!check_due_ && now_ < next_check_) return;
     check_due_ = false;
-    check_at_ = TimePoint{INT64_MAX};
-    for (auto& [duty, watched] : watched_) {
+    next_check_ = TimePoint{INT64_MAX};
+    for (auto& [duty, watched] : watched_duties_) {
         std::vector<size_t> by;
         for (const size_t i : watched.candidates) {
-            if (!nodes_[i]->fleet->holds(clock_of(i), duty)) continue;
+            if (!nodes_[i]->fleet->holds(local_time(i), duty)) continue;
             by.push_back(i);
-            check_at_ = std::min(check_at_, lease_ends(i));
+            next_check_ = std::min(next_check_, lease_expiry(i));
         }
         if (by.size() > 1) {
             std::string all;
-            for (const size_t i : by) all += " " + nodes_[i]->file.id;
-            breaks("two hold " + duty + " at once:" + all);
+            for (const size_t i : by) all += " " + nodes_[i]->config.id;
+            report_violation("two hold " + duty + " at once:" + all);
         }
-        if (!by.empty() && watched.without.us) {
-            gaps.push_back(now_ - watched.without);
-            watched.without = {};
-        } else if (by.empty() && !watched.without.us) {
-            watched.without = now_;
+        if (!by.empty() && watched.vacant_since.us) {
+            gaps.push_back(now_ - watched.vacant_since);
+            watched.vacant_since = {};
+        } else if (by.empty() && !watched.vacant_since.us) {
+            watched.vacant_since = now_;
         }
     }
 }
 
-std::map<std::string, Duration> SimulatedCluster::longest_gap() const
+std::map<std::string, Duration> SimulatedCluster::current_gaps() const
 {
     std::map<std::string, Duration> out;
-    for (const auto& [duty, watched] : watched_)
-        out[duty] = watched.without.us ? now_ - watched.without : Duration{};
+    for (const auto& [duty, watched] : watched_duties_)
+        out[duty] = watched.vacant_since.us ? now_ - watched.vacant_since : Duration{};
     return out;
 }
 
--- a/simulation/simulated_cluster.h
+++ b/simulation/simulated_cluster.h
@@ -29,25 +29,25 @@
     std::error_code replace(const std::string& name, std::string_view bytes) override;
 
     void lose_power();  // what was not synced is gone, but for a part of it
-    void wipe() { kept_.clear(), now_.clear(); }
+    void wipe() { durable_.clear(), written_.clear(); }
 
-    bool full = false, broken = false, lies = false;  // lies: it says synced and has not
-    size_t tear = SIZE_MAX;  // of what is lost with the power, so much is there all the same
-    Duration sync_takes;
-    Duration waited;  // by whoever has synced since this was taken
+    bool full = false, broken = false, ignores_sync = false;  // lies: it says synced and has not
+    size_t surviving_bytes = SIZE_MAX;  // of what is lost with the power, so much is there all the same
+    Duration sync_duration;
+    Duration time_waited;  // by whoever has synced since this was taken
 
   private:
-    std::map<std::string, std::string> kept_, now_;
+    std::map<std::string, std::string> durable_, written_;
 };
 
 // Where the world could go on in several ways: the model checker takes each. The first way is that nothing
 // goes wrong.
-enum class Fork { message, effect, turn };
+enum class ChoicePoint { message, effect, tick };
 
 struct Link {  // from one member to another
     bool cut = false;
     double loss = 0;  // of messages: their connection is made anew
-    Duration least = seconds(0.0002), most = seconds(0.002);
+    Duration min_latency = seconds(0.0002), most = seconds(0.002);
     double repeat = 0;
 };
 
@@ -66,35 +66,35 @@
         bool list = false;
         std::optional<EndpointDeltaConfig> deltas;
         size_t list_entries = 12;  // that discovery may know
-        std::optional<uint32_t> probe_parts, drain_most;
+        std::optional<uint32_t> probe_parts, drain_limit;
         std::optional<SubsetConfig> subset;
-        std::optional<OutlierGossipConfig> signals;
-        std::optional<QuotaConfig> turns;
+        std::optional<OutlierGossipConfig> outlier_gossip;
+        std::optional<QuotaConfig> quotas;
         std::optional<StartupConfig> recovery;
         Duration tick = seconds(0.02);
-        VoterTiming voters_times;
-        bool fences = true;                                // receivers refuse lower epochs
-        bool gate = true;                                  // the check before each effect
-        std::function<void(LeaseManager&)> lease_manager;  // a safety rule taken out
-        std::function<size_t(Fork)> fork;                  // which way; absent: the first
+        VoterTiming voter_timing;
+        bool fencing = true;                                         // receivers refuse lower epochs
+        bool lease_gate = true;                                      // the check before each effect
+        std::function<void(LeaseManager&)> configure_lease_manager;  // a safety rule taken out
+        std::function<size_t(ChoicePoint)> choose;                   // which way; absent: the first
     };
     SimulatedCluster(Options options, uint64_t seed);
     ~SimulatedCluster();
 
     size_t size() const { return nodes_.size(); }
     TimePoint now() const { return now_; }
-    std::ranlux24_base& chance() { return chance_; }
-    double roll() { return std::uniform_real_distribution<>(0, 1)(chance_); }
+    std::ranlux24_base& random() { return random_; }
+    double uniform() { return std::uniform_real_distribution<>(0, 1)(random_); }
 
     // For what stands beside the fleet's members: their effects, and events on the same clock. Beside all
     // members: SIZE_MAX.
     std::function<void(size_t node, FleetEffect&)> on_effect;
     void schedule(Duration after, size_t node, std::function<void()> what)
     {
-        later(after, node, std::move(what));
+        schedule_event(after, node, std::move(what));
     }
-    void tell(size_t node, FleetEvent event);
-    TimePoint clock_of(size_t node) const;
+    void dispatch(size_t node, FleetEvent event);
+    TimePoint local_time(size_t node) const;
 
     void run_until(TimePoint until);
     void run(Duration span) { run_until(now_ + span); }
@@ -107,9 +107,10 @@
     void crash(size_t node, bool power = false);  // power: what was not synced is lost
     void stop(size_t node);                       // as by SIGTERM
     void freeze(size_t node, Duration span);
-    void freeze_in_effect(size_t node,
-                          Duration span);  // at its next effect, between the check's cause and the effect
-    void clock(size_t node, double rate);  // true seconds become so many of its own
+    void freeze_at_next_effect(
+        size_t node,
+        Duration span);  // at its next effect, between the check's cause and the effect
+    void set_clock_rate(size_t node, double rate);  // true seconds become so many of its own
     // To be changed. A link that was never asked for has the values of a default Link and takes no room.
     Link& link(size_t from, size_t to) { return links_[from * nodes_.size() + to]; }
     void isolate(size_t node, bool cut);
@@ -123,7 +124,7 @@
     void discovery_is(uint64_t version) { discovery_is(version, "list " + std::to_string(version)); }
     void discovery_is(uint64_t version, std::string list)
     {
-        discovery_ = version;
+        discovery_version_ = version;
         discovery_list_ = std::move(list);
     }
     // Members that discovery answers; absent: all.
@@ -143,22 +144,23 @@
     const EndpointMap& shown_list(size_t node) const;  // as its balancer uses it, with deltas
     std::string show(size_t node);
 
-    const std::vector<Broken>& broken() const { return broken_; }
+    const std::vector<Broken>& broken() const { return violations_; }
     const std::vector<std::string>& trace() const { return trace_; }
-    bool traced = false;
+    bool trace_enabled = false;
     std::string last_reply;
     struct Count {
-        uint64_t messages = 0, bytes = 0, effects = 0, stopped_at_gate = 0, refused = 0, list_calls = 0,
-                 probes = 0, list_bytes = 0;  // list_bytes: of deltas, snapshots and what asks for them
+        uint64_t messages = 0, bytes = 0, effects = 0, blocked_effects = 0, refused_effects = 0,
+                 list_calls = 0, probes = 0,
+                 list_bytes = 0;  // list_bytes: of deltas, snapshots and what asks for them
     };
     Count count;
-    std::vector<uint64_t> sent;  // messages of each member
+    std::vector<uint64_t> messages_sent;  // messages of each member
     struct Traffic {
         uint64_t messages_out = 0, bytes_out = 0, messages_in = 0, bytes_in = 0;
     };
     std::vector<Traffic> traffic;  // of each member
     // Duty, true time: since when nobody holds it.
-    std::map<std::string, Duration> longest_gap() const;
+    std::map<std::string, Duration> current_gaps() const;
     std::vector<Duration> gaps;  // each time without a holder, ended
 
   private:
@@ -167,54 +169,54 @@
         TimePoint at;
         uint64_t order;
         size_t node;
-        uint64_t run;  // of the node; what comes for an older one is gone with it
-        std::function<void()> what;
-        bool checked;  // whether holders can be others after it
+        uint64_t generation;  // of the node; what comes for an older one is gone with it
+        std::function<void()> action;
+        bool may_change_holders;  // whether holders can be others after it
         bool operator<(const Event& o) const { return at != o.at ? at > o.at : order > o.order; }
     };
 
-    void later(Duration after, size_t node, std::function<void()> what, bool checked = true);
-    void carry_out(size_t node, std::vector<FleetEffect> effects);
-    void act(size_t node, const LeasedEffect& act, Duration travels = {});
+    void schedule_event(Duration after, size_t node, std::function<void()> what, bool checked = true);
+    void apply_effects(size_t node, std::vector<FleetEffect> effects);
+    void perform_effect(size_t node, const LeasedEffect& act, Duration travels = {});
     void send(size_t from, const Send& send);
     void call_voter_agent(size_t node, const std::function<std::vector<VoterAgentEffect>(TimePoint)>& call);
     void tick(size_t node);
-    void ask_discovery(size_t node);
-    EndpointListFetched discovery_answer(size_t node);
-    void use_list(size_t node, const ApplyEndpointList& use);
+    void poll_discovery(size_t node);
+    EndpointListFetched fetch_list(size_t node);
+    void apply_list(size_t node, const ApplyEndpointList& use);
     void check_replica(size_t at_node);
-    size_t fork(Fork at) { return options_.fork ? options_.fork(at) : 0; }
-    bool forked_turn(size_t node);
+    size_t choose(ChoicePoint at) { return options_.choose ? options_.choose(at) : 0; }
+    bool inject_tick_fault(size_t node);
     const Link& link_between(size_t from, size_t to) const;
-    void holders_changed(size_t node, const LogEvent& noted);
-    void check();
-    TimePoint lease_ends(size_t node) const;
-    void breaks(const std::string& rule);
-    void note(const std::string& text);
+    void update_candidates(size_t node, const LogEvent& noted);
+    void check_holders();
+    TimePoint lease_expiry(size_t node) const;
+    void report_violation(const std::string& rule);
+    void add_trace(const std::string& text);
 
     const Options options_;
-    std::ranlux24_base chance_;
+    std::ranlux24_base random_;
     TimePoint now_{1'000'000'000};
-    uint64_t order_ = 0;
+    uint64_t next_order_ = 0;
     std::vector<std::unique_ptr<Node>> nodes_;
     std::unordered_map<size_t, Link> links_;  // that were asked for
     std::priority_queue<Event> events_;
-    std::vector<Broken> broken_;
+    std::vector<Broken> violations_;
     std::vector<std::string> trace_;
-    std::map<std::string, std::pair<Epoch, uint64_t>> taken_;  // by the receiver of each duty
-    std::set<std::tuple<std::string, Epoch, uint64_t>> effects_;
+    std::map<std::string, std::pair<Epoch, uint64_t>> accepted_;  // by the receiver of each duty
+    std::set<std::tuple<std::string, Epoch, uint64_t>> accepted_effects_;
     // Duties that are checked, and who may hold them: members that have gained one and not lost it. Their
     // leases may have ended since.
-    struct Watched {
-        TimePoint without;  // since when nobody holds it; zero: somebody does
+    struct DutyWatch {
+        TimePoint vacant_since;  // since when nobody holds it; zero: somebody does
         std::vector<size_t> candidates;
     };
-    std::map<std::string, Watched> watched_;
+    std::map<std::string, DutyWatch> watched_duties_;
     bool check_due_ = true;  // something other than time has changed who holds a duty
-    TimePoint check_at_;     // the first time at which a lease may end
-    uint64_t discovery_ = 1;
+    TimePoint next_check_;   // the first time at which a lease may end
+    uint64_t discovery_version_ = 1;
     std::string discovery_list_ = "list 1";
-    std::map<EndpointRevision, uint64_t> digests_;  // of the states that replicas have had
+    std::map<EndpointRevision, uint64_t> digest_by_revision_;  // of the states that replicas have had
 };
 
 }  // namespace firtide::simulation
--- a/simulation/subsets.cpp
+++ b/simulation/subsets.cpp
@@ -15,11 +15,11 @@
 
 using namespace fleet;
 
-struct Fleet {
+struct Topology {
     std::vector<SubsetPeer> members;
     std::vector<SubsetCandidate> upstreams;
 };
-using Way = std::function<SubsetWeights(const Fleet&, MemberKey self, uint32_t size)>;
+using Algorithm = std::function<SubsetWeights(const Topology&, MemberKey self, uint32_t size)>;
 
 uint64_t hash(uint64_t a, uint64_t b)
 {
@@ -28,7 +28,7 @@
 }
 
 // The `size` highest by a hash of both.
-SubsetWeights rendezvous(const Fleet& f, MemberKey self, uint32_t size)
+SubsetWeights rendezvous(const Topology& f, MemberKey self, uint32_t size)
 {
     std::vector<std::pair<uint64_t, size_t>> order;
     for (size_t i = 0; i < f.upstreams.size(); ++i)
@@ -40,7 +40,7 @@
 }
 
 // Members in rounds; each round deals one shuffle of the upstreams out.
-SubsetWeights rounds(const Fleet& f, MemberKey self, uint32_t size)
+SubsetWeights deterministic_rounds(const Topology& f, MemberKey self, uint32_t size)
 {
     std::vector<uint64_t> keys;
     for (const SubsetPeer& s : f.members) keys.push_back(hash(s.key, 3));
@@ -62,7 +62,7 @@
 }
 
 // A ring whose places do not follow from who else is there: by the golden ratio of the member's number.
-SubsetWeights golden(const Fleet& f, MemberKey self, uint32_t size)
+SubsetWeights golden_ratio_ring(const Topology& f, MemberKey self, uint32_t size)
 {
     std::vector<std::pair<uint64_t, size_t>> ring;
     for (size_t i = 0; i < f.upstreams.size(); ++i)
@@ -77,7 +77,7 @@
 }
 
 // Rendezvous where nobody takes an upstream that has its share already: by all, in their order.
-SubsetWeights bounded(const Fleet& f, MemberKey self, uint32_t size)
+SubsetWeights bounded_rendezvous(const Topology& f, MemberKey self, uint32_t size)
 {
     const double n = static_cast<double>(std::max<size_t>(1, f.members.size()));
     const auto there = static_cast<double>(
@@ -100,16 +100,16 @@
     return rendezvous(f, self, size);
 }
 
-SubsetWeights ring(const Fleet& f, MemberKey self, uint32_t size)
+SubsetWeights weighted_ring(const Topology& f, MemberKey self, uint32_t size)
 {
     SubsetConfig rule;
     rule.size = size;
     return select_subset(rule, f.members, self, f.upstreams, 1);
 }
 
-Fleet make(size_t members, size_t upstreams, bool unequal, std::ranlux24_base& chance)
+Topology make_topology(size_t members, size_t upstreams, bool unequal, std::ranlux24_base& chance)
 {
-    Fleet f;
+    Topology f;
     const auto some = [&] { return unequal ? 1 + 3 * std::uniform_real_distribution<>(0, 1)(chance) : 1.0; };
     const uint64_t salt = chance();
     for (size_t i = 0; i < members; ++i) f.members.push_back({i + 1, true, some()});
@@ -118,7 +118,7 @@
 }
 
 // What each upstream is offered for its size: each member's traffic goes by parts and sizes.
-std::vector<double> offered(const Fleet& f, const std::vector<SubsetWeights>& all)
+std::vector<double> offered_load(const Topology& f, const std::vector<SubsetWeights>& all)
 {
     std::vector<double> load(f.upstreams.size(), 0);
     for (size_t m = 0; m < f.members.size(); ++m) {
@@ -136,14 +136,14 @@
            std::accumulate(load.begin(), load.end(), 0.0);
 }
 
-std::vector<SubsetWeights> by_all(const Way& way, const Fleet& f, uint32_t size)
+std::vector<SubsetWeights> select_for_all(const Algorithm& way, const Topology& f, uint32_t size)
 {
     std::vector<SubsetWeights> all;
     for (const SubsetPeer& s : f.members) all.push_back(way(f, s.key, size));
     return all;
 }
 
-size_t taken_up(const SubsetWeights& before, const SubsetWeights& after)
+size_t count_added(const SubsetWeights& before, const SubsetWeights& after)
 {
     size_t n = 0;
     for (size_t u = 0; u < after.size(); ++u) n += after[u] > 0 && !(before[u] > 0);
@@ -152,27 +152,27 @@
 
 }  // namespace
 
-std::vector<Compared> compare_subsets(size_t members, size_t upstreams, uint32_t size, size_t seeds)
+std::vector<SubsetComparison> compare_subsets(size_t members, size_t upstreams, uint32_t size, size_t seeds)
 {
-    const std::pair<const char*, Way> ways[] = {{"rendezvous hashing", rendezvous},
-                                                {"rendezvous with bounded loads", bounded},
-                                                {"deterministic rounds", rounds},
-                                                {"golden-ratio ring, fixed places", golden},
-                                                {"ring by weights", ring}};
-    std::vector<Compared> out;
+    const std::pair<const char*, Algorithm> ways[] = {{"rendezvous hashing", rendezvous},
+                                                      {"rendezvous with bounded loads", bounded_rendezvous},
+                                                      {"deterministic rounds", deterministic_rounds},
+                                                      {"golden-ratio ring, fixed places", golden_ratio_ring},
+                                                      {"ring by weights", weighted_ring}};
+    std::vector<SubsetComparison> out;
     for (const auto& [name, way] : ways) {
-        Compared c;
-        c.way = name;
+        SubsetComparison c;
+        c.algorithm = name;
         for (size_t seed = 0; seed < seeds; ++seed) {
             std::ranlux24_base chance(static_cast<uint32_t>(seed + 1));
-            const Fleet f = make(members, upstreams, false, chance);
-            const auto all = by_all(way, f, size);
+            const Topology f = make_topology(members, upstreams, false, chance);
+            const auto all = select_for_all(way, f, size);
             for (const SubsetWeights& p : all)
                 c.connections += static_cast<double>(
                     std::count_if(p.begin(), p.end(), [](double part) { return part > 0; }));
-            c.one_view += greatest_over_mean(offered(f, all));
-            const Fleet u = make(members, upstreams, true, chance);
-            c.unequal += greatest_over_mean(offered(u, by_all(way, u, size)));
+            c.same_view += greatest_over_mean(offered_load(f, all));
+            const Topology u = make_topology(members, upstreams, true, chance);
+            c.unequal_sizes += greatest_over_mean(offered_load(u, select_for_all(way, u, size)));
 
             // Each sees a tenth of the others, and of the upstreams a twentieth, not.
             std::vector<SubsetWeights> apart;
@@ -180,36 +180,36 @@
                 return std::uniform_real_distribution<>(0, 1)(chance) < part;
             };
             for (const SubsetPeer& s : f.members) {
-                Fleet own = f;
+                Topology own = f;
                 std::erase_if(own.members,
                               [&](const SubsetPeer& o) { return o.key != s.key && unseen(0.1); });
                 for (SubsetCandidate& o : own.upstreams)
                     if (unseen(0.05)) o.size = 0;
                 apart.push_back(way(own, s.key, size));
             }
-            c.views_differ += greatest_over_mean(offered(f, apart));
+            c.views_differ += greatest_over_mean(offered_load(f, apart));
 
-            Fleet less = f;
+            Topology less = f;
             less.members.erase(less.members.begin() + static_cast<std::ptrdiff_t>(chance() % members));
             size_t moved = 0, at = 0;
             for (size_t m = 0; m < members; ++m) {
                 if (at < less.members.size() && less.members[at].key == f.members[m].key)
-                    moved += taken_up(all[m], way(less, less.members[at++].key, size));
+                    moved += count_added(all[m], way(less, less.members[at++].key, size));
             }
             c.member_moves += static_cast<double>(moved) / size;
-            Fleet fewer = f;
+            Topology fewer = f;
             const size_t gone = chance() % upstreams;
             fewer.upstreams[gone].size = 0;
             moved = 0;
             double had = 0;
             for (size_t m = 0; m < members; ++m) {
-                moved += taken_up(all[m], way(fewer, f.members[m].key, size));
+                moved += count_added(all[m], way(fewer, f.members[m].key, size));
                 had += all[m][gone] > 0;
             }
             c.upstream_moves += static_cast<double>(moved) / std::max(1.0, had);
         }
         const double n = static_cast<double>(seeds);
-        c.connections /= n, c.one_view /= n, c.views_differ /= n, c.unequal /= n;
+        c.connections /= n, c.same_view /= n, c.views_differ /= n, c.unequal_sizes /= n;
         c.member_moves /= n, c.upstream_moves /= n;
         out.push_back(c);
     }
--- a/simulation/subsets.h
+++ b/simulation/subsets.h
@@ -9,14 +9,14 @@
 namespace firtide::simulation
 {
 
-struct Compared {
-    std::string way;
+struct SubsetComparison {
+    std::string algorithm;
     double connections = 0;
-    double one_view = 0, views_differ = 0;  // offered load of upstreams: greatest over mean
-    double unequal = 0;                     // the same, with sizes and traffic up to four times as great
+    double same_view = 0, views_differ = 0;  // offered load of upstreams: greatest over mean
+    double unequal_sizes = 0;                // the same, with sizes and traffic up to four times as great
     double member_moves = 0, upstream_moves = 0;  // of a share: what one more or less moves
 };
 
-std::vector<Compared> compare_subsets(size_t members, size_t upstreams, uint32_t size, size_t seeds);
+std::vector<SubsetComparison> compare_subsets(size_t members, size_t upstreams, uint32_t size, size_t seeds);
 
 }  // namespace firtide::simulation
--- a/tests/fleet_simulation.cpp
+++ b/tests/fleet_simulation.cpp
@@ -10,42 +10,45 @@
 namespace
 {
 
-struct Found {
-    size_t walks = 0;
-    std::string first;
+struct Search {
+    size_t violating_runs = 0;
+    std::string first_violation;
 };
 
-Found play(RandomizedRun run, uint64_t from, uint64_t to, const char* only = "")
+Search search(RandomizedRun run, uint64_t from, uint64_t to, const char* only = "")
 {
-    Found found;
+    Search found;
     for (uint64_t seed = from; seed <= to; ++seed)
         for (const Broken& b : simulation::run_randomized(run, seed).broken)
             if (std::strstr(b.rule.c_str(), only)) {
-                if (found.walks++ == 0) found.first = "seed " + std::to_string(seed) + ": " + b.rule;
+                if (found.violating_runs++ == 0)
+                    found.first_violation = "seed " + std::to_string(seed) + ": " + b.rule;
                 break;
             }
     return found;
 }
 
-void must_hold(const char* what, const RandomizedRun& run)
+void expect_no_violation(const char* what, const RandomizedRun& run)
 {
-    const auto found = play(run, 1, 30);
-    std::printf("%s: %s\n", what, found.walks ? found.first.c_str() : "nothing broken");
+    const auto found = search(run, 1, 30);
+    std::printf("%s: %s\n", what, found.violating_runs ? found.first_violation.c_str() : "nothing broken");
 }
 
-void must_break(const char* what, const RandomizedRun& run, uint64_t to, const char* rule)
+void expect_violation(const char* what, const RandomizedRun& run, uint64_t to, const char* rule)
 {
-    std::printf("%s: %s\n", what, play(run, 1, to, rule).walks ? "found" : "NOT FOUND");
+    std::printf("%s: %s\n", what, search(run, 1, to, rule).violating_runs ? "found" : "NOT FOUND");
 }
 
 // A leader stands still while another is elected; one holder reaches nobody else and goes on asking it. When
 // it wakes it finds those askings before it finds out that another leads.
-size_t leader_asleep(bool confirm)
+size_t runs_broken_by_frozen_leader(bool confirm)
 {
     size_t broken = 0;
     for (uint64_t seed = 1; seed <= 10; ++seed) {
         SimulatedCluster::Options o;
-        o.lease_manager = [confirm](LeaseManager& g) { g.disabled_checks.confirm_by_majority = !confirm; };
+        o.configure_lease_manager = [confirm](LeaseManager& g) {
+            g.disabled_checks.confirm_by_majority = !confirm;
+        };
         SimulatedCluster w(o, seed);
         for (size_t i = 0; i < w.size(); ++i) w.start(i);
         w.run(seconds(5));
@@ -67,35 +70,36 @@
 {
     RandomizedRun five;
     five.options.list = true;
-    must_hold("five members, three voters", five);
+    expect_no_violation("five members, three voters", five);
     RandomizedRun seven = five;
     seven.options.members = seven.options.voters = 7;
     seven.options.duties = 3;
-    must_hold("seven voters", seven);
+    expect_no_violation("seven voters", seven);
     RandomizedRun one;
     one.options.members = 3;
     one.options.duties = 1;
-    one.faults = 2;
-    must_hold("three members, one duty, twice the faults", one);
+    one.faults_per_second = 2;
+    expect_no_violation("three members, one duty, twice the faults", one);
 
     RandomizedRun w = five;
-    w.options.lease_manager = [](LeaseManager& g) { g.disabled_checks.wait_after_election = true; };
-    must_break("a new leader that does not wait", w, 40, "two hold");
-    std::printf("renewals without a majority: %s\n", leader_asleep(false) ? "found" : "NOT FOUND");
-    std::printf("the same with it: %s\n", leader_asleep(true) ? "BROKEN" : "nothing broken");
+    w.options.configure_lease_manager = [](LeaseManager& g) { g.disabled_checks.wait_after_election = true; };
+    expect_violation("a new leader that does not wait", w, 40, "two hold");
+    std::printf("renewals without a majority: %s\n",
+                runs_broken_by_frozen_leader(false) ? "found" : "NOT FOUND");
+    std::printf("the same with it: %s\n", runs_broken_by_frozen_leader(true) ? "BROKEN" : "nothing broken");
     w = five;
-    w.options.lease_manager = [](LeaseManager& g) { g.disabled_checks.full_expiry = true; };
-    must_break("grants before the lease is over", w, 10, "two hold");
+    w.options.configure_lease_manager = [](LeaseManager& g) { g.disabled_checks.full_expiry = true; };
+    expect_violation("grants before the lease is over", w, 10, "two hold");
     w = five;
-    w.options.gate = false;
-    must_break("no gate", w, 20, "without its lease");
+    w.options.lease_gate = false;
+    expect_violation("no gate", w, 20, "without its lease");
     w = five;
-    w.options.fences = false;
-    must_break("no fences", w, 60, "a receiver took epoch");
+    w.options.fencing = false;
+    expect_violation("no fences", w, 60, "a receiver took epoch");
     w = five;
-    w.clock_beyond = 0.5;
-    must_break("a clock beyond the drift", w, 40, "two hold");
+    w.excess_drift = 0.5;
+    expect_violation("a clock beyond the drift", w, 40, "two hold");
     std::printf("the same, at receivers: %s\n",
-                play(w, 1, 40, "receiver").walks ? "a lower epoch taken" : "no lower epoch taken");
+                search(w, 1, 40, "receiver").violating_runs ? "a lower epoch taken" : "no lower epoch taken");
     return 0;
 }
--- a/tests/simulation_scale.cpp
+++ b/tests/simulation_scale.cpp
@@ -10,25 +10,25 @@
 namespace
 {
 
-ScalePlan small(ScaleTrouble trouble = ScaleTrouble::none)
+ScalePlan small_plan(ScaleFault trouble = ScaleFault::none)
 {
     ScalePlan plan;
     plan.members = 60;
     plan.upstreams = 20;
     plan.seconds = 5;
-    plan.trouble = trouble;
+    plan.fault = trouble;
     return plan;
 }
 
-void ends_in_agreement(ScalePlan plan)
+void expect_convergence(ScalePlan plan)
 {
     ScaleRun run(plan);
     const ScaleResult result = run.run();
     EXPECT_EQ(result.changes_missing, 0u);
-    EXPECT_GT(result.change_in_force.counted, plan.members);
-    EXPECT_TRUE(result.broken.empty());
-    ASSERT_TRUE(result.trouble);
-    EXPECT_TRUE(result.trouble->seconds_until_agreed);
+    EXPECT_GT(result.change_in_force.samples, plan.members);
+    EXPECT_TRUE(result.violations.empty());
+    ASSERT_TRUE(result.fault);
+    EXPECT_TRUE(result.fault->seconds_until_agreed);
     for (size_t i = 0; i < plan.members; ++i) {
         ASSERT_TRUE(run.cluster().up(i));
         EXPECT_EQ(run.cluster().fleet(i).membership().alive_count(), plan.members);
@@ -39,7 +39,7 @@
 
 TEST(ScaleRun, GivesTheSameResultForTheSamePlan)
 {
-    const ScalePlan plan = small(ScaleTrouble::killed);
+    const ScalePlan plan = small_plan(ScaleFault::killed);
     const ScaleResult first = ScaleRun(plan).run(), second = ScaleRun(plan).run();
     EXPECT_EQ(scale_report(plan, first, {}), scale_report(plan, second, {}));
     EXPECT_EQ(first.messages, second.messages);
@@ -48,7 +48,7 @@
 
 TEST(ScaleRun, AnotherSeedGivesAnotherRun)
 {
-    ScalePlan plan = small();
+    ScalePlan plan = small_plan();
     const ScaleResult first = ScaleRun(plan).run();
     plan.seed = 2;
     EXPECT_NE(first.bytes, ScaleRun(plan).run().bytes);
@@ -56,69 +56,69 @@
 
 TEST(ScaleRun, CountsEveryRoleAtRest)
 {
-    const ScaleResult result = ScaleRun(small()).run();
+    const ScaleResult result = ScaleRun(small_plan()).run();
     size_t members = 0;
     for (const auto& [role, traffic] : result.roles) {
         members += traffic.members;
         EXPECT_GT(traffic.messages.median, 0) << role;
-        EXPECT_GE(traffic.messages.greatest, traffic.messages.median) << role;
+        EXPECT_GE(traffic.messages.max, traffic.messages.median) << role;
         EXPECT_GT(traffic.kilobytes_in.median, 0) << role;
         EXPECT_GT(traffic.kilobytes_out.median, 0) << role;
     }
     EXPECT_EQ(members, 60u);
     EXPECT_EQ(result.roles.at("leader").members, 1u);
     EXPECT_EQ(result.roles.at("holder.list").members, 1u);
-    EXPECT_FALSE(result.trouble);
+    EXPECT_FALSE(result.fault);
 }
 
 TEST(ScaleRun, WithoutChangesNothingIsCounted)
 {
-    ScalePlan plan = small();
+    ScalePlan plan = small_plan();
     plan.changes_per_second = 0;
     const ScaleResult result = ScaleRun(plan).run();
-    EXPECT_EQ(result.change_in_force.counted, 0u);
+    EXPECT_EQ(result.change_in_force.samples, 0u);
     EXPECT_EQ(result.changes_missing, 0u);
 }
 
-TEST(ScaleRun, KilledMembersComeBackToOneView) { ends_in_agreement(small(ScaleTrouble::killed)); }
-TEST(ScaleRun, ALostZoneComesBackToOneView) { ends_in_agreement(small(ScaleTrouble::zone)); }
-TEST(ScaleRun, JoinedRegionsComeToOneView) { ends_in_agreement(small(ScaleTrouble::regions)); }
-TEST(ScaleRun, ARestartOfAllEndsInOneView) { ends_in_agreement(small(ScaleTrouble::restart)); }
+TEST(ScaleRun, KilledMembersComeBackToOneView) { expect_convergence(small_plan(ScaleFault::killed)); }
+TEST(ScaleRun, ALostZoneComesBackToOneView) { expect_convergence(small_plan(ScaleFault::zone)); }
+TEST(ScaleRun, JoinedRegionsComeToOneView) { expect_convergence(small_plan(ScaleFault::regions)); }
+TEST(ScaleRun, ARestartOfAllEndsInOneView) { expect_convergence(small_plan(ScaleFault::restart)); }
 
 TEST(ScaleRun, JoinedRegionsComeToOneViewWithDeltas)
 {
-    ScalePlan plan = small(ScaleTrouble::regions);
+    ScalePlan plan = small_plan(ScaleFault::regions);
     plan.deltas = true;
-    ends_in_agreement(plan);
+    expect_convergence(plan);
 }
 
 TEST(ScalePlan, NamesWhatCannotBeRun)
 {
-    EXPECT_EQ(ScalePlan{}.fault(), "");
+    EXPECT_EQ(ScalePlan{}.validation_error(), "");
     ScalePlan plan;
     plan.voters = 4;
-    EXPECT_EQ(plan.fault(), "voters: 3, 5 or 7 members vote, not 4");
+    EXPECT_EQ(plan.validation_error(), "voters: 3, 5 or 7 members vote, not 4");
     plan = {};
     plan.members = 2;
-    EXPECT_EQ(plan.fault(), "members: from 3 to 20000 are possible, not 2");
+    EXPECT_EQ(plan.validation_error(), "members: from 3 to 20000 are possible, not 2");
     plan = {};
     plan.upstreams = 0;
-    EXPECT_EQ(plan.fault(), "upstreams: from 1 to 50000 are possible, not 0");
+    EXPECT_EQ(plan.validation_error(), "upstreams: from 1 to 50000 are possible, not 0");
     plan = {};
     plan.seconds = 0;
-    EXPECT_EQ(plan.fault(), "seconds: from 1 to 3600 are possible, not 0");
+    EXPECT_EQ(plan.validation_error(), "seconds: from 1 to 3600 are possible, not 0");
     plan = {};
     plan.zones = 1;
-    plan.trouble = ScaleTrouble::zone;
-    EXPECT_EQ(plan.fault(), "zones: where one is lost, two are needed");
+    plan.fault = ScaleFault::zone;
+    EXPECT_EQ(plan.validation_error(), "zones: where one is lost, two are needed");
 }
 
-TEST(ScaleTrouble, IsKnownByItsName)
+TEST(ScaleFault, IsKnownByItsName)
 {
-    for (const auto trouble : {ScaleTrouble::none, ScaleTrouble::killed, ScaleTrouble::zone,
-                               ScaleTrouble::regions, ScaleTrouble::restart})
-        EXPECT_EQ(scale_trouble_of(to_string(trouble)), trouble);
-    EXPECT_FALSE(scale_trouble_of("flood"));
+    for (const auto trouble :
+         {ScaleFault::none, ScaleFault::killed, ScaleFault::zone, ScaleFault::regions, ScaleFault::restart})
+        EXPECT_EQ(parse_scale_fault(to_string(trouble)), trouble);
+    EXPECT_FALSE(parse_scale_fault("flood"));
 }
 
 }  // namespace
