--- a/simulation/main.cpp
+++ b/simulation/main.cpp
@@ -1,4 +1,4 @@
-// firtide-simulation: fleets in virtual time, from the command line.
+// firtide-simulation: command line for simulations of fleets in virtual time.
 #include <sys/resource.h>
 
 #include <CLI/CLI.hpp>
@@ -24,7 +24,7 @@
     uint64_t first = 1, last = 20;
 };
 
-// So that walks of a minute meet snapshots of several chunks, and versions of several deltas.
+// Small enough that a run of a minute meets snapshots of several chunks and versions of several deltas.
 constexpr EndpointDeltaConfig small_delta_config{8, seconds(0.5), 256};
 
 struct DisabledRule {
@@ -52,12 +52,12 @@
 {
     uint64_t faults = 0, broken = 0;
     for (uint64_t seed = seeds.first; seed <= seeds.last; ++seed) {
-        const auto got = simulation::run_randomized(run, seed, traced);
-        faults += got.faults;
-        if (traced) print(got.trace);
-        if (got.broken.empty()) continue;
+        const auto result = simulation::run_randomized(run, seed, traced);
+        faults += result.faults;
+        if (traced) print(result.trace);
+        if (result.broken.empty()) continue;
         ++broken;
-        std::printf("seed %llu: %s\n", static_cast<unsigned long long>(seed), got.broken[0].rule.c_str());
+        std::printf("seed %llu: %s\n", static_cast<unsigned long long>(seed), result.broken[0].rule.c_str());
     }
     std::printf("%llu walks, %llu faults, %llu broken\n",
                 static_cast<unsigned long long>(seeds.last - seeds.first + 1),
@@ -67,21 +67,22 @@
 
 int run_check(const ModelCheck& c)
 {
-    const auto got = run_model_check(c);
+    const auto result = run_model_check(c);
     std::printf("%llu runs, up to %zu of %llu things that can go wrong at a time, %llu broken\n",
-                static_cast<unsigned long long>(got.runs), c.max_faults,
-                static_cast<unsigned long long>(got.choice_points),
-                static_cast<unsigned long long>(got.violating_runs));
-    if (!got.violating_runs) return 0;
-    std::printf("%s\n", got.rule.c_str());
-    print(got.trace);
+                static_cast<unsigned long long>(result.runs), c.max_faults,
+                static_cast<unsigned long long>(result.choice_points),
+                static_cast<unsigned long long>(result.violating_runs));
+    if (!result.violating_runs) return 0;
+    std::printf("%s\n", result.rule.c_str());
+    print(result.trace);
     return 1;
 }
 
-// From power back to so much of the usual work in time, alone and with a return in stages.
+// Time from the end of a power loss until given fractions of the usual load are answered in time, alone and
+// with staged startup.
 int measure_power_recovery(size_t balancers, size_t upstreams, Seeds seeds)
 {
-    const std::pair<const char*, Features> ways[] = {
+    const std::pair<const char*, Features> feature_sets[] = {
         {"alone", {}}, {"recovery", {false, false, false, true}}, {"all", {true, true, true, true}}};
     std::printf("%zu balancers, %zu upstreams, seeds %llu to %llu\n", balancers, upstreams,
                 static_cast<unsigned long long>(seeds.first), static_cast<unsigned long long>(seeds.last));
@@ -90,11 +91,12 @@
         "| --- | --- | --- | --- | --- | --- | --- | --- |");
     for (const FaultScenario& t : fault_scenarios()) {
         if (!t.power_loss) continue;
-        for (const auto& [name, on] : ways) {
+        for (const auto& [name, features] : feature_sets) {
             ScenarioResult sum;
             size_t never = 0;
             for (uint64_t seed = seeds.first; seed <= seeds.last; ++seed) {
-                const ScenarioResult o = run_scenario(t, simulation_options(balancers, upstreams, on), seed);
+                const ScenarioResult o =
+                    run_scenario(t, simulation_options(balancers, upstreams, features), seed);
                 never += o.seconds_to_90_percent < 0;
                 sum.seconds_to_50_percent += o.seconds_to_50_percent,
                     sum.seconds_to_90_percent += o.seconds_to_90_percent,
@@ -111,29 +113,31 @@
     return 0;
 }
 
-// What a fleet at rest says, and how long a duty is held by nobody.
-int measure_idle_traffic(SimulatedCluster::Options options, uint64_t seed, bool acquainted)
+// Traffic of a fleet without faults.
+int measure_idle_traffic(SimulatedCluster::Options options, uint64_t seed, bool known_members)
 {
-    SimulatedCluster w(options, seed);
-    if (acquainted) w.start_all_with_known_members();
-    for (size_t i = 0; i < w.size(); ++i) w.start(i);
-    w.run(seconds(10));
-    const auto before = w.count;
-    const auto sent_before = w.messages_sent;
-    w.run(seconds(10));
+    SimulatedCluster cluster(options, seed);
+    if (known_members) cluster.start_all_with_known_members();
+    for (size_t i = 0; i < cluster.size(); ++i) cluster.start(i);
+    cluster.run(seconds(10));
+    const auto before = cluster.count;
+    const auto sent_before = cluster.messages_sent;
+    cluster.run(seconds(10));
     std::vector<uint64_t> sent;
-    for (size_t i = 0; i < w.size(); ++i) sent.push_back((w.messages_sent[i] - sent_before[i]) / 10);
+    for (size_t i = 0; i < cluster.size(); ++i)
+        sent.push_back((cluster.messages_sent[i] - sent_before[i]) / 10);
     std::sort(sent.begin(), sent.end());
-    const double n = static_cast<double>(w.size()) * 10;
+    const double n = static_cast<double>(cluster.size()) * 10;
     std::printf(
         "%zu members, %zu voters, %zu duties, at rest: %.1f messages and %.0f bytes a second and member; "
         "median %llu, "
         "greatest %llu messages; %.1f calls for lists a second\n",
-        w.size(), options.voters, options.duties, static_cast<double>(w.count.messages - before.messages) / n,
-        static_cast<double>(w.count.bytes - before.bytes) / n,
+        cluster.size(), options.voters, options.duties,
+        static_cast<double>(cluster.count.messages - before.messages) / n,
+        static_cast<double>(cluster.count.bytes - before.bytes) / n,
         static_cast<unsigned long long>(sent[sent.size() / 2]), static_cast<unsigned long long>(sent.back()),
-        static_cast<double>(w.count.list_calls - before.list_calls) / 10);
-    return w.broken().empty() ? 0 : 1;
+        static_cast<double>(cluster.count.list_calls - before.list_calls) / 10);
+    return cluster.broken().empty() ? 0 : 1;
 }
 
 double peak_memory_mb()
@@ -143,7 +147,7 @@
     return static_cast<double>(usage.ru_maxrss) / 1024;
 }
 
-// Exit status 2: the plan, or the file for the report, can't be used.
+// Returns the exit status; 2: the plan is invalid or the report file can't be written.
 int run_scale(const ScalePlan& plan, const std::string& json)
 {
     if (const auto fault = plan.validation_error(); !fault.empty()) {
@@ -177,15 +181,16 @@
     return 0;
 }
 
-// Each trouble alone and with what balancers do together, on the same seeds: means, and how far from alone,
-// with the half-width of the 95 % interval of the paired differences.
+// Runs each scenario without cooperation and with each cooperation feature, on the same seeds. Prints the
+// means and the difference from the run without cooperation, with the half-width of the 95 % confidence
+// interval of the paired differences.
 int simulate_service(size_t balancers, size_t upstreams, Seeds seeds, const std::string& only)
 {
-    const std::pair<const char*, Features> ways[] = {{"alone", {}},
-                                                     {"subset", {true, false, false}},
-                                                     {"signals", {false, true, false}},
-                                                     {"turns", {false, false, true}},
-                                                     {"all", {true, true, true}}};
+    const std::pair<const char*, Features> feature_sets[] = {{"alone", {}},
+                                                             {"subset", {true, false, false}},
+                                                             {"signals", {false, true, false}},
+                                                             {"turns", {false, false, true}},
+                                                             {"all", {true, true, true}}};
     std::printf("%zu balancers, %zu upstreams, seeds %llu to %llu\n", balancers, upstreams,
                 static_cast<unsigned long long>(seeds.first), static_cast<unsigned long long>(seeds.last));
     std::puts(
@@ -196,22 +201,23 @@
     for (const FaultScenario& t : fault_scenarios()) {
         if (!only.empty() ? t.name.find(only) == std::string::npos : t.power_loss) continue;
         std::vector<double> alone;
-        for (const auto& [name, on] : ways) {
+        for (const auto& [name, features] : feature_sets) {
             ScenarioResult sum;
-            std::vector<double> apart;
+            std::vector<double> differences;
             for (uint64_t seed = seeds.first; seed <= seeds.last; ++seed) {
-                const ScenarioResult o = run_scenario(t, simulation_options(balancers, upstreams, on), seed);
+                const ScenarioResult o =
+                    run_scenario(t, simulation_options(balancers, upstreams, features), seed);
                 if (alone.size() < seeds.last - seeds.first + 1) alone.push_back(o.in_time_share);
-                apart.push_back(o.in_time_share - alone[seed - seeds.first]);
+                differences.push_back(o.in_time_share - alone[seed - seeds.first]);
                 sum.in_time_share += o.in_time_share, sum.max_over_mean += o.max_over_mean;
                 sum.connections += o.connections, sum.digest_bytes += o.digest_bytes;
                 sum.collapses += o.collapses, sum.widened += o.widened, sum.narrowed += o.narrowed;
                 sum.min_served_over_mean += o.min_served_over_mean;
             }
-            const double n = static_cast<double>(apart.size());
+            const double n = static_cast<double>(differences.size());
             double mean = 0, var = 0;
-            for (const double d : apart) mean += d / n;
-            for (const double d : apart) var += (d - mean) * (d - mean) / std::max(1.0, n - 1);
+            for (const double d : differences) mean += d / n;
+            for (const double d : differences) var += (d - mean) * (d - mean) / std::max(1.0, n - 1);
             std::printf(
                 "| %s | %s | %.3f | %+.3f +- %.3f | %.3f | %.0f | %.0f | %.1f | %.0f, %.0f | %.2f |\n",
                 t.name.c_str(), name, sum.in_time_share / n, mean, 1.96 * std::sqrt(var / n),
@@ -229,8 +235,8 @@
 {
     CLI::App app("firtide-simulation, fleets of balancers in virtual time");
     app.require_subcommand(1);
-    RandomizedRun w;
-    ModelCheck c;
+    RandomizedRun run;
+    ModelCheck check;
     Seeds seeds;
     DisabledRule rules;
     double lasts = 60, faults = 1, lease = 3;
@@ -253,20 +259,22 @@
     walking->add_option("--to", seeds.last, "seed");
     walking->add_option("--lasts", lasts, "seconds of each");
     walking->add_option("--faults", faults, "a second");
-    walking->add_option("--clock-beyond", w.excess_drift, "one clock is slower by this part than the others");
+    walking->add_option("--clock-beyond", run.excess_drift,
+                        "one clock is slower by this part than the others");
     walking->add_flag("--trace", traced);
     auto* checking = common(app.add_subcommand("check", "every way in which up to so many things go wrong"));
-    checking->add_option("--most", c.max_faults, "things that go wrong in one run")->check(CLI::Range(1, 3));
-    checking->add_option("--part", c.shard);
-    checking->add_option("--parts", c.shards);
-    checking->add_option("--seed", c.seed);
+    checking->add_option("--most", check.max_faults, "things that go wrong in one run")
+        ->check(CLI::Range(1, 3));
+    checking->add_option("--part", check.shard);
+    checking->add_option("--parts", check.shards);
+    checking->add_option("--seed", check.seed);
     checking->add_option("--lasts", lasts, "seconds in which they can");
     auto* resting = common(app.add_subcommand("rest", "what a fleet at rest says"));
     resting->add_option("--seed", seeds.first);
-    bool acquainted = false;
+    bool known_members = false;
     double tick = options.tick.seconds();
     resting->add_option("--tick", tick, "seconds")->check(CLI::Range(0.02, 0.05));
-    resting->add_flag("--acquainted", acquainted, "all know each other from the start");
+    resting->add_flag("--acquainted", known_members, "all know each other from the start");
     auto* scaling = app.add_subcommand("scale", "what a fleet costs as it grows, as JSON");
     ScalePlan plan;
     std::string trouble = "none", json;
@@ -326,12 +334,12 @@
     rules.apply_to(options);
     if (deltas) options.list = true, options.deltas = small_delta_config;
     if (walking->parsed()) {
-        w.options = options, w.duration = seconds(lasts), w.faults_per_second = faults;
-        return run_walks(w, seeds, traced);
+        run.options = options, run.duration = seconds(lasts), run.faults_per_second = faults;
+        return run_walks(run, seeds, traced);
     }
-    if (resting->parsed()) return measure_idle_traffic(options, seeds.first, acquainted);
+    if (resting->parsed()) return measure_idle_traffic(options, seeds.first, known_members);
     options.voter_timing = {seconds(0.2), seconds(0.1)};
-    c.options = options;
-    c.fault_window = seconds(lasts);
-    return run_check(c);
+    check.options = options;
+    check.fault_window = seconds(lasts);
+    return run_check(check);
 }
--- a/simulation/model_check.cpp
+++ b/simulation/model_check.cpp
@@ -17,8 +17,8 @@
 
 }  // namespace
 
-std::vector<Broken> run_schedule(const ModelCheck& check, const FaultSchedule& way,
-                                 std::vector<std::string>* trace, std::vector<uint8_t>* ways)
+std::vector<Broken> run_schedule(const ModelCheck& check, const FaultSchedule& schedule,
+                                 std::vector<std::string>* trace, std::vector<uint8_t>* alternatives)
 {
     uint32_t number = 0;
     size_t next = 0;
@@ -26,54 +26,55 @@
     SimulatedCluster::Options options = check.options;
     options.choose = [&](ChoicePoint at) -> size_t {
         if (!armed) return 0;
-        if (ways) ways->push_back(alternatives_at(at));
+        if (alternatives) alternatives->push_back(alternatives_at(at));
         const uint32_t here = number++;
-        if (next >= way.size() || way[next].first != here) return 0;
-        return way[next++].second;
+        if (next >= schedule.size() || schedule[next].first != here) return 0;
+        return schedule[next++].second;
     };
-    SimulatedCluster w(options, check.seed);
-    w.trace_enabled = trace != nullptr;
-    for (size_t i = 0; i < w.size(); ++i) w.start(i);
-    w.run(check.settle_time);
+    SimulatedCluster cluster(options, check.seed);
+    cluster.trace_enabled = trace != nullptr;
+    for (size_t i = 0; i < cluster.size(); ++i) cluster.start(i);
+    cluster.run(check.settle_time);
     armed = true;
-    const TimePoint end = w.now() + check.fault_window;
-    while (w.broken().empty() && w.step(end)) {
+    const TimePoint end = cluster.now() + check.fault_window;
+    while (cluster.broken().empty() && cluster.step(end)) {
     }
-    if (trace) *trace = w.trace();
-    return w.broken();
+    if (trace) *trace = cluster.trace();
+    return cluster.broken();
 }
 
-// Runs with one more thing that goes wrong, behind the last one: so each set of them is met once.
+// Extends each schedule by one fault after its last one, so every set of faults is run exactly once.
 ModelCheckResult run_model_check(const ModelCheck& c)
 {
     ModelCheckResult out;
-    std::vector<FaultSchedule> open{{}};
+    std::vector<FaultSchedule> pending{{}};
     uint64_t number = 0;
-    while (!open.empty()) {
-        const FaultSchedule way = std::move(open.back());
-        open.pop_back();
-        // Runs of the last depth are divided among parts; the others all parts need.
-        const bool own = way.size() < c.max_faults || number++ % c.shards == c.shard;
+    while (!pending.empty()) {
+        const FaultSchedule schedule = std::move(pending.back());
+        pending.pop_back();
+        // Schedules of full length are divided among shards; every shard runs the shorter ones, which the
+        // longer ones extend.
+        const bool own = schedule.size() < c.max_faults || number++ % c.shards == c.shard;
         if (!own) continue;
-        std::vector<uint8_t> ways;
-        const auto broken = run_schedule(c, way, nullptr, &ways);
+        std::vector<uint8_t> alternatives;
+        const auto broken = run_schedule(c, schedule, nullptr, &alternatives);
         ++out.runs;
-        if (way.empty()) out.choice_points = ways.size();
+        if (schedule.empty()) out.choice_points = alternatives.size();
         if (!broken.empty()) {
             if (out.violating_runs++ == 0) {
-                out.first_violation = way;
+                out.first_violation = schedule;
                 out.rule = broken[0].rule;
-                run_schedule(c, way, &out.trace, nullptr);
+                run_schedule(c, schedule, &out.trace, nullptr);
             }
             if (c.stop_at_first) return out;
             continue;
         }
-        if (way.size() >= c.max_faults) continue;
-        const uint32_t from = way.empty() ? 0 : way.back().first + 1;
-        for (uint32_t at = from; at < ways.size(); ++at)
-            for (uint8_t w = 1; w < ways[at]; ++w) {
-                open.push_back(way);
-                open.back().emplace_back(at, w);
+        if (schedule.size() >= c.max_faults) continue;
+        const uint32_t from = schedule.empty() ? 0 : schedule.back().first + 1;
+        for (uint32_t at = from; at < alternatives.size(); ++at)
+            for (uint8_t alternative = 1; alternative < alternatives[at]; ++alternative) {
+                pending.push_back(schedule);
+                pending.back().emplace_back(at, alternative);
             }
     }
     return out;
--- a/simulation/randomized_run.h
+++ b/simulation/randomized_run.h
@@ -1,4 +1,4 @@
-// Random walks: a fleet under faults drawn from a seed.
+// Randomized runs: a fleet under faults drawn from a seed.
 #pragma once
 
 #include "simulated_cluster.h"
@@ -9,11 +9,12 @@
 struct RandomizedRun {
     SimulatedCluster::Options options;
     Duration duration = seconds(60);
-    double faults_per_second = 1;  // a second, about
-    bool disk_faults = true;       // lost, torn, full, slow
-    bool clock_drift = true;       // rates that differ, within the drift
-    double excess_drift = 0;       // a clock faster than stated, by this part
-    bool heal_at_end = true;       // at last all heals, and every duty has to be held again
+    double faults_per_second = 1;  // mean rate, approximate
+    bool disk_faults = true;       // power loss, torn writes, full and slow disks
+    bool clock_drift = true;       // clock rates differ, within the configured drift
+    double excess_drift =
+        0;  // one clock is slower than true time by this fraction, beyond the configured drift
+    bool heal_at_end = true;  // at the end all faults are repaired and every duty must have a holder again
 };
 
 struct RandomizedRunResult {
--- a/simulation/scale.cpp
+++ b/simulation/scale.cpp
@@ -63,7 +63,7 @@
     return role;
 }
 
-// Most voters are in region 0, so that duties are granted there.
+// A majority of the voters is in region 0, so that duties can be granted there.
 uint32_t region_of(size_t node, size_t voters)
 {
     if (node >= voters) return static_cast<uint32_t>(node % regions);
@@ -73,10 +73,10 @@
 
 }  // namespace
 
-const char* to_string(ScaleFault trouble)
+const char* to_string(ScaleFault fault)
 {
     for (const auto& [value, name] : fault_names)
-        if (value == trouble) return name;
+        if (value == fault) return name;
     return "";
 }
 
@@ -118,7 +118,7 @@
     options.list = true;
     options.list_entries = plan_.upstreams;
     if (plan_.deltas) options.deltas.emplace();
-    options.tick = seconds(0.05);  // as the program's
+    options.tick = seconds(0.05);  // as in the production program
     return options;
 }
 
@@ -153,7 +153,7 @@
         version, plan_.deltas ? std::string() : encode_full_list(version, cluster_.discovery_lines(version)));
 }
 
-// Of a Poisson process: changes keep no step with the times at which discovery is asked.
+// Changes form a Poisson process, so that they aren't synchronized with the polling of discovery.
 Duration ScaleRun::until_next_change()
 {
     return seconds(std::exponential_distribution<>(plan_.changes_per_second)(random_));
@@ -199,7 +199,8 @@
     return node < plan_.voters ? "voter" : "member";
 }
 
-// What each member's role is at the end counts for the whole time: at rest roles do not move.
+// Counts a member's traffic under its role at the end of the measurement: roles don't move in a fault-free
+// fleet.
 void ScaleRun::measure_steady_state()
 {
     const auto before = cluster_.traffic;
@@ -228,10 +229,10 @@
     return all;
 }
 
-void ScaleRun::crash_for(const std::vector<size_t>& nodes, Duration away)
+void ScaleRun::crash_for(const std::vector<size_t>& nodes, Duration downtime)
 {
     for (const size_t i : nodes) crash(i);
-    run_for(away);
+    run_for(downtime);
     for (const size_t i : nodes) start(i);
 }
 
@@ -283,7 +284,7 @@
     const TimePoint ended = cluster_.now();
     if (wait_until_converged(changed_at_.size() - 1, convergence_timeout))
         outcome.seconds_until_agreed = (cluster_.now() - ended).seconds();
-    run_for(bucket_length);  // so that the last second is whole
+    run_for(bucket_length);  // completes the last one-second bucket
     for (const TrafficBucket& s : buckets_) {
         outcome.traffic_peak_over_rest =
             std::max(outcome.traffic_peak_over_rest, static_cast<double>(s.messages) / messages);
@@ -318,7 +319,7 @@
     return true;
 }
 
-// No more changes; those that were made have to be in force.
+// Stops the list changes, waits for convergence and counts the changes that are still missing.
 void ScaleRun::finish()
 {
     changes_enabled_ = false;
@@ -326,10 +327,10 @@
     wait_until_converged(newest, convergence_timeout);
     for (size_t i = 0; i < plan_.members; ++i) {
         if (!cluster_.up(i)) continue;
-        const uint64_t has = std::max(members_[i].list_version, members_[i].first_counted_version - 1);
-        result_.changes_missing += newest - std::min(newest, has);
+        const uint64_t known = std::max(members_[i].list_version, members_[i].first_counted_version - 1);
+        result_.changes_missing += newest - std::min(newest, known);
     }
-    // Who was started anew needs the newest list, however old its changes are.
+    // A restarted member must have the newest list even if none of its changes is counted for it.
     for (size_t i = 0; i < plan_.members; ++i)
         result_.changes_missing +=
             cluster_.up(i) && members_[i].list_version < newest && members_[i].first_counted_version > newest;
@@ -412,13 +413,13 @@
     json["changes_missing"] = result.changes_missing;
     json["rules_broken"] = result.violations.size();
     json["trouble"] = nullptr;
-    if (const auto& trouble = result.fault) {
-        json["trouble"] = {{"traffic_peak_over_rest", rounded(trouble->traffic_peak_over_rest)},
-                           {"bytes_peak_over_rest", rounded(trouble->bytes_peak_over_rest)},
+    if (const auto& fault = result.fault) {
+        json["trouble"] = {{"traffic_peak_over_rest", rounded(fault->traffic_peak_over_rest)},
+                           {"bytes_peak_over_rest", rounded(fault->bytes_peak_over_rest)},
                            {"seconds_until_agreed", nullptr},
                            {"changes_missing", result.changes_missing}};
-        if (trouble->seconds_until_agreed)
-            json["trouble"]["seconds_until_agreed"] = rounded(*trouble->seconds_until_agreed);
+        if (fault->seconds_until_agreed)
+            json["trouble"]["seconds_until_agreed"] = rounded(*fault->seconds_until_agreed);
     }
     json["machine"] = {{"wall_seconds", rounded(machine.wall_seconds)},
                        {"peak_memory_mb", rounded(machine.peak_memory_mb)}};
--- a/simulation/service_simulation.cpp
+++ b/simulation/service_simulation.cpp
@@ -52,16 +52,16 @@
     std::deque<Job> queue;
     std::set<uint64_t> cancelled;
     uint64_t arrivals = 0;
-    std::deque<TimePoint> recent_arrivals;  // what reached it, while cold
+    std::deque<TimePoint> recent_arrivals;  // times of requests during warm-up
 };
 
 ServiceSimulation::ServiceSimulation(Options options, uint64_t seed)
     : options_(std::move(options)), cluster_(cluster_options(options_), seed), load_(options_.load)
 {
-    for (size_t u = 0; u < options_.upstreams; ++u) {
+    for (size_t upstream = 0; upstream < options_.upstreams; ++upstream) {
         upstreams_.push_back(std::make_unique<Upstream>());
         upstreams_.back()->server = options_.upstream;
-        upstreams_.back()->server.zone = static_cast<uint32_t>(u % 3);
+        upstreams_.back()->server.zone = static_cast<uint32_t>(upstream % 3);
     }
     for (size_t i = 0; i < options_.balancers; ++i) nodes_.push_back(std::make_unique<Node>());
     counting_since_ = cluster_.now();
@@ -98,9 +98,9 @@
         up.started_at};
 }
 
-void ServiceSimulation::start(size_t b)
+void ServiceSimulation::start(size_t balancer)
 {
-    Node& n = *nodes_[b];
+    Node& n = *nodes_[balancer];
     if (n.reducer) return;
     const auto keep = n.unreachable;
     n = Node{};
@@ -113,7 +113,7 @@
     op.client_timeout = options_.client_timeout;
     s.operations = {op};
     s.balancer_count = static_cast<uint32_t>(options_.balancers);
-    s.self_index = static_cast<uint32_t>(b);
+    s.self_index = static_cast<uint32_t>(balancer);
     s.max_forwards = 3, s.may_cancel = true;
     s.max_retry_after = seconds(0.5);
     s.slow_start_duration = options_.cold_duration, s.slow_start_min_share = options_.cold_share,
@@ -131,103 +131,105 @@
         n.reducer->join_fleet({options_.subset,
                                options_.outlier_gossip,
                                options_.quotas,
-                               key_of("m" + std::to_string(b + 1)),
+                               key_of("m" + std::to_string(balancer + 1)),
                                0,
                                {},
                                0.1});
-    cluster_.start(b);
-    cluster_.schedule({}, b, [this, b] {
-        dispatch(b, net::ServiceStarted{});
-        send_list(b, nodes_[b]->hidden_upstreams);
-        tick(b);
-        schedule_request(b);
+    cluster_.start(balancer);
+    cluster_.schedule({}, balancer, [this, balancer] {
+        dispatch(balancer, net::ServiceStarted{});
+        send_list(balancer, nodes_[balancer]->hidden_upstreams);
+        tick(balancer);
+        schedule_request(balancer);
     });
 }
 
-void ServiceSimulation::stop(size_t b)
+void ServiceSimulation::stop(size_t balancer)
 {
-    cluster_.crash(b);
-    nodes_[b]->reducer.reset();
-    nodes_[b]->upstreams_shown = 0;
+    cluster_.crash(balancer);
+    nodes_[balancer]->reducer.reset();
+    nodes_[balancer]->upstreams_shown = 0;
 }
 
 void ServiceSimulation::run(Duration span) { cluster_.run(span); }
 
-void ServiceSimulation::tick(size_t b)
+void ServiceSimulation::tick(size_t balancer)
 {
-    dispatch(b, net::Tick{});
-    cluster_.schedule(tick_interval, b, [this, b] { tick(b); });
+    dispatch(balancer, net::Tick{});
+    cluster_.schedule(tick_interval, balancer, [this, balancer] { tick(balancer); });
 }
 
-// Poisson arrivals, in even parts among those that run.
-void ServiceSimulation::schedule_request(size_t b)
+// Poisson arrivals, divided evenly among the running balancers.
+void ServiceSimulation::schedule_request(size_t balancer)
 {
-    double all = 0, able = 0;
+    double all = 0, capacity = 0;
     for (const auto& n : nodes_) all += n->reducer ? 1 : 0;
     for (const auto& up : upstreams_)
-        able += static_cast<double>(up->server.slots) / up->server.mean_service_seconds;
-    const double rate = load_ * able / all;
+        capacity += static_cast<double>(up->server.slots) / up->server.mean_service_seconds;
+    const double rate = load_ * capacity / all;
     const Duration next = seconds(-std::log(1 - cluster_.uniform()) / rate);
-    cluster_.schedule(next, b, [this, b] {
-        Node& n = *nodes_[b];
+    cluster_.schedule(next, balancer, [this, balancer] {
+        Node& n = *nodes_[balancer];
         if (!n.reducer) return;
         const net::RequestId caller = n.next_caller++;
         n.request_times[caller] = cluster_.now();
         ++count.requests;
         Request request{"GET", "/op", "", 0, 0, options_.client_timeout, {}, ""};
         request.id = std::to_string(caller);
-        dispatch(b, net::RequestReceived{caller, std::move(request)});
-        schedule_request(b);
+        dispatch(balancer, net::RequestReceived{caller, std::move(request)});
+        schedule_request(balancer);
     });
 }
 
-void ServiceSimulation::dispatch(size_t b, net::Event event)
+void ServiceSimulation::dispatch(size_t balancer, net::Event event)
 {
-    if (!nodes_[b]->reducer) return;
-    apply_effects(b, nodes_[b]->reducer->reduce(cluster_.now(), std::move(event)));
+    if (!nodes_[balancer]->reducer) return;
+    apply_effects(balancer, nodes_[balancer]->reducer->reduce(cluster_.now(), std::move(event)));
 }
 
-void ServiceSimulation::apply_effects(size_t b, std::vector<net::Effect> effects)
+void ServiceSimulation::apply_effects(size_t balancer, std::vector<net::Effect> effects)
 {
-    Node& n = *nodes_[b];
+    Node& n = *nodes_[balancer];
     for (net::Effect& e : effects) {
         if (auto* a = std::get_if<net::SendResponse>(&e)) {
             const auto at = n.request_times.find(a->caller);
             if (at == n.request_times.end()) continue;
-            const bool well = a->response.status == 200;
-            count.served += well, n.served += well;
-            const bool in_time = well && cluster_.now() - at->second <= options_.latency_objective;
+            const bool succeeded = a->response.status == 200;
+            count.served += succeeded, n.served += succeeded;
+            const bool in_time = succeeded && cluster_.now() - at->second <= options_.latency_objective;
             count.in_time += in_time;
             const auto window = static_cast<size_t>((cluster_.now() - counting_since_) / seconds(0.5));
             if (window >= in_time_by_window_.size()) in_time_by_window_.resize(window + 1);
             in_time_by_window_[window] += in_time;
             count.throttled += a->response.status == 503;
-            count.errors += !well && a->response.status != 503;
+            count.errors += !succeeded && a->response.status != 503;
             n.request_times.erase(at);
         } else if (auto* d = std::get_if<net::ConnectUpstream>(&e)) {
             const size_t up = std::stoul(d->endpoint.substr(d->endpoint.find(':') + 1)) - 1;
             n.attempts[d->attempt] = {up, {}, true};
-            const bool whole = !n.unreachable.count(up);
+            const bool reachable = !n.unreachable.count(up);
             cluster_.schedule(
-                whole ? one_way_latency * 2 : seconds(0.05), b, [this, b, id = d->attempt, whole] {
-                    if (!nodes_[b]->attempts.count(id)) return;
-                    if (whole) return dispatch(b, net::UpstreamConnected{id});
-                    nodes_[b]->attempts.erase(id);
-                    dispatch(
-                        b, net::AttemptFailed{id, {AttemptProgress::not_connected, FailureCause::timed_out}});
+                reachable ? one_way_latency * 2 : seconds(0.05), balancer,
+                [this, balancer, id = d->attempt, reachable] {
+                    if (!nodes_[balancer]->attempts.count(id)) return;
+                    if (reachable) return dispatch(balancer, net::UpstreamConnected{id});
+                    nodes_[balancer]->attempts.erase(id);
+                    dispatch(balancer, net::AttemptFailed{
+                                           id, {AttemptProgress::not_connected, FailureCause::timed_out}});
                 });
-            cluster_.schedule(d->timeout, b, [this, b, id = d->attempt] {
-                const auto open = nodes_[b]->attempts.find(id);
-                if (open == nodes_[b]->attempts.end()) return;
+            cluster_.schedule(d->timeout, balancer, [this, balancer, id = d->attempt] {
+                const auto open = nodes_[balancer]->attempts.find(id);
+                if (open == nodes_[balancer]->attempts.end()) return;
                 if (open->second.job) upstreams_[open->second.upstream]->cancelled.insert(*open->second.job);
-                nodes_[b]->attempts.erase(open);
-                dispatch(b, net::AttemptFailed{id, {AttemptProgress::written, FailureCause::timed_out}});
+                nodes_[balancer]->attempts.erase(open);
+                dispatch(balancer,
+                         net::AttemptFailed{id, {AttemptProgress::written, FailureCause::timed_out}});
             });
         } else if (auto* w = std::get_if<net::WriteUpstream>(&e)) {
             const auto at = n.attempts.find(w->attempt);
             if (at == n.attempts.end()) continue;
             at->second.probe = w->bytes.find("/op") == std::string::npos;
-            const Job job{b, n.generation, w->attempt, next_job_++};
+            const Job job{balancer, n.generation, w->attempt, next_job_++};
             at->second.job = job.number;
             ++count.forwards;
             if (upstreams_[at->second.upstream]->started_at &&
@@ -242,19 +244,20 @@
             if (at->second.job) upstreams_[at->second.upstream]->cancelled.insert(*at->second.job);
             n.attempts.erase(at);
         } else if (auto* wake = std::get_if<net::StartTimer>(&e)) {
-            cluster_.schedule(wake->at - cluster_.now(), b,
-                              [this, b, name = wake->timer_id] { dispatch(b, net::TimerFired{name}); });
+            cluster_.schedule(wake->at - cluster_.now(), balancer, [this, balancer, name = wake->timer_id] {
+                dispatch(balancer, net::TimerFired{name});
+            });
         } else if (auto* observed = std::get_if<net::LocalObservations>(&e)) {
             count.widened += observed->widening_steps > n.widening_steps,
                 count.narrowed += observed->widening_steps < n.widening_steps;
             n.upstreams_shown = observed->upstreams_shown, n.widening_steps = observed->widening_steps;
-            for (const size_t u : n.falsely_reported) {
-                const uint64_t id = net::hash_uid("u" + std::to_string(u + 1));
+            for (const size_t upstream : n.falsely_reported) {
+                const uint64_t id = net::hash_uid("u" + std::to_string(upstream + 1));
                 std::erase_if(observed->outlier_evidence,
                               [&](const OutlierEvidence& v) { return v.upstream == id; });
                 observed->outlier_evidence.push_back({id, 1, 0, 20, {}, seconds(9), {}});
             }
-            cluster_.dispatch(b, std::move(*observed));
+            cluster_.dispatch(balancer, std::move(*observed));
         }
     }
 }
@@ -267,29 +270,30 @@
     return std::max<size_t>(1, static_cast<size_t>(std::lround(part * static_cast<double>(up.server.slots))));
 }
 
-// A cold one falls over where so much more reaches it within a moment than it can do by then.
-void ServiceSimulation::check_collapse(size_t u)
+// Lets an upstream in warm-up collapse when the requests within the collapse window exceed the configured
+// multiple of its current capacity.
+void ServiceSimulation::check_collapse(size_t upstream)
 {
-    Upstream& up = *upstreams_[u];
+    Upstream& up = *upstreams_[upstream];
     if (!up.started_at || cluster_.now() - *up.started_at >= options_.cold_duration) return;
     up.recent_arrivals.push_back(cluster_.now());
     while (cluster_.now() - up.recent_arrivals.front() > options_.collapse_window)
         up.recent_arrivals.pop_front();
     const double age = (cluster_.now() - *up.started_at) / options_.cold_duration;
-    const double able = (options_.cold_share + (1 - options_.cold_share) * age) *
-                        static_cast<double>(up.server.slots) / up.server.mean_service_seconds *
-                        options_.collapse_window.seconds();
-    if (static_cast<double>(up.recent_arrivals.size()) <= able * options_.collapse_multiple + 3) return;
+    const double capacity = (options_.cold_share + (1 - options_.cold_share) * age) *
+                            static_cast<double>(up.server.slots) / up.server.mean_service_seconds *
+                            options_.collapse_window.seconds();
+    if (static_cast<double>(up.recent_arrivals.size()) <= capacity * options_.collapse_multiple + 3) return;
     ++count.collapses;
-    restart(u);
+    restart(upstream);
 }
 
-void ServiceSimulation::arrive(size_t u, Job job)
+void ServiceSimulation::arrive(size_t upstream, Job job)
 {
-    Upstream& up = *upstreams_[u];
+    Upstream& up = *upstreams_[upstream];
     ++up.arrivals;
-    check_collapse(u);
-    if (up.busy < available_slots(up)) return begin_service(u, job);
+    check_collapse(upstream);
+    if (up.busy < available_slots(up)) return begin_service(upstream, job);
     if (up.queue.size() < up.server.queue) return up.queue.push_back(job);
     Response declined;
     declined.status = 503, declined.declined = true;
@@ -297,32 +301,33 @@
     send_response(job, std::move(declined));
 }
 
-void ServiceSimulation::begin_service(size_t u, Job job)
+void ServiceSimulation::begin_service(size_t upstream, Job job)
 {
-    Upstream& up = *upstreams_[u];
+    Upstream& up = *upstreams_[upstream];
     ++up.busy;
     const Duration takes = seconds(-std::log(1 - cluster_.uniform()) * up.server.mean_service_seconds);
-    cluster_.schedule(takes, SIZE_MAX, [this, u, job, life = up.generation] { end_service(u, job, life); });
+    cluster_.schedule(takes, SIZE_MAX,
+                      [this, upstream, job, life = up.generation] { end_service(upstream, job, life); });
 }
 
-void ServiceSimulation::end_service(size_t u, Job job, uint64_t life)
+void ServiceSimulation::end_service(size_t upstream, Job job, uint64_t life)
 {
-    Upstream& up = *upstreams_[u];
+    Upstream& up = *upstreams_[upstream];
     if (up.generation != life) return;
     if (cluster_.now() < up.frozen_until)
         return cluster_.schedule(up.frozen_until - cluster_.now(), SIZE_MAX,
-                                 [this, u, job, life] { end_service(u, job, life); });
+                                 [this, upstream, job, life] { end_service(upstream, job, life); });
     --up.busy;
     if (up.cancelled.erase(job.number) == 0) {
-        Response well;
-        well.status = 200;
-        well.load_report.queue_length = static_cast<double>(up.queue.size());
-        send_response(job, std::move(well));
+        Response succeeded;
+        succeeded.status = 200;
+        succeeded.load_report.queue_length = static_cast<double>(up.queue.size());
+        send_response(job, std::move(succeeded));
     }
     while (!up.queue.empty() && up.busy < available_slots(up)) {
         const Job next = up.queue.front();
         up.queue.pop_front();
-        if (up.cancelled.erase(next.number) == 0) begin_service(u, next);
+        if (up.cancelled.erase(next.number) == 0) begin_service(upstream, next);
     }
 }
 
@@ -331,34 +336,34 @@
     cluster_.schedule(one_way_latency, SIZE_MAX, [this, job, response = std::move(response)]() mutable {
         Node& n = *nodes_[job.node];
         if (!n.reducer || n.generation != job.generation || !n.attempts.erase(job.attempt)) return;
-        // A process that stands still reads it later.
+        // A frozen process reads the response when it resumes.
         cluster_.schedule({}, job.node, [this, job, response = std::move(response)]() mutable {
             dispatch(job.node, net::ResponseReceived{job.attempt, std::move(response)});
         });
     });
 }
 
-void ServiceSimulation::freeze(size_t u, Duration span)
+void ServiceSimulation::freeze(size_t upstream, Duration span)
 {
-    upstreams_[u]->frozen_until = cluster_.now() + span;
+    upstreams_[upstream]->frozen_until = cluster_.now() + span;
 }
 
-void ServiceSimulation::restart(size_t u)
+void ServiceSimulation::restart(size_t upstream)
 {
-    Upstream& up = *upstreams_[u];
+    Upstream& up = *upstreams_[upstream];
     ++up.generation;
     up.started_at = cluster_.now();
     up.recent_arrivals.clear(), up.cancelled.clear();
     up.busy = 0, up.queue.clear();
-    for (size_t b = 0; b < nodes_.size(); ++b) {
-        if (!nodes_[b]->reducer) continue;
+    for (size_t balancer = 0; balancer < nodes_.size(); ++balancer) {
+        if (!nodes_[balancer]->reducer) continue;
         std::vector<net::AttemptId> broken;
-        for (const auto& [id, a] : nodes_[b]->attempts)
-            if (a.upstream == u && a.job) broken.push_back(id);
+        for (const auto& [id, a] : nodes_[balancer]->attempts)
+            if (a.upstream == upstream && a.job) broken.push_back(id);
         for (const net::AttemptId id : broken) {
-            nodes_[b]->attempts.erase(id);
-            cluster_.schedule(one_way_latency, b, [this, b, id] {
-                dispatch(b,
+            nodes_[balancer]->attempts.erase(id);
+            cluster_.schedule(one_way_latency, balancer, [this, balancer, id] {
+                dispatch(balancer,
                          net::AttemptFailed{id, {AttemptProgress::written, FailureCause::connection_lost}});
             });
         }
@@ -366,38 +371,38 @@
     send_list_to_all();
 }
 
-void ServiceSimulation::set_reachable(size_t b, size_t u, bool whole)
+void ServiceSimulation::set_reachable(size_t balancer, size_t upstream, bool reachable)
 {
-    if (whole)
-        nodes_[b]->unreachable.erase(u);
+    if (reachable)
+        nodes_[balancer]->unreachable.erase(upstream);
     else
-        nodes_[b]->unreachable.insert(u);
+        nodes_[balancer]->unreachable.insert(upstream);
 }
 
-void ServiceSimulation::send_list(size_t b, std::vector<size_t> without)
+void ServiceSimulation::send_list(size_t balancer, std::vector<size_t> hidden_upstreams)
 {
-    nodes_[b]->hidden_upstreams = std::move(without);
-    if (!nodes_[b]->reducer) return;
+    nodes_[balancer]->hidden_upstreams = std::move(hidden_upstreams);
+    if (!nodes_[balancer]->reducer) return;
     net::EndpointListUpdated list{true, {}};
-    for (size_t u = 0; u < upstreams_.size(); ++u)
-        if (std::find(nodes_[b]->hidden_upstreams.begin(), nodes_[b]->hidden_upstreams.end(), u) ==
-            nodes_[b]->hidden_upstreams.end())
-            list.entries.push_back(entry(u));
-    dispatch(b, std::move(list));
+    for (size_t upstream = 0; upstream < upstreams_.size(); ++upstream)
+        if (std::find(nodes_[balancer]->hidden_upstreams.begin(), nodes_[balancer]->hidden_upstreams.end(),
+                      upstream) == nodes_[balancer]->hidden_upstreams.end())
+            list.entries.push_back(entry(upstream));
+    dispatch(balancer, std::move(list));
 }
 
-// Each hears of it within a few tens of milliseconds.
+// The new list reaches each balancer after a random delay of 5 to 55 ms.
 void ServiceSimulation::send_list_to_all()
 {
-    for (size_t b = 0; b < nodes_.size(); ++b)
-        if (nodes_[b]->reducer)
-            cluster_.schedule(seconds(0.005 + 0.05 * cluster_.uniform()), b,
-                              [this, b] { send_list(b, nodes_[b]->hidden_upstreams); });
+    for (size_t balancer = 0; balancer < nodes_.size(); ++balancer)
+        if (nodes_[balancer]->reducer)
+            cluster_.schedule(seconds(0.005 + 0.05 * cluster_.uniform()), balancer,
+                              [this, balancer] { send_list(balancer, nodes_[balancer]->hidden_upstreams); });
 }
 
-void ServiceSimulation::set_false_reports(size_t b, std::vector<size_t> about)
+void ServiceSimulation::set_false_reports(size_t balancer, std::vector<size_t> about)
 {
-    nodes_[b]->falsely_reported = {about.begin(), about.end()};
+    nodes_[balancer]->falsely_reported = {about.begin(), about.end()};
 }
 
 void ServiceSimulation::reset_counts()
@@ -436,10 +441,10 @@
 
 double ServiceSimulation::seconds_until_recovered(double part, double usual_load) const
 {
-    double able = 0;
+    double capacity = 0;
     for (const auto& up : upstreams_)
-        able += static_cast<double>(up->server.slots) / up->server.mean_service_seconds;
-    const double wanted = part * usual_load * able * 0.5;
+        capacity += static_cast<double>(up->server.slots) / up->server.mean_service_seconds;
+    const double wanted = part * usual_load * capacity * 0.5;
     for (size_t w = 0; w + 4 < in_time_by_window_.size(); ++w) {
         double least = 1e18;
         for (size_t i = w; i < w + 4; ++i)
--- a/simulation/service_simulation.h
+++ b/simulation/service_simulation.h
@@ -1,5 +1,6 @@
-// Balancers as they are (reducer, decision module, fleet) in virtual time, against modelled callers and
-// upstreams: what the choices of many add up to. One seed, one run, byte for byte.
+// Simulation of a whole service in virtual time: production balancers (reducer, decision module, fleet)
+// between modelled callers and upstreams. It shows the combined effect of many balancers' decisions. The same
+// seed gives the same run, byte for byte.
 #pragma once
 
 #include <deque>
@@ -10,11 +11,11 @@
 namespace firtide::simulation
 {
 
-// A server of so many slots and a queue, first come first served; times are exponential. After a start its
-// slots grow from a part to all; pushed beyond what it can take then, it falls over and starts again.
+// A FIFO queueing server with parallel slots, a bounded queue and exponential service times. After a restart
+// its slots grow from a fraction to all of them; overloaded in that time, it collapses and restarts.
 struct ServerModel {
     size_t slots = 8, queue = 40;
-    double mean_service_seconds = 0.02;  // seconds of an answer
+    double mean_service_seconds = 0.02;  // seconds
     double size = 1;
     uint32_t zone = 0;
 };
@@ -25,7 +26,7 @@
     struct Options {
         size_t balancers = 30, upstreams = 20;
         ServerModel upstream;
-        double load = 0.6;  // of what all upstreams can do
+        double load = 0.6;  // fraction of the capacity of all upstreams
         std::optional<SubsetConfig> subset;
         std::optional<OutlierGossipConfig> outlier_gossip;
         std::optional<QuotaConfig> quotas;
@@ -33,7 +34,7 @@
         LeaseConfig lease;
         Duration cold_duration = seconds(20), collapse_window = seconds(1);
         double cold_share = 0.1,
-               collapse_multiple = 2;  // what pushes a cold one over: so much more than it can do
+               collapse_multiple = 2;  // an upstream in warm-up collapses at this multiple of its capacity
         Duration latency_objective = seconds(0.25), client_timeout = seconds(1);
     };
     ServiceSimulation(Options options, uint64_t seed);
@@ -46,13 +47,13 @@
     void stop(size_t balancer);
     void run(Duration span);
 
-    void freeze(size_t upstream, Duration span);  // takes work and stands still
-    void restart(size_t upstream);                // it comes back cold at once
-    void set_reachable(size_t balancer, size_t upstream, bool whole);
-    void send_list(size_t balancer, std::vector<size_t> without = {});
+    void freeze(size_t upstream, Duration span);  // accepts requests but completes none
+    void restart(size_t upstream);                // restarts at once, with reduced capacity
+    void set_reachable(size_t balancer, size_t upstream, bool reachable);
+    void send_list(size_t balancer, std::vector<size_t> hidden_upstreams = {});
     void send_list_to_all();
     void set_load(double of_capacity) { load_ = of_capacity; }
-    // One that tells all others that these are gone, whatever it sees.
+    // Makes the balancer report these upstreams as failed to all others, whatever it observes.
     void set_false_reports(size_t balancer, std::vector<size_t> about);
 
     struct Count {
@@ -61,15 +62,15 @@
         uint64_t digests = 0, digest_bytes = 0, widened = 0, narrowed = 0;
     };
     Count count;
-    // Since reset(): for each upstream what reached it, over its size.
+    // Since reset_counts(): requests per second at each upstream, relative to its size.
     void reset_counts();
     Duration elapsed() const { return cluster_.now() - counting_since_; }
     std::vector<double> offered_load() const;
     double max_over_mean() const;
-    size_t connections() const;               // upstreams that balancers use, added up
-    std::vector<uint64_t> served_by() const;  // each balancer, since reset()
-    // Seconds from reset() until so much of what is usually asked is answered in time, and stays so; -1:
-    // never.
+    size_t connections() const;               // upstreams in use, summed over the balancers
+    std::vector<uint64_t> served_by() const;  // by running balancer, since reset_counts()
+    // Seconds from reset_counts() until this fraction of the usual load is answered in time for four windows
+    // of 0.5 s in a row; -1: never.
     double seconds_until_recovered(double part, double usual_load) const;
 
   private:
@@ -101,7 +102,7 @@
     double load_;
     uint64_t next_job_ = 1;
     TimePoint counting_since_;
-    std::vector<uint64_t> in_time_by_window_;  // half a second each
+    std::vector<uint64_t> in_time_by_window_;  // windows of 0.5 s
 };
 
 }  // namespace firtide::simulation
--- a/simulation/simulated_cluster.cpp
+++ b/simulation/simulated_cluster.cpp
@@ -29,7 +29,8 @@
 {
     if (broken) return std::make_error_code(std::errc::io_error);
     if (full) {
-        written_[name].append(bytes.substr(0, bytes.size() / 2));  // as much as there was room for
+        written_[name].append(
+            bytes.substr(0, bytes.size() / 2));  // a partial write: half fits on the full disk
         return std::make_error_code(std::errc::no_space_on_device);
     }
     written_[name].append(bytes);
@@ -74,17 +75,18 @@
     bool up = false;
     TimePoint frozen_until, voter_agent_idle_at;
     double rate = 1;
-    TimePoint rate_set_at, clock_at_rate_set;  // true time, and its own at that
+    TimePoint rate_set_at, clock_at_rate_set;  // true time of the last rate change, and the local time at it
     std::optional<Duration> freeze_at_effect;
     std::unordered_map<size_t, TimePoint>
-        last_arrival;  // of the last message from each: links keep their order
+        last_arrival;  // of the last message from each sender; links deliver in order
     uint32_t region = 0;
     InstanceId instance = 0;
-    size_t candidacies = 0;  // duties
+    size_t candidacies = 0;  // number of duties
     bool polling_discovery = false;
     std::optional<MemberSnapshot> snapshot;
     uint64_t list_version = 0, ticks = 0;
-    // With deltas: what its balancer uses, what discovery told last, and the version of its agent.
+    // With deltas: the list that its balancer uses, the last list fetched from discovery, and the version its
+    // discovery agent serves.
     EndpointMap applied_list;
     std::shared_ptr<const EndpointMap> last_fetched;
     std::optional<uint64_t> agent_version;
@@ -189,13 +191,13 @@
     }
     Node& n = *nodes_[e.node];
     if (n.generation != e.generation) return true;
-    if (now_ < n.frozen_until) {  // it waits, in its order, for the process to go on
+    if (now_ < n.frozen_until) {  // deferred, in order, until the process resumes
         e.at = n.frozen_until;
         events_.push(std::move(e));
         return true;
     }
     e.action();
-    check_due_ |= n.candidacies > 0;  // a renewal may have come after the lease had ended
+    check_due_ |= n.candidacies > 0;  // a renewal may have arrived after the lease had expired
     if (e.may_change_holders && options_.deltas) check_replica(e.node);
     if (e.may_change_holders) check_holders();
     return true;
@@ -234,7 +236,7 @@
         });
     }
     schedule_event({}, node, [this, node] {
-        // A power loss: its clock begins anew.
+        // As after a power loss: the clock has started anew, so the age of the snapshot is unknown.
         if (options_.recovery && nodes_[node]->snapshot)
             dispatch(node, SnapshotLoaded{*nodes_[node]->snapshot, {}});
         dispatch(node, StartupEvent{});
@@ -253,7 +255,7 @@
         schedule_event({}, i, [this, i, members] { dispatch(i, SeedMembership{members}); });
 }
 
-// Another way for a process to go on than to go on.
+// Lets the model checker freeze, restart or crash the process. Returns whether it did.
 bool SimulatedCluster::inject_tick_fault(size_t node)
 {
     const Duration lease = options_.lease.length;
@@ -383,7 +385,7 @@
                                         const std::function<std::vector<VoterAgentEffect>(TimePoint)>& call)
 {
     Node& n = *nodes_[node];
-    // The voter agent has a thread of its own, that may wait for the disk.
+    // The voter agent runs on its own thread, which may block on the disk.
     if (now_ < n.voter_agent_idle_at)
         return schedule_event(n.voter_agent_idle_at - now_, node,
                               [this, node, call] { call_voter_agent(node, call); });
@@ -409,12 +411,12 @@
     if (l.cut || !nodes_[to]->up || uniform() < l.loss) return;
     Duration takes = l.min_latency + (l.most - l.min_latency) * uniform();
     if (options_.choose && urgency_of(s.message) == Urgency::leases) {
-        const size_t way = choose(ChoicePoint::message);
-        if (way == 1)
+        const size_t alternative = choose(ChoicePoint::message);
+        if (alternative == 1)
             return add_trace(nodes_[from]->config.id + " to " + nodes_[to]->config.id +
                              ": a message is lost");
-        if (way > 1)
-            takes = options_.lease.length * (way == 2 ? 0.6 : 1.3),
+        if (alternative > 1)
+            takes = options_.lease.length * (alternative == 2 ? 0.6 : 1.3),
             add_trace(nodes_[from]->config.id + " to " + nodes_[to]->config.id + ": a message is late");
     }
     TimePoint& before = nodes_[to]->last_arrival[from];
@@ -446,7 +448,7 @@
     if (const auto* publish = std::get_if<Publish>(&a.action)) {
         for (const Send& s : publish->sends) send(node, s);
     } else if (const auto* told = std::get_if<NotifySubscriber>(&a.action)) {
-        // To a receiver outside the fleet, that knows nothing but the epochs that it has met.
+        // Delivered to a receiver outside the fleet, which knows only the epochs that it has seen.
         schedule_event(travels + seconds(0.0002 + 0.002 * uniform()), node,
                        [this, node, duty = a.duty, epoch = a.epoch, number = told->number] {
                            auto& taken = accepted_[duty];
@@ -495,7 +497,7 @@
     const uint64_t entries = options_.list_entries;
     for (uint64_t entry = 0; entry < entries; ++entry) {
         const uint64_t changes = version < entry ? 0 : (version - entry) / entries + 1;
-        if (changes % 4 == 3) continue;  // gone
+        if (changes % 4 == 3) continue;  // removed
         const auto uid = "u" + std::to_string(entry);
         lines[uid] = R"({"changes":)" + std::to_string(changes) + R"(,"state":"ready","uid":")" + uid + "\"}";
     }
@@ -548,13 +550,14 @@
                 return n.voter_agent->handle(p, call);
             });
         } else if (auto* a = std::get_if<LeasedEffect>(&e)) {
-            const size_t way = options_.choose ? choose(ChoicePoint::effect) : 0;
-            if (way == 1 || way == 2) n.freeze_at_effect = options_.lease.length * (way == 1 ? 0.7 : 1.4);
+            const size_t alternative = options_.choose ? choose(ChoicePoint::effect) : 0;
+            if (alternative == 1 || alternative == 2)
+                n.freeze_at_effect = options_.lease.length * (alternative == 1 ? 0.7 : 1.4);
             if (n.freeze_at_effect) {
                 freeze(node, *std::exchange(n.freeze_at_effect, std::nullopt));
                 schedule_event({}, node, [this, node, held = *a] { perform_effect(node, held); });
             } else {
-                perform_effect(node, *a, way == 3 ? options_.lease.length * 1.4 : Duration{});
+                perform_effect(node, *a, alternative == 3 ? options_.lease.length * 1.4 : Duration{});
             }
         } else if (auto* q = std::get_if<SetDiscoveryPolling>(&e)) {
             const bool was = std::exchange(n.polling_discovery, q->on);
@@ -576,7 +579,8 @@
     }
 }
 
-// Replicas at one revision have one state. Nothing but its own events changes a member's.
+// Replicas at the same revision must have the same state. Only the member's own events change its replica, so
+// checking after those is enough.
 void SimulatedCluster::check_replica(size_t at_node)
 {
     Node& node = *nodes_[at_node];
@@ -605,7 +609,7 @@
     ++candidate_of;
 }
 
-// No later than its lease ends, in true time.
+// A lower bound, in true time, of when the member's lease expires.
 TimePoint SimulatedCluster::lease_expiry(size_t node) const
 {
     const Node& n = *nodes_[node];
@@ -613,8 +617,8 @@
     return now_ + left * (1 / n.rate) - Duration{2};
 }
 
-// At every moment, by each one's own clock. Between events of those that were granted something and the end
-// of a lease nothing can be other than it was.
+// Checks that each duty has at most one holder, each by its own clock. Holders can change only with an event
+// of a candidate or when a lease expires, so other times needn't be checked.
 void SimulatedCluster::check_holders()
 {
     if (!check_due_ && now_ < next_check_) return;
--- a/simulation/simulated_cluster.h
+++ b/simulation/simulated_cluster.h
@@ -1,5 +1,5 @@
-// A fleet in virtual time: the real parts of src/fleet, a modelled network, disks and clocks, and faults. One
-// seed, one run, byte for byte.
+// Deterministic simulation of a fleet in virtual time: the production code of src/fleet on a modelled
+// network, disks and clocks, with fault injection. The same seed gives the same run, byte for byte.
 #pragma once
 
 #include <functional>
@@ -19,7 +19,7 @@
 
 using namespace fleet;
 
-// A disk in memory, whose next calls can be made to fail, and that can forget what was not synced.
+// In-memory disk whose calls can be made to fail, and which can lose unsynced data.
 class Disk : public FileSystem
 {
   public:
@@ -28,30 +28,32 @@
     std::error_code sync(const std::string& name) override;
     std::error_code replace(const std::string& name, std::string_view bytes) override;
 
-    void lose_power();  // what was not synced is gone, but for a part of it
+    void lose_power();  // discards unsynced data, except surviving_bytes of each file
     void wipe() { durable_.clear(), written_.clear(); }
 
-    bool full = false, broken = false, ignores_sync = false;  // lies: it says synced and has not
-    size_t surviving_bytes = SIZE_MAX;  // of what is lost with the power, so much is there all the same
+    bool full = false, broken = false,
+         ignores_sync = false;  // ignores_sync: sync() succeeds without making data durable
+    size_t surviving_bytes =
+        SIZE_MAX;  // of unsynced appended data that survive a power loss (a torn write); SIZE_MAX: none
     Duration sync_duration;
-    Duration time_waited;  // by whoever has synced since this was taken
+    Duration time_waited;  // total sync_duration since the caller last cleared it
 
   private:
     std::map<std::string, std::string> durable_, written_;
 };
 
-// Where the world could go on in several ways: the model checker takes each. The first way is that nothing
-// goes wrong.
+// Points at which the simulation has several continuations, each of which the model checker explores.
+// Alternative 0 is the fault-free one.
 enum class ChoicePoint { message, effect, tick };
 
-struct Link {  // from one member to another
+struct Link {  // one direction between two members
     bool cut = false;
-    double loss = 0;  // of messages: their connection is made anew
+    double loss = 0;  // of messages; stands for a connection that is re-established
     Duration min_latency = seconds(0.0002), most = seconds(0.002);
     double repeat = 0;
 };
 
-// What a receiver took, or a rule that is broken, in the words of the trace.
+// A violated rule, described as in the trace.
 struct Broken {
     std::string rule;
     TimePoint at;
@@ -65,7 +67,7 @@
         LeaseConfig lease;
         bool list = false;
         std::optional<EndpointDeltaConfig> deltas;
-        size_t list_entries = 12;  // that discovery may know
+        size_t list_entries = 12;  // upper bound of endpoints in discovery
         std::optional<uint32_t> probe_parts, drain_limit;
         std::optional<SubsetConfig> subset;
         std::optional<OutlierGossipConfig> outlier_gossip;
@@ -73,10 +75,10 @@
         std::optional<StartupConfig> recovery;
         Duration tick = seconds(0.02);
         VoterTiming voter_timing;
-        bool fencing = true;                                         // receivers refuse lower epochs
-        bool lease_gate = true;                                      // the check before each effect
-        std::function<void(LeaseManager&)> configure_lease_manager;  // a safety rule taken out
-        std::function<size_t(ChoicePoint)> choose;                   // which way; absent: the first
+        bool fencing = true;     // receivers reject effects with a lower epoch
+        bool lease_gate = true;  // checks the lease before each effect
+        std::function<void(LeaseManager&)> configure_lease_manager;  // used by tests to disable a safety rule
+        std::function<size_t(ChoicePoint)> choose;  // selects an alternative; absent: always 0
     };
     SimulatedCluster(Options options, uint64_t seed);
     ~SimulatedCluster();
@@ -86,8 +88,8 @@
     std::ranlux24_base& random() { return random_; }
     double uniform() { return std::uniform_real_distribution<>(0, 1)(random_); }
 
-    // For what stands beside the fleet's members: their effects, and events on the same clock. Beside all
-    // members: SIZE_MAX.
+    // Hooks for models that run alongside the members: the members' effects, and events on the same clock. An
+    // event of no member has node SIZE_MAX.
     std::function<void(size_t node, FleetEffect&)> on_effect;
     void schedule(Duration after, size_t node, std::function<void()> what)
     {
@@ -98,25 +100,24 @@
 
     void run_until(TimePoint until);
     void run(Duration span) { run_until(now_ + span); }
-    // The next event alone; false: there is none before that time.
+    // Processes one event; false if none is due by that time.
     bool step(TimePoint until);
 
     void start(size_t node);
-    // All members, each of which already knows all others to be alive: a fleet that has long been up.
+    // Starts all members with full membership knowledge, as in a fleet that has been up for long.
     void start_all_with_known_members();
-    void crash(size_t node, bool power = false);  // power: what was not synced is lost
-    void stop(size_t node);                       // as by SIGTERM
+    void crash(size_t node, bool power = false);  // power: unsynced data is lost too
+    void stop(size_t node);                       // graceful shutdown, as on SIGTERM
     void freeze(size_t node, Duration span);
-    void freeze_at_next_effect(
-        size_t node,
-        Duration span);  // at its next effect, between the check's cause and the effect
-    void set_clock_rate(size_t node, double rate);  // true seconds become so many of its own
-    // To be changed. A link that was never asked for has the values of a default Link and takes no room.
+    void freeze_at_next_effect(size_t node,
+                               Duration span);  // between the decision and the lease check of its next effect
+    void set_clock_rate(size_t node, double rate);  // local seconds per true second
+    // For modification. A link that was never requested behaves as a default Link and isn't stored.
     Link& link(size_t from, size_t to) { return links_[from * nodes_.size() + to]; }
     void isolate(size_t node, bool cut);
-    // Members of different regions do not reach each other; all are of region 0 at first.
+    // Members in different regions can't reach each other. All start in region 0.
     void set_region(size_t node, uint32_t region);
-    void heal();  // all links and regions
+    void heal();  // resets all links and regions
     Disk& disk(size_t node);
     bool up(size_t node) const;
     void ask(size_t node, const std::string& what, const std::string& first = "",
@@ -127,21 +128,22 @@
         discovery_version_ = version;
         discovery_list_ = std::move(list);
     }
-    // Members that discovery answers; absent: all.
+    // Selects the members that discovery answers; absent: all.
     std::function<bool(size_t node)> discovery_answers;
-    // The agent of one member is behind the others; nothing: it is not.
+    // Makes the discovery agent of one member serve this version; nullopt: the current one.
     void discovery_of(size_t node, std::optional<uint64_t> version);
-    // The list as discovery has it at a version: each version changes one entry, some are gone.
+    // The list in discovery at a version. Each version changes one entry; some entries are absent.
     EndpointMap discovery_lines(uint64_t version) const;
 
-    // Who may act for it now, by its own clock.
+    // Members whose lease on the duty is valid now by their own clocks.
     std::vector<size_t> holders(const std::string& duty) const;
     std::optional<size_t> leader() const;
     Fleet& fleet(size_t node);
     uint64_t list_of(size_t node) const;
-    // An entry of its replica changes as no delta did. It may differ from others until that is repaired.
+    // Changes an entry of the member's replica without a delta. The replica may differ from the others until
+    // it is repaired.
     void corrupt_list(size_t node, const std::string& uid, const std::string& text);
-    const EndpointMap& shown_list(size_t node) const;  // as its balancer uses it, with deltas
+    const EndpointMap& shown_list(size_t node) const;  // as its balancer applies it; only with deltas
     std::string show(size_t node);
 
     const std::vector<Broken>& broken() const { return violations_; }
@@ -151,17 +153,17 @@
     struct Count {
         uint64_t messages = 0, bytes = 0, effects = 0, blocked_effects = 0, refused_effects = 0,
                  list_calls = 0, probes = 0,
-                 list_bytes = 0;  // list_bytes: of deltas, snapshots and what asks for them
+                 list_bytes = 0;  // list_bytes: deltas, snapshots and requests for them
     };
     Count count;
-    std::vector<uint64_t> messages_sent;  // messages of each member
+    std::vector<uint64_t> messages_sent;  // by member
     struct Traffic {
         uint64_t messages_out = 0, bytes_out = 0, messages_in = 0, bytes_in = 0;
     };
-    std::vector<Traffic> traffic;  // of each member
-    // Duty, true time: since when nobody holds it.
+    std::vector<Traffic> traffic;  // by member
+    // By duty: how long, in true time, it has had no holder; zero if it has one.
     std::map<std::string, Duration> current_gaps() const;
-    std::vector<Duration> gaps;  // each time without a holder, ended
+    std::vector<Duration> gaps;  // completed periods in which a duty had no holder
 
   private:
     struct Node;
@@ -169,9 +171,9 @@
         TimePoint at;
         uint64_t order;
         size_t node;
-        uint64_t generation;  // of the node; what comes for an older one is gone with it
+        uint64_t generation;  // of the node's process; events of an earlier one are dropped
         std::function<void()> action;
-        bool may_change_holders;  // whether holders can be others after it
+        bool may_change_holders;  // whether it can change which members hold duties
         bool operator<(const Event& o) const { return at != o.at ? at > o.at : order > o.order; }
     };
 
@@ -199,24 +201,25 @@
     TimePoint now_{1'000'000'000};
     uint64_t next_order_ = 0;
     std::vector<std::unique_ptr<Node>> nodes_;
-    std::unordered_map<size_t, Link> links_;  // that were asked for
+    std::unordered_map<size_t, Link> links_;  // that were requested by link()
     std::priority_queue<Event> events_;
     std::vector<Broken> violations_;
     std::vector<std::string> trace_;
-    std::map<std::string, std::pair<Epoch, uint64_t>> accepted_;  // by the receiver of each duty
+    std::map<std::string, std::pair<Epoch, uint64_t>>
+        accepted_;  // newest epoch and number that each duty's receiver accepted
     std::set<std::tuple<std::string, Epoch, uint64_t>> accepted_effects_;
-    // Duties that are checked, and who may hold them: members that have gained one and not lost it. Their
-    // leases may have ended since.
+    // Duties that are checked, with their possible holders: members that gained the duty and haven't reported
+    // its loss. Their leases may have expired since.
     struct DutyWatch {
-        TimePoint vacant_since;  // since when nobody holds it; zero: somebody does
+        TimePoint vacant_since;  // time since which it has had no holder; zero: it has one
         std::vector<size_t> candidates;
     };
     std::map<std::string, DutyWatch> watched_duties_;
-    bool check_due_ = true;  // something other than time has changed who holds a duty
-    TimePoint next_check_;   // the first time at which a lease may end
+    bool check_due_ = true;  // something other than the passing of time may have changed a holder
+    TimePoint next_check_;   // earliest time at which a lease may expire
     uint64_t discovery_version_ = 1;
     std::string discovery_list_ = "list 1";
-    std::map<EndpointRevision, uint64_t> digest_by_revision_;  // of the states that replicas have had
+    std::map<EndpointRevision, uint64_t> digest_by_revision_;  // of every state that a replica has had
 };
 
 }  // namespace firtide::simulation
--- a/tests/fleet_model_check.cpp
+++ b/tests/fleet_model_check.cpp
@@ -1,4 +1,4 @@
-// The model checker: three members, one duty, and every single thing that can go wrong, at every place.
+// Model check of three members and one duty: every single fault at every choice point.
 #include <cstdio>
 
 #include "simulation/model_check.h"
@@ -26,7 +26,7 @@
     auto got = run_model_check(c);
     std::printf("no gate: %s\n", got.rule.c_str());
     std::printf("  its trace ends: %s\n", got.trace.empty() ? "EMPTY" : got.trace.back().substr(10).c_str());
-    // The way that was found breaks the rule again, and nothing with the gate in its place.
+    // The fault schedule that was found violates the rule again, and none with the lease gate enabled.
     std::printf("  again: %s\n",
                 run_schedule(c, got.first_violation, nullptr, nullptr).empty() ? "NOT BROKEN" : "broken");
     c.options.lease_gate = true;
--- a/tests/fleet_simulation.cpp
+++ b/tests/fleet_simulation.cpp
@@ -1,4 +1,5 @@
-// Fleets in virtual time, under faults drawn from seeds; and each safety rule, taken out, is found.
+// Randomized runs of fleets in virtual time: no rule is violated under faults drawn from seeds, and disabling
+// any one safety rule leads to a violation that the runs detect.
 #include <cstdio>
 #include <cstring>
 
@@ -39,8 +40,8 @@
     std::printf("%s: %s\n", what, search(run, 1, to, rule).violating_runs ? "found" : "NOT FOUND");
 }
 
-// A leader stands still while another is elected; one holder reaches nobody else and goes on asking it. When
-// it wakes it finds those askings before it finds out that another leads.
+// A leader freezes while another is elected. One holder reaches only the frozen leader and keeps sending it
+// renewals. When the leader resumes, it processes those renewals before it learns that another member leads.
 size_t runs_broken_by_frozen_leader(bool confirm)
 {
     size_t broken = 0;
@@ -49,17 +50,17 @@
         o.configure_lease_manager = [confirm](LeaseManager& g) {
             g.disabled_checks.confirm_by_majority = !confirm;
         };
-        SimulatedCluster w(o, seed);
-        for (size_t i = 0; i < w.size(); ++i) w.start(i);
-        w.run(seconds(5));
-        const auto leader = w.leader();
-        const size_t holder = leader == 3 ? 4 : 3;  // no voter
+        SimulatedCluster cluster(o, seed);
+        for (size_t i = 0; i < cluster.size(); ++i) cluster.start(i);
+        cluster.run(seconds(5));
+        const auto leader = cluster.leader();
+        const size_t holder = leader == 3 ? 4 : 3;  // not a voter
         if (!leader) return 99;
-        for (size_t i = 0; i < w.size(); ++i)
-            if (i != *leader) w.link(holder, i).cut = w.link(i, holder).cut = true;
-        w.freeze(*leader, seconds(2.6));
-        w.run(seconds(10));
-        broken += !w.broken().empty();
+        for (size_t i = 0; i < cluster.size(); ++i)
+            if (i != *leader) cluster.link(holder, i).cut = cluster.link(i, holder).cut = true;
+        cluster.freeze(*leader, seconds(2.6));
+        cluster.run(seconds(10));
+        broken += !cluster.broken().empty();
     }
     return broken;
 }
@@ -81,25 +82,28 @@
     one.faults_per_second = 2;
     expect_no_violation("three members, one duty, twice the faults", one);
 
-    RandomizedRun w = five;
-    w.options.configure_lease_manager = [](LeaseManager& g) { g.disabled_checks.wait_after_election = true; };
-    expect_violation("a new leader that does not wait", w, 40, "two hold");
+    RandomizedRun run = five;
+    run.options.configure_lease_manager = [](LeaseManager& g) {
+        g.disabled_checks.wait_after_election = true;
+    };
+    expect_violation("a new leader that does not wait", run, 40, "two hold");
     std::printf("renewals without a majority: %s\n",
                 runs_broken_by_frozen_leader(false) ? "found" : "NOT FOUND");
     std::printf("the same with it: %s\n", runs_broken_by_frozen_leader(true) ? "BROKEN" : "nothing broken");
-    w = five;
-    w.options.configure_lease_manager = [](LeaseManager& g) { g.disabled_checks.full_expiry = true; };
-    expect_violation("grants before the lease is over", w, 10, "two hold");
-    w = five;
-    w.options.lease_gate = false;
-    expect_violation("no gate", w, 20, "without its lease");
-    w = five;
-    w.options.fencing = false;
-    expect_violation("no fences", w, 60, "a receiver took epoch");
-    w = five;
-    w.excess_drift = 0.5;
-    expect_violation("a clock beyond the drift", w, 40, "two hold");
-    std::printf("the same, at receivers: %s\n",
-                search(w, 1, 40, "receiver").violating_runs ? "a lower epoch taken" : "no lower epoch taken");
+    run = five;
+    run.options.configure_lease_manager = [](LeaseManager& g) { g.disabled_checks.full_expiry = true; };
+    expect_violation("grants before the lease is over", run, 10, "two hold");
+    run = five;
+    run.options.lease_gate = false;
+    expect_violation("no gate", run, 20, "without its lease");
+    run = five;
+    run.options.fencing = false;
+    expect_violation("no fences", run, 60, "a receiver took epoch");
+    run = five;
+    run.excess_drift = 0.5;
+    expect_violation("a clock beyond the drift", run, 40, "two hold");
+    std::printf("the same, at receivers: %s\n", search(run, 1, 40, "receiver").violating_runs
+                                                    ? "a lower epoch taken"
+                                                    : "no lower epoch taken");
     return 0;
 }
--- a/tests/simulation_scale.cpp
+++ b/tests/simulation_scale.cpp
@@ -1,5 +1,5 @@
-// Scale runs in virtual time: one seed gives one result, and every trouble ends with each change of the list
-// in force at each live member and one view of the members.
+// Scalability runs in virtual time: a seed determines the result, and after every fault each change of the
+// list is in force on each live member and all have the same view of the membership.
 #include <gtest/gtest.h>
 
 #include "simulation/scale.h"
@@ -10,13 +10,13 @@
 namespace
 {
 
-ScalePlan small_plan(ScaleFault trouble = ScaleFault::none)
+ScalePlan small_plan(ScaleFault fault = ScaleFault::none)
 {
     ScalePlan plan;
     plan.members = 60;
     plan.upstreams = 20;
     plan.seconds = 5;
-    plan.fault = trouble;
+    plan.fault = fault;
     return plan;
 }
 
@@ -115,9 +115,9 @@
 
 TEST(ScaleFault, IsKnownByItsName)
 {
-    for (const auto trouble :
+    for (const auto fault :
          {ScaleFault::none, ScaleFault::killed, ScaleFault::zone, ScaleFault::regions, ScaleFault::restart})
-        EXPECT_EQ(parse_scale_fault(to_string(trouble)), trouble);
+        EXPECT_EQ(parse_scale_fault(to_string(fault)), fault);
     EXPECT_FALSE(parse_scale_fault("flood"));
 }
 
