--- a/simulation/main.cpp
+++ b/simulation/main.cpp
@@ -59,7 +59,7 @@
         ++broken;
         std::printf("seed %llu: %s\n", static_cast<unsigned long long>(seed), result.broken[0].rule.c_str());
     }
-    std::printf("%llu walks, %llu faults, %llu broken\n",
+    std::printf("%llu runs, %llu faults, %llu with violations\n",
                 static_cast<unsigned long long>(seeds.last - seeds.first + 1),
                 static_cast<unsigned long long>(faults), static_cast<unsigned long long>(broken));
     return broken ? 1 : 0;
@@ -68,7 +68,7 @@
 int run_check(const ModelCheck& c)
 {
     const auto result = run_model_check(c);
-    std::printf("%llu runs, up to %zu of %llu things that can go wrong at a time, %llu broken\n",
+    std::printf("%llu runs, up to %zu faults at %llu choice points, %llu with violations\n",
                 static_cast<unsigned long long>(result.runs), c.max_faults,
                 static_cast<unsigned long long>(result.choice_points),
                 static_cast<unsigned long long>(result.violating_runs));
@@ -129,9 +129,10 @@
     std::sort(sent.begin(), sent.end());
     const double n = static_cast<double>(cluster.size()) * 10;
     std::printf(
-        "%zu members, %zu voters, %zu duties, at rest: %.1f messages and %.0f bytes a second and member; "
+        "%zu members, %zu voters, %zu duties, without faults: %.1f messages and %.0f bytes per second and "
+        "member; "
         "median %llu, "
-        "greatest %llu messages; %.1f calls for lists a second\n",
+        "maximum %llu messages; %.1f list requests to discovery per second\n",
         cluster.size(), options.voters, options.duties,
         static_cast<double>(cluster.count.messages - before.messages) / n,
         static_cast<double>(cluster.count.bytes - before.bytes) / n,
@@ -161,7 +162,7 @@
     if (json.empty()) {
         std::fputs(report.c_str(), stdout);
     } else if (!(std::ofstream(json) << report << std::flush)) {
-        std::fprintf(stderr, "%s cannot be written\n", json.c_str());
+        std::fprintf(stderr, "cannot write %s\n", json.c_str());
         return 2;
     }
     return result.violations.empty() ? 0 : 1;
@@ -233,7 +234,7 @@
 
 int main(int argc, char** argv)
 {
-    CLI::App app("firtide-simulation, fleets of balancers in virtual time");
+    CLI::App app("firtide-simulation: simulations of fleets of balancers in virtual time");
     app.require_subcommand(1);
     RandomizedRun run;
     ModelCheck check;
@@ -247,35 +248,35 @@
         of->add_option("--voters", options.voters)->check(CLI::IsMember({3, 5, 7}));
         of->add_option("--duties", options.duties);
         of->add_option("--lease", lease, "seconds")->check(CLI::Range(1.0, 300.0));
-        of->add_option("--without", rules.without, "a safety rule taken out")
+        of->add_option("--without", rules.without, "safety rule to disable")
             ->check(CLI::IsMember({"office", "majority", "expiry", "gate", "fence"}));
-        of->add_flag("--list", options.list, "one member asks discovery");
+        of->add_flag("--list", options.list, "one member polls discovery and replicates the endpoint list");
         of->add_flag("--deltas", deltas,
-                     "and its list goes round as deltas, of a short history and small chunks");
+                     "replicate the endpoint list as deltas, with a short history and small chunks");
         return of;
     };
-    auto* walking = common(app.add_subcommand("walk", "faults drawn from seeds"));
+    auto* walking = common(app.add_subcommand("walk", "randomized runs under faults drawn from seeds"));
     walking->add_option("--from", seeds.first, "seed");
     walking->add_option("--to", seeds.last, "seed");
-    walking->add_option("--lasts", lasts, "seconds of each");
-    walking->add_option("--faults", faults, "a second");
+    walking->add_option("--lasts", lasts, "seconds per run");
+    walking->add_option("--faults", faults, "faults per second");
     walking->add_option("--clock-beyond", run.excess_drift,
-                        "one clock is slower by this part than the others");
+                        "fraction by which one clock is slower than true time");
     walking->add_flag("--trace", traced);
-    auto* checking = common(app.add_subcommand("check", "every way in which up to so many things go wrong"));
-    checking->add_option("--most", check.max_faults, "things that go wrong in one run")
-        ->check(CLI::Range(1, 3));
+    auto* checking =
+        common(app.add_subcommand("check", "model check: every combination of a limited number of faults"));
+    checking->add_option("--most", check.max_faults, "faults per run")->check(CLI::Range(1, 3));
     checking->add_option("--part", check.shard);
     checking->add_option("--parts", check.shards);
     checking->add_option("--seed", check.seed);
-    checking->add_option("--lasts", lasts, "seconds in which they can");
-    auto* resting = common(app.add_subcommand("rest", "what a fleet at rest says"));
+    checking->add_option("--lasts", lasts, "seconds in which faults may occur");
+    auto* resting = common(app.add_subcommand("rest", "traffic of a fleet without faults"));
     resting->add_option("--seed", seeds.first);
     bool known_members = false;
     double tick = options.tick.seconds();
     resting->add_option("--tick", tick, "seconds")->check(CLI::Range(0.02, 0.05));
-    resting->add_flag("--acquainted", known_members, "all know each other from the start");
-    auto* scaling = app.add_subcommand("scale", "what a fleet costs as it grows, as JSON");
+    resting->add_flag("--acquainted", known_members, "start with full membership knowledge");
+    auto* scaling = app.add_subcommand("scale", "scalability run: traffic and propagation times, as JSON");
     ScalePlan plan;
     std::string trouble = "none", json;
     scaling->add_option("--members", plan.members);
@@ -287,23 +288,25 @@
     scaling->add_option("--seconds", plan.seconds);
     scaling->add_option("--seed", plan.seed);
     scaling->add_option("--trouble", trouble, "none, killed, zone, regions or restart");
-    scaling->add_flag("--deltas", plan.deltas, "the list goes round as deltas");
+    scaling->add_flag("--deltas", plan.deltas, "replicate the endpoint list as deltas");
     scaling->add_option("--json", json, "file for the report");
-    auto* subsetting = app.add_subcommand("subsets", "ways to choose subsets of the upstreams, compared");
+    auto* subsetting = app.add_subcommand("subsets", "compare subsetting algorithms");
     size_t members = 300, upstreams = 60, size = 18;
     subsetting->add_option("--members", members)->check(CLI::Range(2, 5000));
     subsetting->add_option("--upstreams", upstreams)->check(CLI::Range(1, 5000));
     subsetting->add_option("--size", size)->check(CLI::Range(1, 5000));
     subsetting->add_option("--seeds", seeds.last)->check(CLI::Range(1, 1000));
-    auto* simulating = app.add_subcommand("service", "troubles, alone and with what balancers do together");
+    auto* simulating =
+        app.add_subcommand("service", "fault scenarios, with and without cooperation of the balancers");
     size_t simulated_balancers = 60, simulated_upstreams = 24;
     std::string only;
     simulating->add_option("--balancers", simulated_balancers)->check(CLI::Range(6, 2000));
     simulating->add_option("--upstreams", simulated_upstreams)->check(CLI::Range(6, 1000));
     simulating->add_option("--from", seeds.first, "seed");
     simulating->add_option("--to", seeds.last, "seed");
-    simulating->add_option("--only", only, "troubles whose name holds this");
-    auto* returning = app.add_subcommand("returns", "power losses, alone and with a return in stages");
+    simulating->add_option("--only", only, "only scenarios whose name contains this");
+    auto* returning =
+        app.add_subcommand("returns", "recovery from power losses, with and without staged startup");
     returning->add_option("--balancers", simulated_balancers)->check(CLI::Range(6, 2000));
     returning->add_option("--upstreams", simulated_upstreams)->check(CLI::Range(6, 1000));
     returning->add_option("--from", seeds.first, "seed");
@@ -318,7 +321,7 @@
     if (scaling->parsed()) {
         const auto known = parse_scale_fault(trouble);
         if (!known) {
-            std::fprintf(stderr, "trouble: none, killed, zone, regions or restart, not '%s'\n",
+            std::fprintf(stderr, "--trouble: must be none, killed, zone, regions or restart, not '%s'\n",
                          trouble.c_str());
             return 2;
         }
--- a/simulation/randomized_run.cpp
+++ b/simulation/randomized_run.cpp
@@ -19,13 +19,14 @@
 std::string list_difference(SimulatedCluster& cluster)
 {
     const auto holders = cluster.holders("list");
-    if (holders.size() != 1) return "list is held by nobody long after all has healed";
+    if (holders.size() != 1) return "list has no holder long after all faults were repaired";
     const EndpointReplica& published = *cluster.fleet(holders[0]).replica();
     for (size_t i = 0; i < cluster.size(); ++i) {
         const EndpointReplica& replica = *cluster.fleet(i).replica();
         if (replica.revision() != published.revision() || replica.digest() != published.digest() ||
             cluster.shown_list(i) != published.endpoints())
-            return "m" + std::to_string(i + 1) + " has not the holder's list long after all has healed";
+            return "m" + std::to_string(i + 1) +
+                   " does not have the holder's list long after all faults were repaired";
     }
     return "";
 }
@@ -103,7 +104,7 @@
         for (size_t d = 0; d < run.options.duties && cluster.broken().empty(); ++d)
             if (cluster.holders("d" + std::to_string(d + 1)).size() != 1)
                 out.broken.push_back(
-                    {"d" + std::to_string(d + 1) + " is held by nobody long after all has healed",
+                    {"d" + std::to_string(d + 1) + " has no holder long after all faults were repaired",
                      cluster.now()});
     }
     if (run.heal_at_end && run.options.deltas && cluster.broken().empty() && out.broken.empty())
--- a/simulation/randomized_run.h
+++ b/simulation/randomized_run.h
@@ -12,8 +12,8 @@
     double faults_per_second = 1;  // mean rate, approximate
     bool disk_faults = true;       // power loss, torn writes, full and slow disks
     bool clock_drift = true;       // clock rates differ, within the configured drift
-    double excess_drift =
-        0;  // one clock is slower than true time by this fraction, beyond the configured drift
+    // One clock runs slower than true time by this fraction, so as to exceed the configured drift.
+    double excess_drift = 0;
     bool heal_at_end = true;  // at the end all faults are repaired and every duty must have a holder again
 };
 
--- a/simulation/scale.cpp
+++ b/simulation/scale.cpp
@@ -92,11 +92,11 @@
     const auto between = [](const char* what, double value, double least, double most) -> std::string {
         if (value >= least && value <= most) return "";
         char text[128];
-        std::snprintf(text, sizeof text, "%s: from %g to %g are possible, not %g", what, least, most, value);
+        std::snprintf(text, sizeof text, "%s: must be from %g to %g, not %g", what, least, most, value);
         return text;
     };
     if (voters != 3 && voters != 5 && voters != 7)
-        return "voters: 3, 5 or 7 members vote, not " + std::to_string(voters);
+        return "voters: must be 3, 5 or 7, not " + std::to_string(voters);
     const std::string errors[] = {
         between("members", static_cast<double>(members), static_cast<double>(voters), max_members),
         between("duties", static_cast<double>(duties), 0, max_duties),
@@ -106,7 +106,7 @@
         between("seconds", seconds, 1, max_seconds)};
     for (const std::string& error : errors)
         if (!error.empty()) return error;
-    if (fault == ScaleFault::zone && zones < 2) return "zones: where one is lost, two are needed";
+    if (fault == ScaleFault::zone && zones < 2) return "zones: must be at least 2 to lose one";
     return "";
 }
 
--- a/simulation/scale.h
+++ b/simulation/scale.h
@@ -56,8 +56,8 @@
 };
 
 struct FaultOutcome {
-    double traffic_peak_over_rest =
-        0;  // messages of all members in the busiest second, relative to the fault-free mean
+    // Messages of all members in the busiest second, relative to the fault-free mean.
+    double traffic_peak_over_rest = 0;
     double bytes_peak_over_rest = 0;
     // From the end of the fault until all live members have the same view of the membership and at least the
     // list version of that time.
@@ -67,8 +67,8 @@
 struct ScaleResult {
     std::map<std::string, RoleTraffic> roles;  // leader, voter, holder.list, member
     ChangeLatency change_in_force;
-    uint64_t changes_missing =
-        0;  // pairs of a change and a member, up since the change, whose list lacks it at the end
+    // Pairs of a change and a member, up since the change, whose list lacks it at the end.
+    uint64_t changes_missing = 0;
     std::optional<FaultOutcome> fault;
     uint64_t messages = 0, bytes = 0;  // over the whole run
     std::vector<Broken> violations;    // violated rules of the fleet
--- a/simulation/service_simulation.cpp
+++ b/simulation/service_simulation.cpp
@@ -306,17 +306,19 @@
     Upstream& up = *upstreams_[upstream];
     ++up.busy;
     const Duration takes = seconds(-std::log(1 - cluster_.uniform()) * up.server.mean_service_seconds);
-    cluster_.schedule(takes, SIZE_MAX,
-                      [this, upstream, job, life = up.generation] { end_service(upstream, job, life); });
+    cluster_.schedule(takes, SIZE_MAX, [this, upstream, job, generation = up.generation] {
+        end_service(upstream, job, generation);
+    });
 }
 
-void ServiceSimulation::end_service(size_t upstream, Job job, uint64_t life)
+void ServiceSimulation::end_service(size_t upstream, Job job, uint64_t generation)
 {
     Upstream& up = *upstreams_[upstream];
-    if (up.generation != life) return;
+    if (up.generation != generation) return;
     if (cluster_.now() < up.frozen_until)
-        return cluster_.schedule(up.frozen_until - cluster_.now(), SIZE_MAX,
-                                 [this, upstream, job, life] { end_service(upstream, job, life); });
+        return cluster_.schedule(
+            up.frozen_until - cluster_.now(), SIZE_MAX,
+            [this, upstream, job, generation] { end_service(upstream, job, generation); });
     --up.busy;
     if (up.cancelled.erase(job.number) == 0) {
         Response succeeded;
--- a/simulation/service_simulation.h
+++ b/simulation/service_simulation.h
@@ -15,7 +15,7 @@
 // its slots grow from a fraction to all of them; overloaded in that time, it collapses and restarts.
 struct ServerModel {
     size_t slots = 8, queue = 40;
-    double mean_service_seconds = 0.02;  // seconds
+    double mean_service_seconds = 0.02;
     double size = 1;
     uint32_t zone = 0;
 };
@@ -33,8 +33,8 @@
         std::optional<StartupConfig> recovery;
         LeaseConfig lease;
         Duration cold_duration = seconds(20), collapse_window = seconds(1);
-        double cold_share = 0.1,
-               collapse_multiple = 2;  // an upstream in warm-up collapses at this multiple of its capacity
+        double cold_share = 0.1;       // fraction of the slots available right after a restart
+        double collapse_multiple = 2;  // an upstream in warm-up collapses at this multiple of its capacity
         Duration latency_objective = seconds(0.25), client_timeout = seconds(1);
     };
     ServiceSimulation(Options options, uint64_t seed);
@@ -69,8 +69,8 @@
     double max_over_mean() const;
     size_t connections() const;               // upstreams in use, summed over the balancers
     std::vector<uint64_t> served_by() const;  // by running balancer, since reset_counts()
-    // Seconds from reset_counts() until this fraction of the usual load is answered in time for four windows
-    // of 0.5 s in a row; -1: never.
+    // Seconds from reset_counts() until 98 % of this fraction of the usual load is answered in time in each
+    // of four consecutive windows of 0.5 s; -1: never.
     double seconds_until_recovered(double part, double usual_load) const;
 
   private:
@@ -89,7 +89,7 @@
     void schedule_request(size_t node);
     void arrive(size_t upstream, Job job);
     void begin_service(size_t upstream, Job job);
-    void end_service(size_t upstream, Job job, uint64_t life);
+    void end_service(size_t upstream, Job job, uint64_t generation);
     void send_response(const Job& job, Response response);
     size_t available_slots(const Upstream& up) const;
     void check_collapse(size_t upstream);
--- a/simulation/simulated_cluster.cpp
+++ b/simulation/simulated_cluster.cpp
@@ -169,14 +169,15 @@
 
 void SimulatedCluster::report_violation(const std::string& rule)
 {
-    add_trace("BROKEN " + rule);
+    add_trace("VIOLATION: " + rule);
     violations_.push_back({rule, now_});
 }
 
-void SimulatedCluster::schedule_event(Duration after, size_t node, std::function<void()> what, bool checked)
+void SimulatedCluster::schedule_event(Duration after, size_t node, std::function<void()> what,
+                                      bool may_change_holders)
 {
     events_.push({now_ + std::max(after, Duration{}), next_order_++, node,
-                  node < size() ? nodes_[node]->generation : 0, std::move(what), checked});
+                  node < size() ? nodes_[node]->generation : 0, std::move(what), may_change_holders});
 }
 
 bool SimulatedCluster::step(TimePoint until)
@@ -286,7 +287,7 @@
 {
     Node& n = *nodes_[node];
     if (!n.up) return;
-    add_trace(n.config.id + (power ? " loses its power" : " is killed"));
+    add_trace(n.config.id + (power ? " loses power" : " is killed"));
     ++n.generation;
     n.up = false;
     n.fleet.reset();
@@ -308,7 +309,7 @@
 void SimulatedCluster::freeze(size_t node, Duration span)
 {
     Node& n = *nodes_[node];
-    add_trace(n.config.id + " stands still for " + std::to_string(span.us / 1000) + " ms");
+    add_trace(n.config.id + " freezes for " + std::to_string(span.us / 1000) + " ms");
     n.frozen_until = std::max(n.frozen_until, now_ + span);
 }
 
@@ -319,14 +320,14 @@
 
 void SimulatedCluster::isolate(size_t node, bool cut)
 {
-    add_trace(nodes_[node]->config.id + (cut ? " is cut off" : " is joined again"));
+    add_trace(nodes_[node]->config.id + (cut ? " is isolated" : " is reconnected"));
     for (size_t i = 0; i < size(); ++i)
         if (i != node) link(i, node).cut = link(node, i).cut = cut;
 }
 
 void SimulatedCluster::heal()
 {
-    add_trace("all links are whole");
+    add_trace("all links are restored");
     links_.clear();
     for (auto& node : nodes_) node->region = 0;
 }
@@ -413,11 +414,10 @@
     if (options_.choose && urgency_of(s.message) == Urgency::leases) {
         const size_t alternative = choose(ChoicePoint::message);
         if (alternative == 1)
-            return add_trace(nodes_[from]->config.id + " to " + nodes_[to]->config.id +
-                             ": a message is lost");
+            return add_trace(nodes_[from]->config.id + " to " + nodes_[to]->config.id + ": message lost");
         if (alternative > 1)
             takes = options_.lease.length * (alternative == 2 ? 0.6 : 1.3),
-            add_trace(nodes_[from]->config.id + " to " + nodes_[to]->config.id + ": a message is late");
+            add_trace(nodes_[from]->config.id + " to " + nodes_[to]->config.id + ": message delayed");
     }
     TimePoint& before = nodes_[to]->last_arrival[from];
     const TimePoint at = std::max(before, now_ + takes);
@@ -435,7 +435,7 @@
         schedule_event(at - now_ + seconds(0.5 * uniform()), to, deliver);
 }
 
-void SimulatedCluster::perform_effect(size_t node, const LeasedEffect& a, Duration travels)
+void SimulatedCluster::perform_effect(size_t node, const LeasedEffect& a, Duration delay)
 {
     Node& n = *nodes_[node];
     if (options_.lease_gate && !n.fleet->lease_allows(local_time(node), a.duty, a.epoch, a.duration)) {
@@ -444,12 +444,12 @@
     }
     ++count.effects;
     if (!n.fleet->holds(local_time(node), a.duty))
-        report_violation(n.config.id + " let an effect of " + a.duty + " leave without its lease");
+        report_violation(n.config.id + " performed an effect of " + a.duty + " without its lease");
     if (const auto* publish = std::get_if<Publish>(&a.action)) {
         for (const Send& s : publish->sends) send(node, s);
     } else if (const auto* told = std::get_if<NotifySubscriber>(&a.action)) {
         // Delivered to a receiver outside the fleet, which knows only the epochs that it has seen.
-        schedule_event(travels + seconds(0.0002 + 0.002 * uniform()), node,
+        schedule_event(delay + seconds(0.0002 + 0.002 * uniform()), node,
                        [this, node, duty = a.duty, epoch = a.epoch, number = told->number] {
                            auto& taken = accepted_[duty];
                            if (options_.fencing && epoch < taken.first) {
@@ -458,11 +458,11 @@
                                return;
                            }
                            if (epoch < taken.first)
-                               report_violation("a receiver took epoch " + std::to_string(epoch) + " of " +
-                                                duty + " after " + std::to_string(taken.first));
+                               report_violation("a receiver accepted epoch " + std::to_string(epoch) +
+                                                " of " + duty + " after " + std::to_string(taken.first));
                            if (!accepted_effects_.insert({duty, epoch, number}).second)
-                               report_violation("a receiver took effect " + std::to_string(number) + " of " +
-                                                duty + " twice at one epoch");
+                               report_violation("a receiver accepted effect " + std::to_string(number) +
+                                                " of " + duty + " twice in the same epoch");
                            taken = std::max(taken, {epoch, number});
                        });
     } else if (std::get_if<StartProbes>(&a.action)) {
@@ -528,12 +528,12 @@
 void SimulatedCluster::apply_list(size_t node, const ApplyEndpointList& use)
 {
     Node& n = *nodes_[node];
-    if (use.version < n.list_version) report_violation("an older list was taken");
+    if (use.version < n.list_version) report_violation("an older list was applied");
     n.list_version = use.version;
     if (!options_.deltas) return;
     net::apply_list_update(n.applied_list, use.text);
     if (n.applied_list != discovery_lines(use.version))
-        report_violation(n.config.id + " uses a list that is not that of version " +
+        report_violation(n.config.id + " applied a list that differs from version " +
                          std::to_string(use.version));
 }
 
@@ -590,21 +590,21 @@
     if (at->second == replica.digest())
         node.list_corrupted = false;
     else if (!node.list_corrupted)
-        report_violation(node.config.id + " has another list than others have at revision " +
+        report_violation(node.config.id + " has a list that differs from other replicas at revision " +
                          std::to_string(replica.revision().epoch) + "." +
                          std::to_string(replica.revision().number));
 }
 
-void SimulatedCluster::update_candidates(size_t node, const LogEvent& noted)
+void SimulatedCluster::update_candidates(size_t node, const LogEvent& event)
 {
-    if (noted.kind != LogEvent::Kind::lease_gained && noted.kind != LogEvent::Kind::lease_lost) return;
+    if (event.kind != LogEvent::Kind::lease_gained && event.kind != LogEvent::Kind::lease_lost) return;
     check_due_ = true;
-    const auto at = watched_duties_.find(noted.subject);
+    const auto at = watched_duties_.find(event.subject);
     if (at == watched_duties_.end()) return;
     auto& candidates = at->second.candidates;
     size_t& candidate_of = nodes_[node]->candidacies;
     candidate_of -= std::erase(candidates, node);
-    if (noted.kind == LogEvent::Kind::lease_lost) return;
+    if (event.kind == LogEvent::Kind::lease_lost) return;
     candidates.insert(std::upper_bound(candidates.begin(), candidates.end(), node), node);
     ++candidate_of;
 }
@@ -634,7 +634,7 @@
         if (by.size() > 1) {
             std::string all;
             for (const size_t i : by) all += " " + nodes_[i]->config.id;
-            report_violation("two hold " + duty + " at once:" + all);
+            report_violation("several members hold " + duty + " at once:" + all);
         }
         if (!by.empty() && watched.vacant_since.us) {
             gaps.push_back(now_ - watched.vacant_since);
--- a/simulation/simulated_cluster.h
+++ b/simulation/simulated_cluster.h
@@ -31,10 +31,10 @@
     void lose_power();  // discards unsynced data, except surviving_bytes of each file
     void wipe() { durable_.clear(), written_.clear(); }
 
-    bool full = false, broken = false,
-         ignores_sync = false;  // ignores_sync: sync() succeeds without making data durable
-    size_t surviving_bytes =
-        SIZE_MAX;  // of unsynced appended data that survive a power loss (a torn write); SIZE_MAX: none
+    bool full = false, broken = false;
+    bool ignores_sync = false;  // sync() succeeds without making data durable
+    // Unsynced appended bytes of each file that survive a power loss (a torn write); SIZE_MAX: none.
+    size_t surviving_bytes = SIZE_MAX;
     Duration sync_duration;
     Duration time_waited;  // total sync_duration since the caller last cleared it
 
@@ -109,8 +109,8 @@
     void crash(size_t node, bool power = false);  // power: unsynced data is lost too
     void stop(size_t node);                       // graceful shutdown, as on SIGTERM
     void freeze(size_t node, Duration span);
-    void freeze_at_next_effect(size_t node,
-                               Duration span);  // between the decision and the lease check of its next effect
+    // Freezes it between the decision and the lease check of its next effect.
+    void freeze_at_next_effect(size_t node, Duration span);
     void set_clock_rate(size_t node, double rate);  // local seconds per true second
     // For modification. A link that was never requested behaves as a default Link and isn't stored.
     Link& link(size_t from, size_t to) { return links_[from * nodes_.size() + to]; }
@@ -177,9 +177,10 @@
         bool operator<(const Event& o) const { return at != o.at ? at > o.at : order > o.order; }
     };
 
-    void schedule_event(Duration after, size_t node, std::function<void()> what, bool checked = true);
+    void schedule_event(Duration after, size_t node, std::function<void()> what,
+                        bool may_change_holders = true);
     void apply_effects(size_t node, std::vector<FleetEffect> effects);
-    void perform_effect(size_t node, const LeasedEffect& act, Duration travels = {});
+    void perform_effect(size_t node, const LeasedEffect& act, Duration delay = {});
     void send(size_t from, const Send& send);
     void call_voter_agent(size_t node, const std::function<std::vector<VoterAgentEffect>(TimePoint)>& call);
     void tick(size_t node);
@@ -190,7 +191,7 @@
     size_t choose(ChoicePoint at) { return options_.choose ? options_.choose(at) : 0; }
     bool inject_tick_fault(size_t node);
     const Link& link_between(size_t from, size_t to) const;
-    void update_candidates(size_t node, const LogEvent& noted);
+    void update_candidates(size_t node, const LogEvent& event);
     void check_holders();
     TimePoint lease_expiry(size_t node) const;
     void report_violation(const std::string& rule);
@@ -205,8 +206,8 @@
     std::priority_queue<Event> events_;
     std::vector<Broken> violations_;
     std::vector<std::string> trace_;
-    std::map<std::string, std::pair<Epoch, uint64_t>>
-        accepted_;  // newest epoch and number that each duty's receiver accepted
+    // The newest epoch and number that the receiver of each duty accepted.
+    std::map<std::string, std::pair<Epoch, uint64_t>> accepted_;
     std::set<std::tuple<std::string, Epoch, uint64_t>> accepted_effects_;
     // Duties that are checked, with their possible holders: members that gained the duty and haven't reported
     // its loss. Their leases may have expired since.
--- a/simulation/subsets.cpp
+++ b/simulation/subsets.cpp
@@ -135,7 +135,7 @@
     return load;
 }
 
-double greatest_over_mean(const std::vector<double>& load)
+double max_over_mean(const std::vector<double>& load)
 {
     return *std::max_element(load.begin(), load.end()) * static_cast<double>(load.size()) /
            std::accumulate(load.begin(), load.end(), 0.0);
@@ -176,9 +176,9 @@
             for (const SubsetWeights& p : all)
                 c.connections += static_cast<double>(
                     std::count_if(p.begin(), p.end(), [](double part) { return part > 0; }));
-            c.same_view += greatest_over_mean(offered_load(f, all));
+            c.same_view += max_over_mean(offered_load(f, all));
             const Topology u = make_topology(members, upstreams, true, random);
-            c.unequal_sizes += greatest_over_mean(offered_load(u, select_for_all(algorithm, u, size)));
+            c.unequal_sizes += max_over_mean(offered_load(u, select_for_all(algorithm, u, size)));
 
             // Each member misses a random tenth of the other members and a twentieth of the upstreams.
             std::vector<SubsetWeights> differing;
@@ -193,7 +193,7 @@
                     if (unseen(0.05)) o.size = 0;
                 differing.push_back(algorithm(own, s.key, size));
             }
-            c.views_differ += greatest_over_mean(offered_load(f, differing));
+            c.views_differ += max_over_mean(offered_load(f, differing));
 
             Topology less = f;
             less.members.erase(less.members.begin() + static_cast<std::ptrdiff_t>(random() % members));
--- a/tests/fleet_model_check.cpp
+++ b/tests/fleet_model_check.cpp
@@ -18,18 +18,20 @@
         const auto got = run_model_check(c);
         std::printf("seed %llu: %s\n", static_cast<unsigned long long>(c.seed),
                     got.violating_runs ? got.rule.c_str()
-                    : got.runs > 500   ? "nothing broken"
+                    : got.runs > 500   ? "no violation"
                                        : "TOO FEW RUNS");
     }
     c.seed = 1;
     c.options.lease_gate = false;
     auto got = run_model_check(c);
-    std::printf("no gate: %s\n", got.rule.c_str());
+    std::printf("no lease gate: %s\n", got.rule.c_str());
     std::printf("  its trace ends: %s\n", got.trace.empty() ? "EMPTY" : got.trace.back().substr(10).c_str());
     // The fault schedule that was found violates the rule again, and none with the lease gate enabled.
-    std::printf("  again: %s\n",
-                run_schedule(c, got.first_violation, nullptr, nullptr).empty() ? "NOT BROKEN" : "broken");
+    std::printf("  again: %s\n", run_schedule(c, got.first_violation, nullptr, nullptr).empty()
+                                     ? "NO VIOLATION"
+                                     : "violation");
     c.options.lease_gate = true;
-    std::printf("  with the gate: %s\n",
-                run_schedule(c, got.first_violation, nullptr, nullptr).empty() ? "nothing broken" : "BROKEN");
+    std::printf("  with the lease gate: %s\n", run_schedule(c, got.first_violation, nullptr, nullptr).empty()
+                                                   ? "no violation"
+                                                   : "VIOLATION");
 }
--- a/tests/fleet_simulation.cpp
+++ b/tests/fleet_simulation.cpp
@@ -32,7 +32,7 @@
 void expect_no_violation(const char* what, const RandomizedRun& run)
 {
     const auto found = search(run, 1, 30);
-    std::printf("%s: %s\n", what, found.violating_runs ? found.first_violation.c_str() : "nothing broken");
+    std::printf("%s: %s\n", what, found.violating_runs ? found.first_violation.c_str() : "no violation");
 }
 
 void expect_violation(const char* what, const RandomizedRun& run, uint64_t to, const char* rule)
@@ -86,24 +86,25 @@
     run.options.configure_lease_manager = [](LeaseManager& g) {
         g.disabled_checks.wait_after_election = true;
     };
-    expect_violation("a new leader that does not wait", run, 40, "two hold");
-    std::printf("renewals without a majority: %s\n",
+    expect_violation("a new leader that does not wait before granting", run, 40, "several members hold");
+    std::printf("renewals not confirmed by a majority: %s\n",
                 runs_broken_by_frozen_leader(false) ? "found" : "NOT FOUND");
-    std::printf("the same with it: %s\n", runs_broken_by_frozen_leader(true) ? "BROKEN" : "nothing broken");
+    std::printf("renewals confirmed by a majority: %s\n",
+                runs_broken_by_frozen_leader(true) ? "VIOLATION" : "no violation");
     run = five;
     run.options.configure_lease_manager = [](LeaseManager& g) { g.disabled_checks.full_expiry = true; };
-    expect_violation("grants before the lease is over", run, 10, "two hold");
+    expect_violation("grants before the previous lease has expired", run, 10, "several members hold");
     run = five;
     run.options.lease_gate = false;
-    expect_violation("no gate", run, 20, "without its lease");
+    expect_violation("no lease check before effects", run, 20, "without its lease");
     run = five;
     run.options.fencing = false;
-    expect_violation("no fences", run, 60, "a receiver took epoch");
+    expect_violation("receivers without fencing", run, 60, "a receiver accepted epoch");
     run = five;
     run.excess_drift = 0.5;
-    expect_violation("a clock beyond the drift", run, 40, "two hold");
+    expect_violation("a clock beyond the configured drift", run, 40, "several members hold");
     std::printf("the same, at receivers: %s\n", search(run, 1, 40, "receiver").violating_runs
-                                                    ? "a lower epoch taken"
-                                                    : "no lower epoch taken");
+                                                    ? "a lower epoch accepted"
+                                                    : "no lower epoch accepted");
     return 0;
 }
--- a/tests/simulation_scale.cpp
+++ b/tests/simulation_scale.cpp
@@ -97,20 +97,20 @@
     EXPECT_EQ(ScalePlan{}.validation_error(), "");
     ScalePlan plan;
     plan.voters = 4;
-    EXPECT_EQ(plan.validation_error(), "voters: 3, 5 or 7 members vote, not 4");
+    EXPECT_EQ(plan.validation_error(), "voters: must be 3, 5 or 7, not 4");
     plan = {};
     plan.members = 2;
-    EXPECT_EQ(plan.validation_error(), "members: from 3 to 20000 are possible, not 2");
+    EXPECT_EQ(plan.validation_error(), "members: must be from 3 to 20000, not 2");
     plan = {};
     plan.upstreams = 0;
-    EXPECT_EQ(plan.validation_error(), "upstreams: from 1 to 50000 are possible, not 0");
+    EXPECT_EQ(plan.validation_error(), "upstreams: must be from 1 to 50000, not 0");
     plan = {};
     plan.seconds = 0;
-    EXPECT_EQ(plan.validation_error(), "seconds: from 1 to 3600 are possible, not 0");
+    EXPECT_EQ(plan.validation_error(), "seconds: must be from 1 to 3600, not 0");
     plan = {};
     plan.zones = 1;
     plan.fault = ScaleFault::zone;
-    EXPECT_EQ(plan.validation_error(), "zones: where one is lost, two are needed");
+    EXPECT_EQ(plan.validation_error(), "zones: must be at least 2 to lose one");
 }
 
 TEST(ScaleFault, IsKnownByItsName)
