--- a/simulation/randomized_run.h
+++ b/simulation/randomized_run.h
@@ -1,4 +1,4 @@
-// Random walks: a fleet under faults drawn from a seed.
+// Randomized runs: a fleet under faults drawn from a seed.
 #pragma once
 
 #include "simulated_cluster.h"
@@ -8,15 +8,16 @@
 
 struct RandomizedRun {
     SimulatedCluster::Options options;
-    Duration lasts = seconds(60);
-    double faults = 1;        // a second, about
-    bool disks = true;        // lost, torn, full, slow
-    bool clocks = true;       // rates that differ, within the drift
-    double clock_beyond = 0;  // a clock faster than stated, by this part
-    bool quiet_end = true;    // at last all heals, and every duty has to be held again
+    Duration duration = seconds(60);
+    double faults_per_second = 1;  // mean rate, approximate
+    bool disk_faults = true;       // power loss, torn writes, full and slow disks
+    bool clock_drift = true;       // clock rates differ, within the configured drift
+    // One clock runs slower than true time by this fraction, so as to exceed the configured drift.
+    double excess_drift = 0;
+    bool heal_at_end = true;  // at the end all faults are repaired and every duty must have a holder again
 };
 
-struct Walked {
+struct RandomizedRunResult {
     std::vector<Broken> broken;
     SimulatedCluster::Count count;
     uint64_t faults = 0;
@@ -24,6 +25,6 @@
     std::vector<Duration> gaps;
 };
 
-Walked run_randomized(const RandomizedRun& run, uint64_t seed, bool traced = false);
+RandomizedRunResult run_randomized(const RandomizedRun& run, uint64_t seed, bool traced = false);
 
 }  // namespace firtide::simulation
