--- a/fault_injection/client_call.cpp
+++ b/fault_injection/client_call.cpp
@@ -8,36 +8,36 @@
 namespace
 {
 
-struct Call {
+struct PendingCall {
     BuffereventPtr stream;
-    std::string got;
-    std::function<void(std::string)> then;
+    std::string received;
+    std::function<void(std::string)> on_done;
 
-    static void ended(bufferevent* stream, short what, void* arg)
+    static void on_event(bufferevent* stream, short events, void* arg)
     {
-        if (what & BEV_EVENT_CONNECTED) return;
-        auto* call = static_cast<Call*>(arg);
+        if (events & BEV_EVENT_CONNECTED) return;
+        auto* call = static_cast<PendingCall*>(arg);
         auto* input = bufferevent_get_input(stream);
-        call->got.resize(evbuffer_get_length(input));
-        evbuffer_remove(input, call->got.data(), call->got.size());
-        const std::unique_ptr<Call> own(call);
-        own->then(own->got);
+        call->received.resize(evbuffer_get_length(input));
+        evbuffer_remove(input, call->received.data(), call->received.size());
+        const std::unique_ptr<PendingCall> owned(call);
+        owned->on_done(owned->received);
     }
 };
 
 }  // namespace
 
-void call(event_base* base, sockaddr_in to, const std::string& bytes, Duration wait,
-          std::function<void(std::string)> then)
+void call(event_base* base, sockaddr_in to, const std::string& bytes, Duration idle_timeout,
+          std::function<void(std::string)> on_done)
 {
-    auto* c = new Call{
-        BuffereventPtr(bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE)), {}, std::move(then)};
-    bufferevent_setcb(c->stream.get(), nullptr, nullptr, Call::ended, c);
-    const auto most = to_timeval(wait);
-    bufferevent_set_timeouts(c->stream.get(), &most, &most);
-    bufferevent_enable(c->stream.get(), EV_READ | EV_WRITE);
-    bufferevent_write(c->stream.get(), bytes.data(), bytes.size());
-    bufferevent_socket_connect(c->stream.get(), reinterpret_cast<sockaddr*>(&to), sizeof to);
+    auto* pending = new PendingCall{
+        BuffereventPtr(bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE)), {}, std::move(on_done)};
+    bufferevent_setcb(pending->stream.get(), nullptr, nullptr, PendingCall::on_event, pending);
+    const auto timeout = to_timeval(idle_timeout);
+    bufferevent_set_timeouts(pending->stream.get(), &timeout, &timeout);
+    bufferevent_enable(pending->stream.get(), EV_READ | EV_WRITE);
+    bufferevent_write(pending->stream.get(), bytes.data(), bytes.size());
+    bufferevent_socket_connect(pending->stream.get(), reinterpret_cast<sockaddr*>(&to), sizeof to);
 }
 
 }  // namespace firtide::fault_injection
--- a/fault_injection/client_call.h
+++ b/fault_injection/client_call.h
@@ -1,4 +1,4 @@
-// One request over a connection of its own: some bytes there, all that comes back, and the end.
+// Sends one request over its own TCP connection and collects the response.
 #pragma once
 
 #include <netinet/in.h>
@@ -11,8 +11,9 @@
 namespace firtide::fault_injection
 {
 
-// then: with what had come by the end of the connection, or until nothing came for `wait`.
-void call(event_base* base, sockaddr_in to, const std::string& bytes, Duration wait,
-          std::function<void(std::string)> then);
+// Sends `bytes` and calls `on_done` with everything received until the connection ended or was idle for
+// `idle_timeout`. An empty text may also mean that the connection failed.
+void call(event_base* base, sockaddr_in to, const std::string& bytes, Duration idle_timeout,
+          std::function<void(std::string)> on_done);
 
 }  // namespace firtide::fault_injection
--- a/fault_injection/fault_proxy.cpp
+++ b/fault_injection/fault_proxy.cpp
@@ -12,174 +12,177 @@
 namespace firtide::fault_injection
 {
 
-sockaddr_in loopback(uint16_t port)
+sockaddr_in loopback_address(uint16_t port)
 {
-    sockaddr_in at{};
-    at.sin_family = AF_INET;
-    at.sin_port = htons(port);
-    at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    return at;
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_port = htons(port);
+    address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    return address;
 }
 
-struct FaultProxy::Pipe {
+struct FaultProxy::Connection {
     FaultProxy* owner = nullptr;
-    Place self;
+    ConnectionIterator self;
     BuffereventPtr from, to;
     std::deque<Chunk> chunks;
-    TimePoint free;       // when the last bytes at the stated rate have passed
-    bool spoilt = false;  // something of it never arrived: it ends when the road is whole again
-    bool ending = false;  // its sender has ended it
+    TimePoint rate_limited_until;  // when the queued bytes will have been sent at the limited rate
+    bool lost_data = false;        // bytes were dropped: it is reset once the link is no longer blackholed
+    bool sender_closed = false;    // close it once the queue is empty
     EventPtr timer;
 };
 
-FaultProxy::FaultProxy(event_base* base, uint16_t to)
-    : base_(base), to_(to), listener_(nullptr, evconnlistener_free)
+FaultProxy::FaultProxy(event_base* base, uint16_t target_port)
+    : base_(base), target_port_(target_port), listener_(nullptr, evconnlistener_free)
 {
-    auto at = loopback(0);
+    auto address = loopback_address(0);
     listener_.reset(evconnlistener_new_bind(
         base,
         [](evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
             static_cast<FaultProxy*>(self)->accept(fd);
         },
-        this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC, 64, reinterpret_cast<sockaddr*>(&at),
-        sizeof at));
-    if (!listener_) throw std::runtime_error("a relay cannot listen");
-    socklen_t size = sizeof at;
-    getsockname(evconnlistener_get_fd(listener_.get()), reinterpret_cast<sockaddr*>(&at), &size);
-    port_ = ntohs(at.sin_port);
+        this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC, 64, reinterpret_cast<sockaddr*>(&address),
+        sizeof address));
+    if (!listener_) throw std::runtime_error("a fault proxy cannot listen on a loopback port");
+    socklen_t size = sizeof address;
+    getsockname(evconnlistener_get_fd(listener_.get()), reinterpret_cast<sockaddr*>(&address), &size);
+    port_ = ntohs(address.sin_port);
 }
 
 FaultProxy::~FaultProxy() = default;
 
-void FaultProxy::end(Place at, bool reset)
+void FaultProxy::close(ConnectionIterator connection, bool reset)
 {
     if (reset) {
-        const linger none{1, 0};
-        setsockopt(bufferevent_getfd(at->from.get()), SOL_SOCKET, SO_LINGER, &none, sizeof none);
+        const linger reset_on_close{1, 0};
+        setsockopt(bufferevent_getfd(connection->from.get()), SOL_SOCKET, SO_LINGER, &reset_on_close,
+                   sizeof reset_on_close);
     }
-    pipes_.erase(at);
+    connections_.erase(connection);
 }
 
-void FaultProxy::road_is(const Road& road)
+void FaultProxy::set_conditions(const LinkConditions& conditions)
 {
-    road_ = road;
-    for (Place at = pipes_.begin(); at != pipes_.end();) {
-        const Place next = std::next(at);
-        if (road.refused || (at->spoilt && !road.cut))
-            end(at, true);
+    conditions_ = conditions;
+    for (ConnectionIterator connection = connections_.begin(); connection != connections_.end();) {
+        const ConnectionIterator next = std::next(connection);
+        if (conditions.reset || (connection->lost_data && !conditions.blackholed))
+            close(connection, true);
         else
-            move(at);
-        at = next;
+            forward_due_chunks(connection);
+        connection = next;
     }
 }
 
 void FaultProxy::accept(evutil_socket_t fd)
 {
     evutil_make_socket_nonblocking(fd);
-    pipes_.emplace_back();
-    const Place at = std::prev(pipes_.end());
-    at->owner = this;
-    at->self = at;
-    at->from.reset(bufferevent_socket_new(base_, fd, BEV_OPT_CLOSE_ON_FREE));
-    at->timer.reset(evtimer_new(
+    connections_.emplace_back();
+    const ConnectionIterator connection = std::prev(connections_.end());
+    connection->owner = this;
+    connection->self = connection;
+    connection->from.reset(bufferevent_socket_new(base_, fd, BEV_OPT_CLOSE_ON_FREE));
+    connection->timer.reset(evtimer_new(
         base_,
         [](evutil_socket_t, short, void* arg) {
-            auto* p = static_cast<Pipe*>(arg);
-            p->owner->move(p->self);
+            auto* c = static_cast<Connection*>(arg);
+            c->owner->forward_due_chunks(c->self);
         },
-        &*at));
+        &*connection));
     bufferevent_setcb(
-        at->from.get(),
+        connection->from.get(),
         [](bufferevent*, void* arg) {
-            auto* p = static_cast<Pipe*>(arg);
-            p->owner->came(p->self);
+            auto* c = static_cast<Connection*>(arg);
+            c->owner->read_input(c->self);
         },
         nullptr,
         [](bufferevent*, short, void* arg) {
-            auto* p = static_cast<Pipe*>(arg);
-            p->ending = true;
-            p->owner->move(p->self);
+            auto* c = static_cast<Connection*>(arg);
+            c->sender_closed = true;
+            c->owner->forward_due_chunks(c->self);
         },
-        &*at);
-    bufferevent_enable(at->from.get(), EV_READ);
-    if (road_.refused) return end(at, true);
-    at->to.reset(bufferevent_socket_new(base_, -1, BEV_OPT_CLOSE_ON_FREE));
+        &*connection);
+    bufferevent_enable(connection->from.get(), EV_READ);
+    if (conditions_.reset) return close(connection, true);
+    connection->to.reset(bufferevent_socket_new(base_, -1, BEV_OPT_CLOSE_ON_FREE));
     bufferevent_setcb(
-        at->to.get(), nullptr, nullptr,
-        [](bufferevent*, short what, void* arg) {
-            auto* p = static_cast<Pipe*>(arg);
-            if (!(what & BEV_EVENT_CONNECTED)) p->owner->end(p->self, true);
+        connection->to.get(), nullptr, nullptr,
+        [](bufferevent*, short events, void* arg) {
+            auto* c = static_cast<Connection*>(arg);
+            if (!(events & BEV_EVENT_CONNECTED)) c->owner->close(c->self, true);
         },
-        &*at);
-    bufferevent_enable(at->to.get(), EV_READ | EV_WRITE);
-    auto target = loopback(to_);
-    // A road that is cut leads nowhere from the first.
-    if (road_.cut)
-        at->spoilt = true, at->to.reset();
+        &*connection);
+    bufferevent_enable(connection->to.get(), EV_READ | EV_WRITE);
+    auto target = loopback_address(target_port_);
+    // A blackholed link never connects to the target.
+    if (conditions_.blackholed)
+        connection->lost_data = true, connection->to.reset();
     else
-        bufferevent_socket_connect(at->to.get(), reinterpret_cast<sockaddr*>(&target), sizeof target);
+        bufferevent_socket_connect(connection->to.get(), reinterpret_cast<sockaddr*>(&target), sizeof target);
 }
 
-void FaultProxy::came(Place at)
+void FaultProxy::read_input(ConnectionIterator connection)
 {
-    auto* input = bufferevent_get_input(at->from.get());
+    auto* input = bufferevent_get_input(connection->from.get());
     std::string bytes(evbuffer_get_length(input), '\0');
     evbuffer_remove(input, bytes.data(), bytes.size());
-    if (road_.cut || at->spoilt) {
-        at->spoilt = true;
+    if (conditions_.blackholed || connection->lost_data) {
+        connection->lost_data = true;
         return;
     }
-    if (std::exchange(change_, false))
+    if (std::exchange(corrupt_next_, false))
         bytes[bytes.size() / 2] = static_cast<char>(bytes[bytes.size() / 2] ^ 4);
-    if (std::exchange(repeat_, false)) bytes += bytes;
-    if (const size_t most = std::exchange(cut_within_, 0)) {
-        bytes.resize(std::min(bytes.size() - 1, most));
-        bufferevent_write(at->to.get(), bytes.data(), bytes.size());
-        // What was written has to arrive before the end does.
-        bufferevent_flush(at->to.get(), EV_WRITE, BEV_FLUSH);
-        at->ending = true;
-        at->chunks.clear();
-        const auto soon = to_timeval(seconds(0.02));
-        event_add(at->timer.get(), &soon);
+    if (std::exchange(duplicate_next_, false)) bytes += bytes;
+    if (const size_t length = std::exchange(truncate_next_to_, 0)) {
+        bytes.resize(std::min(bytes.size() - 1, length));
+        bufferevent_write(connection->to.get(), bytes.data(), bytes.size());
+        // The bytes must arrive before the connection is closed.
+        bufferevent_flush(connection->to.get(), EV_WRITE, BEV_FLUSH);
+        connection->sender_closed = true;
+        connection->chunks.clear();
+        const auto retry_delay = to_timeval(seconds(0.02));
+        event_add(connection->timer.get(), &retry_delay);
         return;
     }
     const TimePoint now = monotonic_now();
-    TimePoint due = now + road_.delay;
-    if (road_.rate > 0) {
-        at->free = std::max(at->free, now) + seconds(static_cast<double>(bytes.size()) / road_.rate);
-        due = std::max(due, at->free);
+    TimePoint due = now + conditions_.delay;
+    if (conditions_.bytes_per_second > 0) {
+        connection->rate_limited_until =
+            std::max(connection->rate_limited_until, now) +
+            seconds(static_cast<double>(bytes.size()) / conditions_.bytes_per_second);
+        due = std::max(due, connection->rate_limited_until);
     }
-    if (!at->chunks.empty()) due = std::max(due, at->chunks.back().due);
-    at->chunks.push_back({due, std::move(bytes)});
-    move(at);
+    if (!connection->chunks.empty()) due = std::max(due, connection->chunks.back().due);
+    connection->chunks.push_back({due, std::move(bytes)});
+    forward_due_chunks(connection);
 }
 
-void FaultProxy::move(Place at)
+void FaultProxy::forward_due_chunks(ConnectionIterator connection)
 {
     const TimePoint now = monotonic_now();
-    if (road_.held) return;
-    while (!at->chunks.empty() && at->chunks.front().due <= now) {
-        if (road_.cut)
-            at->spoilt = true;
-        else if (at->to)
-            passed_ += at->chunks.front().bytes.size(),
-                bufferevent_write(at->to.get(), at->chunks.front().bytes.data(),
-                                  at->chunks.front().bytes.size());
-        at->chunks.pop_front();
+    if (conditions_.paused) return;
+    while (!connection->chunks.empty() && connection->chunks.front().due <= now) {
+        if (conditions_.blackholed)
+            connection->lost_data = true;
+        else if (connection->to)
+            forwarded_bytes_ += connection->chunks.front().bytes.size(),
+                bufferevent_write(connection->to.get(), connection->chunks.front().bytes.data(),
+                                  connection->chunks.front().bytes.size());
+        connection->chunks.pop_front();
     }
-    if (!at->chunks.empty()) {
-        const auto wait = to_timeval(at->chunks.front().due - now);
-        event_add(at->timer.get(), &wait);
+    if (!connection->chunks.empty()) {
+        const auto wait = to_timeval(connection->chunks.front().due - now);
+        event_add(connection->timer.get(), &wait);
         return;
     }
-    if (!at->ending) return;
-    // Its last bytes first.
-    if (at->to && evbuffer_get_length(bufferevent_get_output(at->to.get())) > 0) {
-        const auto soon = to_timeval(seconds(0.01));
-        event_add(at->timer.get(), &soon);
+    if (!connection->sender_closed) return;
+    // Wait until the last bytes are written out.
+    if (connection->to && evbuffer_get_length(bufferevent_get_output(connection->to.get())) > 0) {
+        const auto retry_delay = to_timeval(seconds(0.01));
+        event_add(connection->timer.get(), &retry_delay);
         return;
     }
-    end(at, false);
+    close(connection, false);
 }
 
 }  // namespace firtide::fault_injection
--- a/fault_injection/fault_proxy.h
+++ b/fault_injection/fault_proxy.h
@@ -1,4 +1,4 @@
-// Stands between two processes, one way: what the one says to the other passes here, or does not.
+// A TCP proxy that forwards bytes in one direction between two processes and injects network faults.
 #pragma once
 
 #include <deque>
@@ -12,54 +12,54 @@
 namespace firtide::fault_injection
 {
 
-struct Road {
-    Duration delay;
-    bool held = false;     // kept, and let go once it is not held any more
-    bool cut = false;      // nothing arrives, and nobody is told
-    bool refused = false;  // connections are reset
-    double rate = 0;       // bytes a second; zero: any
+struct LinkConditions {
+    Duration delay;               // added to every chunk
+    bool paused = false;          // chunks are queued, and forwarded once the link is no longer paused
+    bool blackholed = false;      // bytes are dropped silently; connections stay open
+    bool reset = false;           // existing and new connections are reset
+    double bytes_per_second = 0;  // 0: unlimited
 };
 
 class FaultProxy
 {
   public:
-    FaultProxy(event_base* base, uint16_t to);
+    FaultProxy(event_base* base, uint16_t target_port);
     ~FaultProxy();
 
     uint16_t port() const { return port_; }
-    void road_is(const Road& road);
-    const Road& road() const { return road_; }
-    // Once, at the next bytes: end the connection after so many of them, turn a bit of one, or say them
-    // twice.
-    void cut_within(size_t bytes) { cut_within_ = bytes; }
-    void change_next() { change_ = true; }
-    void repeat_next() { repeat_ = true; }
-    uint64_t passed() const { return passed_; }
+    void set_conditions(const LinkConditions& conditions);
+    const LinkConditions& conditions() const { return conditions_; }
+    // One-shot faults of the next chunk: forward at most its first `bytes` and close the connection, flip one
+    // bit, or send it twice.
+    void truncate_next(size_t bytes) { truncate_next_to_ = bytes; }
+    void corrupt_next() { corrupt_next_ = true; }
+    void duplicate_next() { duplicate_next_ = true; }
+    uint64_t forwarded_bytes() const { return forwarded_bytes_; }
 
   private:
-    struct Pipe;
+    struct Connection;
     struct Chunk {
         TimePoint due;
         std::string bytes;
     };
-    using Place = std::list<Pipe>::iterator;
+    using ConnectionIterator = std::list<Connection>::iterator;
 
     void accept(evutil_socket_t fd);
-    void came(Place at);
-    void move(Place at);
-    void end(Place at, bool reset);
+    void read_input(ConnectionIterator connection);
+    void forward_due_chunks(ConnectionIterator connection);
+    void close(ConnectionIterator connection, bool reset);
 
     event_base* base_;
-    const uint16_t to_;
+    const uint16_t target_port_;
     uint16_t port_ = 0;
-    Road road_;
-    size_t cut_within_ = 0;
-    bool change_ = false, repeat_ = false;
-    uint64_t passed_ = 0;
+    LinkConditions conditions_;
+    size_t truncate_next_to_ = 0;
+    bool corrupt_next_ = false, duplicate_next_ = false;
+    uint64_t forwarded_bytes_ = 0;
     std::unique_ptr<evconnlistener, void (*)(evconnlistener*)> listener_;
-    std::list<Pipe> pipes_;
+    std::list<Connection> connections_;
 };
 
-sockaddr_in loopback(uint16_t port);
+sockaddr_in loopback_address(uint16_t port);
 
 }  // namespace firtide::fault_injection
--- a/fault_injection/scenario.h
+++ b/fault_injection/scenario.h
@@ -1,5 +1,5 @@
-// A script of what happens to several processes, and of what has to be seen: TOML, a line of words for each
-// step. docs/fault-injection.md names the steps.
+// A scenario is a TOML file with the setup of a test cluster and a list of steps: faults to inject and
+// expectations to check. A step is one line of words; docs/fault-injection.md describes them.
 #pragma once
 
 #include <string>
@@ -14,23 +14,25 @@
 
 struct Scenario {
     std::string name;
-    Plan plan;
+    ClusterConfig cluster_config;
     bool overlap_allowed = false;
     std::vector<std::string> steps;
 };
 
-std::variant<Scenario, ConfigError> decode_scenario(std::string_view text);
+std::variant<Scenario, ConfigError> parse_scenario(std::string_view text);
 
-// A scenario whose troubles are drawn from a seed; at its end all heals, and all has to be held.
-Scenario draw_scenario(uint64_t seed, size_t faults);
+// A scenario with `faults` random faults drawn from the seed. At its end all faults are removed, and all
+// duties must be held again.
+Scenario random_scenario(uint64_t seed, size_t faults);
 
-struct Verdict {
-    std::vector<std::string> wrong;  // empty: all was safe and as expected
-    std::vector<Duration> gaps;      // times without a holder
-    size_t accepted = 0;             // effects that receivers took
-    std::string logs;                // of all processes, where something was wrong
+struct ScenarioResult {
+    std::vector<std::string> violations;  // empty: no violation, and all expectations met
+    std::vector<Duration> gaps;           // how long duties had no holder
+    size_t accepted_count = 0;            // effects that receivers accepted
+    std::string logs;                     // of all processes, if there are violations
 };
 
-Verdict play(const Scenario& scenario, const std::string& program, const std::string& shim, size_t slot);
+ScenarioResult run_scenario(const Scenario& scenario, const std::string& program,
+                            const std::string& interposer, size_t slot);
 
 }  // namespace firtide::fault_injection
--- a/fault_injection/standins.h
+++ b/fault_injection/standins.h
@@ -1,5 +1,5 @@
-// Whom the processes of the test cluster talk to beside each other: receivers of duties' effects, upstreams,
-// discovery.
+// Stand-ins for the servers that the processes of a test cluster talk to: receivers of duties' effects,
+// upstreams and discovery.
 #pragma once
 
 #include <event2/http.h>
@@ -30,53 +30,57 @@
 };
 
 void answer(evhttp_request* request, int status, const std::string& body);
-void answer_later(event_base* base, Duration after, std::function<void()> what);
-uint64_t number_of(evhttp_request* request, const char* header);
+void answer_later(event_base* base, Duration after, std::function<void()> task);
+uint64_t header_number(evhttp_request* request, const char* header);
 
-// Takes effects of duties, and none of a lower epoch than it has met.
+// Accepts effects of duties, and rejects those whose epoch is lower than the highest that it has accepted.
 class Receiver
 {
   public:
-    using Took =
-        std::function<void(const std::string& duty, uint64_t epoch, uint64_t number, const std::string& by)>;
-    Receiver(event_base* base, Took took);
+    using AcceptHandler = std::function<void(const std::string& duty, uint64_t epoch, uint64_t number,
+                                             const std::string& holder)>;
+    Receiver(event_base* base, AcceptHandler on_accept);
     uint16_t port() const { return server_.port(); }
-    uint64_t refused() const { return refused_; }
+    uint64_t rejected_count() const { return rejected_count_; }
 
   private:
     void serve(evhttp_request* request);
 
-    Took took_;
-    std::map<std::string, uint64_t> newest_;
-    uint64_t refused_ = 0;
+    AcceptHandler on_accept_;
+    std::map<std::string, uint64_t> highest_epoch_;
+    uint64_t rejected_count_ = 0;
     Server server_;
 };
 
 class Upstream
 {
   public:
-    Upstream(event_base* base, std::string name, std::function<void(const std::string&, size_t)> probed);
+    Upstream(event_base* base, std::string name,
+             std::function<void(const std::string& name, size_t concurrent_probes)> on_probe);
     uint16_t port() const { return server_.port(); }
     const std::string& name() const { return name_; }
-    uint64_t probes() const { return probes_; }
-    uint64_t served() const { return served_; }
+    uint64_t probe_count() const { return probe_count_; }
+    uint64_t request_count() const { return request_count_; }
 
-    enum class Mood { well, frozen, full, wrong };  // frozen: takes what comes, and answers once it is well
-    void mood_is(Mood mood);
-    const std::deque<TimePoint>& reached() const { return reached_; }  // by what, of late
-    void wrong_to(std::string ids) { wrong_to_ = std::move(ids); }     // whose ids begin so; empty: to nobody
+    // hanging: holds requests open until it is healthy again.
+    enum class Mode { healthy, hanging, overloaded, failing };
+    void set_mode(Mode mode);
+    // Arrival times of the last requests, without probes.
+    const std::deque<TimePoint>& recent_requests() const { return recent_requests_; }
+    // Fails requests whose Req-Id starts with the prefix; empty: none.
+    void fail_ids_with_prefix(std::string prefix) { failing_id_prefix_ = std::move(prefix); }
 
   private:
     void serve(evhttp_request* request);
 
     event_base* base_;
-    Mood mood_ = Mood::well;
-    std::vector<evhttp_request*> held_;
-    std::deque<TimePoint> reached_;
-    std::string name_, wrong_to_;
-    std::function<void(const std::string&, size_t)> probed_;
-    size_t at_once_ = 0;
-    uint64_t probes_ = 0, served_ = 0;
+    Mode mode_ = Mode::healthy;
+    std::vector<evhttp_request*> unanswered_;
+    std::deque<TimePoint> recent_requests_;
+    std::string name_, failing_id_prefix_;
+    std::function<void(const std::string&, size_t)> on_probe_;
+    size_t concurrent_probes_ = 0;
+    uint64_t probe_count_ = 0, request_count_ = 0;
     Server server_;
 };
 
@@ -85,24 +89,24 @@
   public:
     explicit DiscoveryStandIn(event_base* base);
     uint16_t port() const { return server_.port(); }
-    void list_is(std::map<std::string, std::pair<uint16_t, std::string>> targets);  // uid: port and state
+    void list_is(std::map<std::string, std::pair<uint16_t, std::string>> targets);  // by uid: port and state
     void state_is(const std::string& uid, const std::string& state);
-    void started(const std::string& uid);  // just now
-    void silent(bool on) { silent_ = on; }
-    void empty(bool on);  // lists nothing, as after the loss of its own past
-    uint64_t calls() const { return calls_; }
+    void started(const std::string& uid);  // reports the current time as its start
+    void set_unavailable(bool on) { unavailable_ = on; }
+    void set_empty(bool on);  // lists no targets, as after losing its stored state
+    uint64_t request_count() const { return request_count_; }
 
   private:
     void serve(evhttp_request* request);
-    std::string text() const;
-    void tell_watchers();
+    std::string target_list_json() const;
+    void notify_watchers();
 
     event_base* base_;
     std::map<std::string, std::pair<uint16_t, std::string>> targets_;
-    std::map<std::string, int64_t> started_;  // milliseconds of Unix time
-    uint64_t version_ = 1, calls_ = 0;
-    bool silent_ = false, empty_ = false;
-    std::vector<evhttp_request*> watching_;
+    std::map<std::string, int64_t> started_at_ms_;  // Unix time
+    uint64_t version_ = 1, request_count_ = 0;
+    bool unavailable_ = false, empty_ = false;
+    std::vector<evhttp_request*> watchers_;
     Server server_;
 };
 
--- a/fault_injection/test_cluster.cpp
+++ b/fault_injection/test_cluster.cpp
@@ -27,7 +27,7 @@
 namespace
 {
 
-constexpr size_t first_port = 11000, ports_each = 300, slots = 60;
+constexpr size_t first_port = 11000, ports_per_slot = 300, slots = 60;
 
 TimePoint boot_now()
 {
@@ -39,71 +39,74 @@
 }  // namespace
 
 struct TestCluster::Process {
-    uint16_t fleet_port = 0, serve_port = 0, door_port = 0;
+    uint16_t fleet_port = 0, serve_port = 0, management_port = 0;
     pid_t pid = 0;
     std::optional<int> status;
     std::optional<TimePoint> stopped;
     BuffereventPtr log;
-    std::string text;
-    Control* control = nullptr;
+    std::string log_text;
+    InterposerControl* control = nullptr;
 };
 
-// Below those that the system deals out to outgoing connections.
+// The port ranges lie below the ephemeral ports that the kernel gives to outgoing connections.
 uint16_t TestCluster::free_port()
 {
     for (;;) {
         const uint16_t port = next_port_++;
         const Descriptor socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-        auto at = loopback(port);
+        auto at = loopback_address(port);
         if (bind(socket.fd(), reinterpret_cast<sockaddr*>(&at), sizeof at) == 0) return port;
     }
 }
 
-TestCluster::TestCluster(Plan plan, std::string program, std::string shim, size_t slot)
-    : plan_(std::move(plan)),
+TestCluster::TestCluster(ClusterConfig config, std::string program, std::string interposer, size_t slot)
+    : config_(std::move(config)),
       program_(std::move(program)),
-      shim_(std::move(shim)),
-      next_port_(static_cast<uint16_t>(first_port + slot % slots * ports_each)),
+      interposer_(std::move(interposer)),
+      next_port_(static_cast<uint16_t>(first_port + slot % slots * ports_per_slot)),
       base_(event_base_new())
 {
     std::signal(SIGPIPE, SIG_IGN);
     char folder[] = "/tmp/firtide-rig-XXXXXX";
-    if (!mkdtemp(folder)) throw std::runtime_error("no folder can be made");
+    if (!mkdtemp(folder)) throw std::runtime_error("cannot create a temporary folder in /tmp");
     folder_ = folder;
     receiver_ = std::make_unique<Receiver>(
         base_.get(), [this](const std::string& duty, uint64_t epoch, uint64_t number, const std::string&) {
-            checker.took("the receiver", duty, epoch, number);
+            checker.record_accepted("the receiver", duty, epoch, number);
         });
     discovery_ = std::make_unique<DiscoveryStandIn>(base_.get());
     std::map<std::string, std::pair<uint16_t, std::string>> targets;
-    for (size_t i = 0; i < plan_.upstreams; ++i) {
+    for (size_t i = 0; i < config_.upstreams; ++i) {
         upstreams_.push_back(std::make_unique<Upstream>(
-            base_.get(), "u" + std::to_string(i + 1), [this](const std::string& name, size_t n) {
-                // By themselves balancers probe as each sees fit.
-                if (plan_.more.find("[probe]") != std::string::npos) checker.probed(name, n);
+            base_.get(), "u" + std::to_string(i + 1), [this](const std::string& name, size_t concurrent) {
+                // Without [probe] each balancer probes independently, so concurrent probes are expected.
+                if (config_.extra_fleet_config.find("[probe]") != std::string::npos)
+                    checker.record_probe(name, concurrent);
             }));
         targets[upstreams_.back()->name()] = {upstreams_.back()->port(), "ready"};
     }
     discovery_->list_is(targets);
-    for (size_t i = 0; i < plan_.members; ++i) {
+    for (size_t i = 0; i < config_.members; ++i) {
         auto p = std::make_unique<Process>();
         p->fleet_port = free_port();
         p->serve_port = free_port();
-        p->door_port = free_port();
-        if (plan_.shim) {
+        p->management_port = free_port();
+        if (config_.interpose_syscalls) {
             const auto path = folder_ + "/control" + std::to_string(i);
             const Descriptor file(::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600));
-            if (ftruncate(file.fd(), sizeof(Control)) != 0) throw std::runtime_error("no control file");
-            void* at = mmap(nullptr, sizeof(Control), PROT_READ | PROT_WRITE, MAP_SHARED, file.fd(), 0);
-            if (at == MAP_FAILED) throw std::runtime_error("no control file");
-            p->control = new (at) Control;
+            if (ftruncate(file.fd(), sizeof(InterposerControl)) != 0)
+                throw std::runtime_error("cannot create the interposer's control file");
+            void* at =
+                mmap(nullptr, sizeof(InterposerControl), PROT_READ | PROT_WRITE, MAP_SHARED, file.fd(), 0);
+            if (at == MAP_FAILED) throw std::runtime_error("cannot map the interposer's control file");
+            p->control = new (at) InterposerControl;
         }
         processes_.push_back(std::move(p));
     }
     for (size_t a = 0; a < size(); ++a)
         for (size_t b = 0; b < size(); ++b)
             if (a != b)
-                relays_[{a, b}] = std::make_unique<FaultProxy>(base_.get(), processes_[b]->fleet_port);
+                proxies_[{a, b}] = std::make_unique<FaultProxy>(base_.get(), processes_[b]->fleet_port);
     write_files();
 }
 
@@ -114,15 +117,15 @@
             ::kill(processes_[i]->pid, SIGKILL);
             waitpid(processes_[i]->pid, nullptr, 0);
         }
-        if (processes_[i]->control) munmap(processes_[i]->control, sizeof(Control));
+        if (processes_[i]->control) munmap(processes_[i]->control, sizeof(InterposerControl));
     }
     std::error_code ignored;
     fs::remove_all(folder_, ignored);
 }
 
-void TestCluster::files_are(std::vector<size_t> without, std::vector<size_t> voters)
+void TestCluster::set_fleet_members(std::vector<size_t> removed, std::vector<size_t> voters)
 {
-    without_ = std::move(without);
+    removed_members_ = std::move(removed);
     voters_ = std::move(voters);
     write_files();
 }
@@ -134,64 +137,64 @@
         file << "[fleet]\nname = \"rig\"\nid = \"" << id_of(i)
              << "\"\nlisten = \"127.0.0.1:" << processes_[i]->fleet_port << "\"\ndata = \"" << folder(i)
              << "\"\n";
-        const auto in = [](const std::vector<size_t>& all, size_t j) {
+        const auto contains = [](const std::vector<size_t>& all, size_t j) {
             return std::find(all.begin(), all.end(), j) != all.end();
         };
         for (size_t j = 0; j < size(); ++j) {
-            if (in(without_, j) && i != j) continue;
-            const bool votes = voters_.empty() ? j < plan_.voters : in(voters_, j);
+            if (contains(removed_members_, j) && i != j) continue;
+            const bool votes = voters_.empty() ? j < config_.voters : contains(voters_, j);
             file << "[[member]]\nid = \"" << id_of(j) << "\"\naddress = \"127.0.0.1:"
-                 << (i == j ? processes_[i]->fleet_port : relays_[{i, j}]->port()) << "\"\nzone = \"z"
+                 << (i == j ? processes_[i]->fleet_port : proxies_[{i, j}]->port()) << "\"\nzone = \"z"
                  << j % 3 << "\"\n"
                  << (votes ? "voter = true\n" : "");
         }
-        file << "[lease]\nlength = \"" << plan_.lease << "\"\ndrift = " << plan_.drift << "\n";
-        for (size_t d = 0; d < plan_.duties; ++d)
+        file << "[lease]\nlength = \"" << config_.lease << "\"\ndrift = " << config_.drift << "\n";
+        for (size_t d = 0; d < config_.duties; ++d)
             file << "[[duty]]\nname = \"d" << d + 1 << "\"\ntell = \"127.0.0.1:" << receiver_->port()
                  << "\"\nevery = \"50ms\"\n";
-        file << plan_.more;
+        file << config_.extra_fleet_config;
         std::ofstream config(folder_ + "/config" + std::to_string(i) + ".json");
         config
             << R"({"name":")" << id_of(i) << R"(","listen":"127.0.0.1:)" << processes_[i]->serve_port
             << R"(","discovery":"127.0.0.1:)" << discovery_->port() << R"(","mgmt":"127.0.0.1:)"
-            << processes_[i]->door_port << R"(","seed":")" << i + 1
+            << processes_[i]->management_port << R"(","seed":")" << i + 1
             << R"(","settings":{"operations":[{"name":"safe","repeat":"free","client_timeout_us":1000000}],)"
             << R"("policy_limits":{"max_forwards":3,"cancel":true,"conn_idle_us":400000,"connect_timeout_us":100000)"
-            << R"(,"may_probe":true},"telemetry":{"source":"pull","fields":["queue"]})" << plan_.settings
-            << "}}";
+            << R"(,"may_probe":true},"telemetry":{"source":"pull","fields":["queue"]})"
+            << config_.extra_settings << "}}";
     }
 }
 
 std::string TestCluster::folder(size_t member) const { return folder_ + "/data" + std::to_string(member); }
 
-void TestCluster::wipe(size_t member) { fs::remove_all(folder(member)); }
+void TestCluster::delete_folder(size_t member) { fs::remove_all(folder(member)); }
 
-void TestCluster::save(size_t member)
+void TestCluster::save_folder(size_t member)
 {
     fs::remove_all(folder(member) + ".saved");
     fs::copy(folder(member), folder(member) + ".saved", fs::copy_options::recursive);
 }
 
-void TestCluster::put_back(size_t member)
+void TestCluster::restore_folder(size_t member)
 {
-    wipe(member);
+    delete_folder(member);
     fs::copy(folder(member) + ".saved", folder(member), fs::copy_options::recursive);
 }
 
-void TestCluster::swap_folder(size_t member, size_t with)
+void TestCluster::copy_folder_from(size_t member, size_t source)
 {
-    wipe(member);
-    fs::copy(folder(with), folder(member), fs::copy_options::recursive);
+    delete_folder(member);
+    fs::copy(folder(source), folder(member), fs::copy_options::recursive);
 }
 
-void TestCluster::tear(size_t member, size_t bytes)
+void TestCluster::truncate_voter_log(size_t member, size_t bytes)
 {
     const auto path = folder(member) + "/voter.log";
     const auto size = fs::file_size(path);
     fs::resize_file(path, size - std::min<uintmax_t>(size, bytes));
 }
 
-void TestCluster::spoil_snapshot(size_t member, const std::string& how, size_t number)
+void TestCluster::damage_snapshot(size_t member, const std::string& how, size_t number)
 {
     const auto path = folder(member) + "/snapshot";
     if (how == "of") {
@@ -202,20 +205,20 @@
     } else {
         std::fstream file(path, std::ios::in | std::ios::out | std::ios::binary);
         file.seekg(static_cast<std::streamoff>(number));
-        const char was = static_cast<char>(file.get());
+        const char original = static_cast<char>(file.get());
         file.seekp(static_cast<std::streamoff>(number));
-        file.put(static_cast<char>(was ^ 4));
+        file.put(static_cast<char>(original ^ 4));
     }
 }
 
-Control& TestCluster::control(size_t member) { return *processes_[member]->control; }
+InterposerControl& TestCluster::control(size_t member) { return *processes_[member]->control; }
 
 void TestCluster::start(size_t member)
 {
     Process& p = *processes_[member];
     if (p.pid) return;
     int ends[2];
-    if (pipe2(ends, O_CLOEXEC) != 0) throw std::runtime_error("no pipe");
+    if (pipe2(ends, O_CLOEXEC) != 0) throw std::runtime_error("cannot create a pipe");
     const auto config = folder_ + "/config" + std::to_string(member) + ".json";
     const auto fleet = folder_ + "/fleet" + std::to_string(member) + ".toml";
     p.status.reset();
@@ -223,16 +226,16 @@
     const pid_t parent = getpid();
     p.pid = fork();
     if (p.pid == 0) {
-        // Guards against processes that outlive the test cluster, however it ends.
+        // The process must not outlive the test cluster, however that ends.
         prctl(PR_SET_PDEATHSIG, SIGKILL);
         if (getppid() != parent) _exit(127);
         dup2(ends[1], 2);
-        if (plan_.shim) {
-            setenv("LD_PRELOAD", shim_.c_str(), 1);
+        if (config_.interpose_syscalls) {
+            setenv("LD_PRELOAD", interposer_.c_str(), 1);
             setenv("RIG_CONTROL", (folder_ + "/control" + std::to_string(member)).c_str(), 1);
             setenv("RIG_FOLDER", folder(member).c_str(), 1);
         }
-        if (plan_.fleet)
+        if (config_.use_fleet_file)
             execl(program_.c_str(), program_.c_str(), "serve", config.c_str(), "--fleet", fleet.c_str(),
                   nullptr);
         else
@@ -242,46 +245,47 @@
     close(ends[1]);
     evutil_make_socket_nonblocking(ends[0]);
     p.log.reset(bufferevent_socket_new(base_.get(), ends[0], BEV_OPT_CLOSE_ON_FREE));
-    struct Reads {
-        TestCluster* fault_injection;
+    struct LogReader {
+        TestCluster* cluster;
         size_t member;
     };
-    // Lives as long as the test cluster does: a few bytes for each start.
-    auto* reads = new Reads{this, member};
+    // Never freed: a few bytes for each start.
+    auto* reader = new LogReader{this, member};
     bufferevent_setcb(
         p.log.get(),
         [](bufferevent* log, void* arg) {
-            auto* r = static_cast<Reads*>(arg);
+            auto* r = static_cast<LogReader*>(arg);
             size_t length = 0;
             while (char* line = evbuffer_readln(bufferevent_get_input(log), &length, EVBUFFER_EOL_LF)) {
                 const std::string text(line, length);
                 std::free(line);
-                r->fault_injection->heard(r->member, text);
+                r->cluster->handle_log_line(r->member, text);
             }
         },
-        nullptr, [](bufferevent*, short, void*) {}, reads);
+        nullptr, [](bufferevent*, short, void*) {}, reader);
     bufferevent_enable(p.log.get(), EV_READ);
 }
 
-void TestCluster::heard(size_t member, const std::string& line)
+void TestCluster::handle_log_line(size_t member, const std::string& line)
 {
-    processes_[member]->text += line + "\n";
+    processes_[member]->log_text += line + "\n";
     if (on_line) on_line(member, line);
     if (line.empty() || line[0] != '{') return;
-    const auto in = nlohmann::json::parse(line, nullptr, false);
-    if (!in.is_object()) return;
-    const auto event = in.value("event", "");
-    // By its own clock where that is the test cluster's too; else by when it was heard.
-    const bool own = !plan_.shim || processes_[member]->control->rate == 1;
-    const TimePoint at = own ? TimePoint{in.value("boot_us", int64_t{0})} : now();
+    const auto entry = nlohmann::json::parse(line, nullptr, false);
+    if (!entry.is_object()) return;
+    const auto event = entry.value("event", "");
+    // Uses the process's own timestamps if its clock runs at the normal rate, else the time of arrival here.
+    const bool own_clock = !config_.interpose_syscalls || processes_[member]->control->clock_rate == 1;
+    const TimePoint at = own_clock ? TimePoint{entry.value("boot_us", int64_t{0})} : now();
     if (event == "gained")
-        checker.gained(at, id_of(member), in.value("duty", ""), in.value("epoch", uint64_t{0}));
+        checker.record_acquired(at, id_of(member), entry.value("duty", ""),
+                                entry.value("epoch", uint64_t{0}));
     if (event == "lost")
-        checker.lost(own ? TimePoint{in.value("until_us", int64_t{0})} : at, id_of(member),
-                     in.value("duty", ""), in.value("epoch", uint64_t{0}));
+        checker.record_lost(own_clock ? TimePoint{entry.value("until_us", int64_t{0})} : at, id_of(member),
+                            entry.value("duty", ""), entry.value("epoch", uint64_t{0}));
 }
 
-void TestCluster::kill(size_t member, int signal)
+void TestCluster::send_signal(size_t member, int signal)
 {
     Process& p = *processes_[member];
     if (!p.pid) return;
@@ -291,20 +295,20 @@
     if (signal != SIGKILL) return;
     waitpid(p.pid, nullptr, 0);
     p.pid = 0;
-    run(seconds(0.02));  // what it had logged
-    checker.ended(now(), id_of(member));
+    run_for(seconds(0.02));  // reads its last log lines
+    checker.record_process_end(now(), id_of(member));
 }
 
-pid_t TestCluster::process(size_t member) const { return processes_[member]->pid; }
-bool TestCluster::up(size_t member) const { return processes_[member]->pid != 0; }
+pid_t TestCluster::pid_of(size_t member) const { return processes_[member]->pid; }
+bool TestCluster::is_running(size_t member) const { return processes_[member]->pid != 0; }
 std::optional<int> TestCluster::exit_status(size_t member) const { return processes_[member]->status; }
 TimePoint TestCluster::now() const { return boot_now(); }
-std::string TestCluster::log(size_t member) const { return processes_[member]->text; }
+std::string TestCluster::log(size_t member) const { return processes_[member]->log_text; }
 
-void TestCluster::run(Duration span)
+void TestCluster::run_for(Duration span)
 {
-    const auto most = to_timeval(span);
-    event_base_loopexit(base_.get(), &most);
+    const auto timeout = to_timeval(span);
+    event_base_loopexit(base_.get(), &timeout);
     event_base_dispatch(base_.get());
     for (size_t i = 0; i < size(); ++i) {
         Process& p = *processes_[i];
@@ -312,68 +316,77 @@
         if (!p.pid || waitpid(p.pid, &status, WNOHANG) != p.pid) continue;
         p.pid = 0;
         p.status = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
-        checker.ended(now(), id_of(i));
+        checker.record_process_end(now(), id_of(i));
     }
 }
 
-bool TestCluster::until(const std::function<bool()>& so, Duration most)
+bool TestCluster::run_until(const std::function<bool()>& condition, Duration timeout)
 {
-    const TimePoint end = monotonic_now() + most;
-    while (!so()) {
+    const TimePoint end = monotonic_now() + timeout;
+    while (!condition()) {
         if (monotonic_now() > end) return false;
-        run(seconds(0.02));
+        run_for(seconds(0.02));
     }
     return true;
 }
 
-Road TestCluster::road(size_t from, size_t to) const { return relays_.at({from, to})->road(); }
-void TestCluster::road_is(size_t from, size_t to, const Road& road) { relay(from, to).road_is(road); }
-FaultProxy& TestCluster::relay(size_t from, size_t to) { return *relays_.at({from, to}); }
+LinkConditions TestCluster::link(size_t from, size_t to) const
+{
+    return proxies_.at({from, to})->conditions();
+}
+void TestCluster::set_link(size_t from, size_t to, const LinkConditions& conditions)
+{
+    proxy(from, to).set_conditions(conditions);
+}
+FaultProxy& TestCluster::proxy(size_t from, size_t to) { return *proxies_.at({from, to}); }
 
-void TestCluster::whole()
+void TestCluster::heal_links()
 {
-    for (auto& [pair, relay] : relays_) relay->road_is({});
+    for (auto& [pair, proxy] : proxies_) proxy->set_conditions({});
 }
 
-void TestCluster::ask_later(size_t member, const std::string& line, std::function<void(std::string)> then)
+void TestCluster::start_management_command(size_t member, const std::string& line,
+                                           std::function<void(std::string)> on_answer)
 {
-    call(base_.get(), loopback(processes_[member]->door_port), line + "\n", seconds(60), std::move(then));
+    call(base_.get(), loopback_address(processes_[member]->management_port), line + "\n", seconds(60),
+         std::move(on_answer));
 }
 
-std::string TestCluster::ask(size_t member, const std::string& line, Duration wait)
+std::string TestCluster::management_command(size_t member, const std::string& line, Duration timeout)
 {
-    auto got = std::make_shared<std::optional<std::string>>();
-    call(base_.get(), loopback(processes_[member]->door_port), line + "\n", wait,
-         [got](std::string text) { *got = std::move(text); });
-    until([&] { return got->has_value(); }, wait + seconds(0.5));
-    return got->value_or("");
+    auto response = std::make_shared<std::optional<std::string>>();
+    call(base_.get(), loopback_address(processes_[member]->management_port), line + "\n", timeout,
+         [response](std::string text) { *response = std::move(text); });
+    run_until([&] { return response->has_value(); }, timeout + seconds(0.5));
+    return response->value_or("");
 }
 
-int TestCluster::request(size_t member, Duration wait)
+int TestCluster::request(size_t member, Duration timeout)
 {
-    static uint64_t next = 1;
-    auto got = std::make_shared<std::optional<std::string>>();
-    call(base_.get(), loopback(processes_[member]->serve_port),
-         "GET /safe/x HTTP/1.1\r\nReq-Id: " + std::to_string(next++) + "\r\nConnection: close\r\n\r\n", wait,
-         [got](std::string text) { *got = std::move(text); });
-    until([&] { return got->has_value(); }, wait + seconds(0.5));
-    const auto text = got->value_or("");
+    static uint64_t next_id = 1;
+    auto response = std::make_shared<std::optional<std::string>>();
+    call(base_.get(), loopback_address(processes_[member]->serve_port),
+         "GET /safe/x HTTP/1.1\r\nReq-Id: " + std::to_string(next_id++) + "\r\nConnection: close\r\n\r\n",
+         timeout, [response](std::string text) { *response = std::move(text); });
+    run_until([&] { return response->has_value(); }, timeout + seconds(0.5));
+    const auto text = response->value_or("");
     return text.size() > 12 && text.starts_with("HTTP/1.1 ") ? std::atoi(text.c_str() + 9) : 0;
 }
 
-void TestCluster::request_later(size_t member, const std::string& tenant)
+void TestCluster::start_request(size_t member, const std::string& tenant)
 {
-    call(base_.get(), loopback(processes_[member]->serve_port),
-         "GET /safe/x HTTP/1.1\r\nReq-Id: l" + id_of(member) + "-" + std::to_string(++later_) +
+    call(base_.get(), loopback_address(processes_[member]->serve_port),
+         "GET /safe/x HTTP/1.1\r\nReq-Id: l" + id_of(member) + "-" + std::to_string(++started_requests_) +
              (tenant.empty() ? "" : "\r\nReq-Owner: " + tenant) + "\r\nConnection: close\r\n\r\n",
          seconds(1.5), [this](const std::string& text) {
-             ++answers[text.size() > 12 && text.starts_with("HTTP/1.1 ") ? std::atoi(text.c_str() + 9) : 0];
+             ++response_counts[text.size() > 12 && text.starts_with("HTTP/1.1 ") ? std::atoi(text.c_str() + 9)
+                                                                                 : 0];
          });
 }
 
-void TestCluster::garbage(size_t member, const std::string& bytes)
+void TestCluster::send_raw_bytes(size_t member, const std::string& bytes)
 {
-    call(base_.get(), loopback(processes_[member]->fleet_port), bytes, seconds(0.3),
+    call(base_.get(), loopback_address(processes_[member]->fleet_port), bytes, seconds(0.3),
          [](const std::string&) {});
 }
 
@@ -381,7 +394,7 @@
 {
     for (size_t i = 0; i < size(); ++i)
         if (id_of(i) == id) return i;
-    throw std::runtime_error("'" + id + "' is no process");
+    throw std::runtime_error("'" + id + "' is not a member of the cluster");
 }
 
 std::optional<size_t> TestCluster::leader()
@@ -389,13 +402,13 @@
     std::optional<size_t> found;
     unsigned long best = 0;
     for (size_t i = 0; i < size(); ++i) {
-        if (!up(i) || processes_[i]->stopped) continue;
-        const auto text = ask(i, "show-fleet", seconds(0.4));
+        if (!is_running(i) || processes_[i]->stopped) continue;
+        const auto text = management_command(i, "show-fleet", seconds(0.4));
         const auto at = text.find(" leader "), term = text.find(" term ");
         if (at == std::string::npos || term == std::string::npos) continue;
         const auto id = text.substr(at + 8, text.find(' ', at + 8) - at - 8);
         const auto number = std::strtoul(text.c_str() + term + 6, nullptr, 10);
-        if (id != "none" && number >= best && up(index_of(id))) best = number, found = index_of(id);
+        if (id != "none" && number >= best && is_running(index_of(id))) best = number, found = index_of(id);
     }
     return found;
 }
@@ -403,8 +416,8 @@
 std::optional<size_t> TestCluster::holder(const std::string& duty)
 {
     for (size_t i = 0; i < size(); ++i) {
-        if (!up(i) || processes_[i]->stopped) continue;
-        const auto text = ask(i, "show-fleet", seconds(0.4));
+        if (!is_running(i) || processes_[i]->stopped) continue;
+        const auto text = management_command(i, "show-fleet", seconds(0.4));
         const auto at = text.find("duty " + duty + " ");
         if (at == std::string::npos) continue;
         const auto line = text.substr(at, text.find('\n', at) - at);
@@ -413,16 +426,16 @@
     return {};
 }
 
-std::vector<std::string> TestCluster::judge()
+std::vector<std::string> TestCluster::finish_and_check()
 {
     for (size_t i = 0; i < size(); ++i)
-        if (processes_[i]->stopped) kill(i, SIGCONT);
-    run(seconds(0.5));
-    auto wrong = checker.wrong(now());
+        if (processes_[i]->stopped) send_signal(i, SIGCONT);
+    run_for(seconds(0.5));
+    auto violations = checker.violations(now());
     for (size_t i = 0; i < size(); ++i)
         if (const auto status = processes_[i]->status; status && *status != 0 && *status != 2)
-            wrong.push_back(id_of(i) + " ended by itself, with status " + std::to_string(*status));
-    return wrong;
+            violations.push_back(id_of(i) + " ended unexpectedly, with status " + std::to_string(*status));
+    return violations;
 }
 
 }  // namespace firtide::fault_injection
--- a/tests/history_checker.cpp
+++ b/tests/history_checker.cpp
@@ -1,4 +1,5 @@
-// The history checker catches what it is there for; and what a process has with a fleet file and without.
+// The history checker reports each kind of violation; and a process opens the threads, sockets and files of a
+// fleet only if it has a fleet file.
 #include <cstdio>
 #include <filesystem>
 #include <fstream>
@@ -12,80 +13,82 @@
 namespace
 {
 
-void show(const char* what, const Checker& checker)
+void print_violations(const char* history, const HistoryChecker& checker)
 {
-    const auto wrong = checker.wrong(TimePoint{} + seconds(100));
-    std::printf("%s: %s\n", what, wrong.empty() ? "nothing" : wrong[0].c_str());
+    const auto violations = checker.violations(TimePoint{} + seconds(100));
+    std::printf("%s: %s\n", history, violations.empty() ? "nothing" : violations[0].c_str());
 }
 
 TimePoint at(double s) { return TimePoint{} + seconds(s); }
 
-void checker()
+void print_checked_histories()
 {
-    Checker well;
-    well.gained(at(1), "a", "d", 1), well.lost(at(2), "a", "d", 1), well.gained(at(2.5), "b", "d", 2);
-    well.took("r", "d", 1, 1), well.took("r", "d", 2, 1);
-    show("one after the other", well);
-    Checker two = well;
-    two.gained(at(50), "c", "d", 3);
-    show("a second holder while the first one still holds", two);
-    Checker late = well;
-    late.lost(at(10), "b", "d", 2), late.gained(at(9.999), "c", "d", 3);
-    show("a second holder a millisecond too soon", late);
-    Checker killed;
-    killed.gained(at(1), "a", "d", 1), killed.ended(at(2), "a"), killed.gained(at(3), "b", "d", 2);
-    show("one that was killed holds nothing", killed);
-    Checker again = well;
-    again.lost(at(3), "b", "d", 2), again.gained(at(4), "a", "d", 2);
-    show("an epoch granted twice", again);
-    Checker lower = well;
-    lower.took("r", "d", 1, 2);
-    show("an effect of a lower epoch", lower);
-    Checker twice = well;
-    twice.took("r", "d", 2, 1);
-    show("an effect twice", twice);
-    Checker probes;
-    probes.probed("u", 1), probes.probed("u", 2);
-    show("two probes at once", probes);
+    HistoryChecker valid;
+    valid.record_acquired(at(1), "a", "d", 1), valid.record_lost(at(2), "a", "d", 1),
+        valid.record_acquired(at(2.5), "b", "d", 2);
+    valid.record_accepted("r", "d", 1, 1), valid.record_accepted("r", "d", 2, 1);
+    print_violations("one after the other", valid);
+    HistoryChecker overlapping = valid;
+    overlapping.record_acquired(at(50), "c", "d", 3);
+    print_violations("a second holder while the first one still holds", overlapping);
+    HistoryChecker too_early = valid;
+    too_early.record_lost(at(10), "b", "d", 2), too_early.record_acquired(at(9.999), "c", "d", 3);
+    print_violations("a second holder a millisecond too soon", too_early);
+    HistoryChecker killed;
+    killed.record_acquired(at(1), "a", "d", 1), killed.record_process_end(at(2), "a"),
+        killed.record_acquired(at(3), "b", "d", 2);
+    print_violations("one that was killed holds nothing", killed);
+    HistoryChecker repeated_epoch = valid;
+    repeated_epoch.record_lost(at(3), "b", "d", 2), repeated_epoch.record_acquired(at(4), "a", "d", 2);
+    print_violations("an epoch granted twice", repeated_epoch);
+    HistoryChecker lower_epoch = valid;
+    lower_epoch.record_accepted("r", "d", 1, 2);
+    print_violations("an effect of a lower epoch", lower_epoch);
+    HistoryChecker repeated_effect = valid;
+    repeated_effect.record_accepted("r", "d", 2, 1);
+    print_violations("an effect twice", repeated_effect);
+    HistoryChecker probes;
+    probes.record_probe("u", 1), probes.record_probe("u", 2);
+    print_violations("two probes at once", probes);
 }
 
-// Threads and descriptors of a process, by what they are.
-std::string has(pid_t pid)
+// Counts the threads, listening sockets, eventfds and open files of its data folder that a process has.
+std::string resources_of(pid_t pid)
 {
     namespace fs = std::filesystem;
-    size_t threads = 0, listeners = 0, events = 0, folders = 0;
+    size_t threads = 0, listeners = 0, eventfds = 0, data_files = 0;
     const std::string proc = "/proc/" + std::to_string(pid);
     std::ifstream sockets(proc + "/net/tcp");
-    const std::string known{std::istreambuf_iterator<char>(sockets), {}};
-    for ([[maybe_unused]] const auto& t : fs::directory_iterator(proc + "/task")) ++threads;
+    const std::string tcp_table{std::istreambuf_iterator<char>(sockets), {}};
+    for ([[maybe_unused]] const auto& thread : fs::directory_iterator(proc + "/task")) ++threads;
     for (const auto& fd : fs::directory_iterator(proc + "/fd")) {
-        std::error_code gone;
-        const auto to = fs::read_symlink(fd.path(), gone).string();
-        events += to.find("eventfd") != std::string::npos;
-        folders += to.find("/data") != std::string::npos;
-        if (!to.starts_with("socket:[")) continue;
-        const auto inode = " " + to.substr(8, to.size() - 9) + " ";
-        const auto line = known.rfind('\n', known.find(inode));
-        listeners += known.find(inode) != std::string::npos &&
-                     known.find(" 00000000:0000 0A ", line) < known.find('\n', line + 1);
+        std::error_code closed;  // since it was listed
+        const auto target = fs::read_symlink(fd.path(), closed).string();
+        eventfds += target.find("eventfd") != std::string::npos;
+        data_files += target.find("/data") != std::string::npos;
+        if (!target.starts_with("socket:[")) continue;
+        const auto inode = " " + target.substr(8, target.size() - 9) + " ";
+        const auto line = tcp_table.rfind('\n', tcp_table.find(inode));
+        listeners += tcp_table.find(inode) != std::string::npos &&
+                     tcp_table.find(" 00000000:0000 0A ", line) < tcp_table.find('\n', line + 1);
     }
     return std::to_string(threads) + " threads, " + std::to_string(listeners) + " listeners, " +
-           std::to_string(events) + " eventfds, " + std::to_string(folders) + " files of its folder";
+           std::to_string(eventfds) + " eventfds, " + std::to_string(data_files) + " files of its folder";
 }
 
-void with_and_without()
+void print_resources()
 {
-    for (const bool fleet : {false, true}) {
-        Plan plan;
-        plan.members = 3, plan.duties = 1, plan.fleet = fleet;
-        TestCluster fault_injection(plan, program_path, "", 59);
-        fault_injection.start(0);
-        fault_injection.until([&] { return fault_injection.request(0) == 200; }, seconds(5));
-        fault_injection.run(seconds(1));
-        std::printf("%s: %s; its folder is %s\n", fleet ? "with a fleet file" : "without",
-                    has(fault_injection.process(0)).c_str(),
-                    std::filesystem::exists(fault_injection.folder(0)) ? "there" : "not there");
-        std::printf("  management: %s", fault_injection.ask(0, "show-fleet").substr(0, 12).c_str());
+    for (const bool fleet_file : {false, true}) {
+        ClusterConfig config;
+        config.members = 3, config.duties = 1, config.use_fleet_file = fleet_file;
+        TestCluster cluster(config, program_path, "", 59);
+        cluster.start(0);
+        cluster.run_until([&] { return cluster.request(0) == 200; }, seconds(5));
+        cluster.run_for(seconds(1));
+        std::printf("%s: %s; its folder is %s\n", fleet_file ? "with a fleet file" : "without",
+                    resources_of(cluster.pid_of(0)).c_str(),
+                    std::filesystem::exists(cluster.folder(0)) ? "there" : "not there");
+        std::printf("  management: %s", cluster.management_command(0, "show-fleet").substr(0, 12).c_str());
         std::printf("...\n");
     }
 }
@@ -95,6 +98,6 @@
 int main(int, char** argv)
 {
     program_path = argv[1];
-    checker();
-    with_and_without();
+    print_checked_histories();
+    print_resources();
 }
