--- a/fault_injection/checker.cpp
+++ b/fault_injection/checker.cpp
@@ -31,16 +31,18 @@
     ++accepted_count_;
     uint64_t& highest = highest_epoch_[{receiver, duty}];
     if (epoch < highest)
-        violations_.push_back(receiver + " took epoch " + std::to_string(epoch) + " of " + duty + " after " +
-                              std::to_string(highest));
+        violations_.push_back(receiver + " accepted epoch " + std::to_string(epoch) + " of " + duty +
+                              " after epoch " + std::to_string(highest));
     highest = std::max(highest, epoch);
     if (!accepted_effects_.insert({receiver, duty, epoch, number}).second)
-        violations_.push_back(receiver + " took effect " + std::to_string(number) + " of " + duty + " twice");
+        violations_.push_back(receiver + " accepted effect " + std::to_string(number) + " of " + duty +
+                              " twice");
 }
 
 void HistoryChecker::record_probe(const std::string& upstream, size_t concurrent)
 {
-    if (concurrent > 1) violations_.push_back(std::to_string(concurrent) + " probes at once at " + upstream);
+    if (concurrent > 1)
+        violations_.push_back(std::to_string(concurrent) + " concurrent probes of " + upstream);
 }
 
 std::vector<std::string> HistoryChecker::violations(TimePoint end) const
@@ -60,7 +62,7 @@
             for (size_t j = i + 1; j < sorted.size(); ++j) {
                 const HoldingPeriod &a = sorted[i], &b = sorted[j];
                 if (a.until.value_or(end) > b.from)
-                    found.push_back("two held " + duty + " at once: " + a.member + " at epoch " +
+                    found.push_back("overlapping holders of " + duty + ": " + a.member + " at epoch " +
                                     std::to_string(a.epoch) + " and " + b.member + " at epoch " +
                                     std::to_string(b.epoch));
             }
--- a/fault_injection/main.cpp
+++ b/fault_injection/main.cpp
@@ -40,8 +40,7 @@
     }
     const auto& scenario = std::get<fault_injection::Scenario>(decoded);
     const auto result = fault_injection::run_scenario(scenario, program, interposer, slot);
-    std::printf("%s: %s\n", scenario.name.c_str(),
-                result.violations.empty() ? "safe, and as expected" : "WRONG");
+    std::printf("%s: %s\n", scenario.name.c_str(), result.violations.empty() ? "passed" : "FAILED");
     for (const auto& violation : result.violations) std::printf("  %s\n", violation.c_str());
     std::fputs(result.logs.c_str(), stdout);
     if (gaps)
--- a/tests/history_checker.cpp
+++ b/tests/history_checker.cpp
@@ -16,7 +16,7 @@
 void print_violations(const char* history, const HistoryChecker& checker)
 {
     const auto violations = checker.violations(TimePoint{} + seconds(100));
-    std::printf("%s: %s\n", history, violations.empty() ? "nothing" : violations[0].c_str());
+    std::printf("%s: %s\n", history, violations.empty() ? "no violation" : violations[0].c_str());
 }
 
 TimePoint at(double s) { return TimePoint{} + seconds(s); }
@@ -27,17 +27,17 @@
     valid.record_acquired(at(1), "a", "d", 1), valid.record_lost(at(2), "a", "d", 1),
         valid.record_acquired(at(2.5), "b", "d", 2);
     valid.record_accepted("r", "d", 1, 1), valid.record_accepted("r", "d", 2, 1);
-    print_violations("one after the other", valid);
+    print_violations("consecutive holders", valid);
     HistoryChecker overlapping = valid;
     overlapping.record_acquired(at(50), "c", "d", 3);
-    print_violations("a second holder while the first one still holds", overlapping);
+    print_violations("a second holder while the first still holds", overlapping);
     HistoryChecker too_early = valid;
     too_early.record_lost(at(10), "b", "d", 2), too_early.record_acquired(at(9.999), "c", "d", 3);
-    print_violations("a second holder a millisecond too soon", too_early);
+    print_violations("a second holder one millisecond too early", too_early);
     HistoryChecker killed;
     killed.record_acquired(at(1), "a", "d", 1), killed.record_process_end(at(2), "a"),
         killed.record_acquired(at(3), "b", "d", 2);
-    print_violations("one that was killed holds nothing", killed);
+    print_violations("the holder is killed before the next one", killed);
     HistoryChecker repeated_epoch = valid;
     repeated_epoch.record_lost(at(3), "b", "d", 2), repeated_epoch.record_acquired(at(4), "a", "d", 2);
     print_violations("an epoch granted twice", repeated_epoch);
@@ -46,10 +46,10 @@
     print_violations("an effect of a lower epoch", lower_epoch);
     HistoryChecker repeated_effect = valid;
     repeated_effect.record_accepted("r", "d", 2, 1);
-    print_violations("an effect twice", repeated_effect);
+    print_violations("a repeated effect", repeated_effect);
     HistoryChecker probes;
     probes.record_probe("u", 1), probes.record_probe("u", 2);
-    print_violations("two probes at once", probes);
+    print_violations("two concurrent probes", probes);
 }
 
 // Counts the threads, listening sockets, eventfds and open files of its data folder that a process has.
@@ -73,7 +73,8 @@
                      tcp_table.find(" 00000000:0000 0A ", line) < tcp_table.find('\n', line + 1);
     }
     return std::to_string(threads) + " threads, " + std::to_string(listeners) + " listeners, " +
-           std::to_string(eventfds) + " eventfds, " + std::to_string(data_files) + " files of its folder";
+           std::to_string(eventfds) + " eventfds, " + std::to_string(data_files) +
+           " open files of its data folder";
 }
 
 void print_resources()
@@ -85,9 +86,9 @@
         cluster.start(0);
         cluster.run_until([&] { return cluster.request(0) == 200; }, seconds(5));
         cluster.run_for(seconds(1));
-        std::printf("%s: %s; its folder is %s\n", fleet_file ? "with a fleet file" : "without",
+        std::printf("%s: %s; its data folder %s\n", fleet_file ? "with a fleet file" : "without a fleet file",
                     resources_of(cluster.pid_of(0)).c_str(),
-                    std::filesystem::exists(cluster.folder(0)) ? "there" : "not there");
+                    std::filesystem::exists(cluster.folder(0)) ? "exists" : "does not exist");
         std::printf("  management: %s", cluster.management_command(0, "show-fleet").substr(0, 12).c_str());
         std::printf("...\n");
     }
