--- a/scale/capacity_fit.py
+++ b/scale/capacity_fit.py
@@ -1,7 +1,7 @@
-"""Least-squares lines through measured points, and whether a line is what they show.
+"""Fits least-squares lines to measured points and checks whether the points are linear.
 
-A figure is extrapolated by its line only where the line describes the points. It does not where one point lies
-too far off it, or where a power law whose exponent is not about 1 describes them clearly better.
+A figure is extrapolated only if its line fits the points. It does not fit if one point lies too far off the line,
+or if a power law with an exponent that is not about 1 fits clearly better.
 """
 
 from __future__ import annotations
@@ -10,21 +10,22 @@
 import math
 from dataclasses import dataclass
 
-# The largest residual of a line, as a share of the range of the values.
-GREATEST_RESIDUAL_SHARE = 0.15
-# Values whose range is at most this share of their mean do not change with the axis.
+# Largest residual that a line may have, as a share of the range of the values.
+MAX_RESIDUAL_SHARE = 0.15
+# Values whose range is at most this share of their mean are taken as constant along the axis.
 FLAT_RANGE_SHARE = 0.05
-# Log-log exponents within these are about 1.
-LEAST_LINEAR_EXPONENT = 0.8
-GREATEST_LINEAR_EXPONENT = 1.25
-# A power law describes the points clearly better where its squared error is at most this share of the line's,
+# Log-log exponents in this range count as about 1.
+MIN_LINEAR_EXPONENT = 0.8
+MAX_LINEAR_EXPONENT = 1.25
+# A power law fits clearly better if its squared error is at most this share of the line's and the line's largest
+# residual exceeds NOISE_RESIDUAL_SHARE.
 POWER_LAW_ERROR_SHARE = 0.5
-# and the line's largest residual is more than noise: this share of the range.
+# Residuals up to this share of the range of the values count as noise.
 NOISE_RESIDUAL_SHARE = 0.03
 
 
 class Verdict(enum.Enum):
-    """What a series of points shows."""
+    """Whether a line describes a series of points."""
 
     LINEAR = "linear"
     FLAT = "flat"
@@ -34,7 +35,7 @@
 
 @dataclass(frozen=True)
 class Point:
-    """One measured value."""
+    """A measured value y at the size x."""
 
     x: float
     y: float
@@ -53,7 +54,7 @@
 
 @dataclass(frozen=True)
 class Fit:
-    """A line through points, in their order."""
+    """A fitted line; residuals are in the order of the points."""
 
     points: tuple[Point, ...]
     intercept: float
@@ -67,7 +68,7 @@
         return self.intercept + self.slope * x
 
     def standard_error_at(self, x: float) -> float | None:
-        """Of the line's value at x; None where there are too few points to tell."""
+        """Standard error of the line's value at x; None for fewer than three points."""
         count = len(self.points)
         if count < 3:
             return None
@@ -77,17 +78,17 @@
         return math.sqrt(variance * (1 / count + (x - mean) ** 2 / spread))
 
     def largest_residual_share(self) -> float:
-        """The largest residual, as a share of the range of the values."""
+        """Largest residual as a share of the range of the values."""
         return _largest_residual_share([point.y for point in self.points], self.residuals)
 
-    def greatest_x(self) -> float:
+    def max_x(self) -> float:
         return max(point.x for point in self.points)
 
 
 def fit_line(points: list[Point]) -> Fit:
-    """The least-squares line; ValueError where the points have fewer than two different x."""
+    """Fits a least-squares line; raises ValueError for fewer than two different x."""
     if len({point.x for point in points}) < 2:
-        raise ValueError("a line needs points at two different places")
+        raise ValueError("a line needs points at two different x")
     intercept, slope = _least_squares([(point.x, point.y) for point in points])
     residuals = tuple(point.y - intercept - slope * point.x for point in points)
     power_law = _fit_power_law(points)
@@ -103,7 +104,7 @@
 
 
 def _least_squares(pairs: list[tuple[float, float]]) -> tuple[float, float]:
-    """Intercept and slope."""
+    """Returns intercept and slope."""
     count = len(pairs)
     mean_x = sum(x for x, _ in pairs) / count
     mean_y = sum(y for _, y in pairs) / count
@@ -121,7 +122,7 @@
 
 
 def _fit_power_law(points: list[Point]) -> PowerLaw | None:
-    """None where a value is not positive."""
+    """Returns None if a coordinate is not positive, as its logarithm is undefined."""
     if any(point.x <= 0 or point.y <= 0 for point in points):
         return None
     logarithms = [(math.log(point.x), math.log(point.y)) for point in points]
@@ -144,7 +145,7 @@
     if max(values) - min(values) <= FLAT_RANGE_SHARE * abs(mean):
         return Verdict.FLAT
     share = _largest_residual_share(values, residuals)
-    if share > GREATEST_RESIDUAL_SHARE:
+    if share > MAX_RESIDUAL_SHARE:
         return Verdict.NOT_LINEAR
     if share > NOISE_RESIDUAL_SHARE and _is_power_law(points, residuals, power_law):
         return Verdict.NOT_LINEAR
@@ -152,13 +153,13 @@
 
 
 def _is_power_law(points: list[Point], residuals: tuple[float, ...], power_law: PowerLaw | None) -> bool:
-    """Whether an exponent that is not about 1 describes the points clearly better than a line does.
+    """Whether a power law with an exponent that is not about 1 fits the points clearly better than a line.
 
-    The exponent alone would not tell: a line with a large intercept has a log-log exponent far below 1.
+    The exponent alone is not enough: a line with a large intercept has a log-log exponent far below 1.
     """
     if power_law is None:
         return False
-    if LEAST_LINEAR_EXPONENT <= power_law.exponent <= GREATEST_LINEAR_EXPONENT:
+    if MIN_LINEAR_EXPONENT <= power_law.exponent <= MAX_LINEAR_EXPONENT:
         return False
     line_error = sum(residual**2 for residual in residuals)
     power_error = sum((point.y - power_law.at(point.x)) ** 2 for point in points)
--- a/scale/capacity_runs.py
+++ b/scale/capacity_runs.py
@@ -1,7 +1,7 @@
 """Reads the JSON files of scale, virtual and latency runs.
 
-Keys that a run does not have are taken as not measured. A file that is no such run is a RunFileError, whose text is
-one line with the file's name.
+Missing optional keys count as not measured. A file that is not a run raises RunFileError, whose text is one line with
+the file's name.
 """
 
 from __future__ import annotations
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-# What a fleet and its load are: runs that differ in one of these are points of that axis. Seed, commit and the
-# seconds measured are how it was measured, and differ freely.
+# Options that describe the fleet and its load: runs that differ in one of them are points along that axis. Seed, commit
+# and measured seconds describe the measurement and may differ between the runs of a series.
 FLEET_OPTIONS = (
     "members",
     "real",
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class Spread:
-    """A figure over the members of one role."""
+    """Summary of a figure over the members of one role."""
 
     median: float
     greatest: float
@@ -61,8 +61,8 @@
 
 
 @dataclass(frozen=True)
-class TroubleOutcome:
-    """What a trouble did to a fleet, against its rest before."""
+class DisruptionOutcome:
+    """Effect of a disruption on a fleet; the peaks are relative to the traffic before it."""
 
     traffic_peak_over_rest: float | None
     bytes_peak_over_rest: float | None
@@ -81,7 +81,7 @@
     options: dict[str, OptionValue]
     roles: dict[str, dict[str, Spread]]
     change_times: ChangeTimes | None
-    trouble: TroubleOutcome | None
+    disruption: DisruptionOutcome | None
     other_cpu_cores: float | None
 
     @property
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True)
 class Range:
-    """Of the differences of several rounds."""
+    """Median and extremes of the differences of several rounds."""
 
     median: float
     least: float
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True)
 class AddedLatency:
-    """What balancers add to a call, in milliseconds."""
+    """Latency that balancers add to a call, in milliseconds."""
 
     calls_per_second: float
     balancers: int
@@ -114,7 +114,7 @@
 
 @dataclass(frozen=True)
 class LatencyRun:
-    """One run that compared calls through balancers with direct ones."""
+    """One run that compared calls through balancers with direct calls."""
 
     path: Path
     command: str
@@ -147,7 +147,7 @@
     except (OSError, ValueError) as error:
         raise RunFileError(path, f"cannot be read as JSON: {_one_line(error)}") from error
     if not isinstance(record, dict) or not isinstance(record.get("run"), dict):
-        raise RunFileError(path, "has no object 'run'")
+        raise RunFileError(path, "missing object 'run'")
     return record
 
 
@@ -156,26 +156,26 @@
 
 
 def _decode_scale_run(path: Path, record: dict) -> ScaleRun:
-    said = _options_of(record["run"])
+    options = _decode_options(record["run"])
     machine = record.get("machine") or {}
     return ScaleRun(
         path=path,
         command=record["run"].get("command", ""),
-        seed=said.get("seed"),
-        commit=str(said.get("commit") or ""),
-        seconds=said.get("seconds"),
-        options={name: said.get(name) for name in FLEET_OPTIONS},
+        seed=options.get("seed"),
+        commit=str(options.get("commit") or ""),
+        seconds=options.get("seconds"),
+        options={name: options.get(name) for name in FLEET_OPTIONS},
         roles=_decode_roles(record),
         change_times=_decode_change_times(record),
-        trouble=_decode_trouble(record.get("trouble")),
+        disruption=_decode_disruption(record.get("trouble")),
         other_cpu_cores=machine.get("other_cpu_cores"),
     )
 
 
-def _options_of(run: dict) -> dict[str, OptionValue]:
-    """The options, whether they are kept as words of a command line or as values."""
-    said = {**run, **(run.get("options") or {})}
-    options = {name.replace("-", "_"): _plain_value(value) for name, value in said.items()}
+def _decode_options(run: dict) -> dict[str, OptionValue]:
+    """Decodes options that are stored as command-line text or as JSON values."""
+    merged = {**run, **(run.get("options") or {})}
+    options = {name.replace("-", "_"): _parse_value(value) for name, value in merged.items()}
     options["virtual"] = options.get("virtual") is True
     if "deltas" in options:
         options.setdefault("lists", "deltas" if options["deltas"] else "whole")
@@ -187,7 +187,7 @@
     return options
 
 
-def _plain_value(value: object) -> OptionValue:
+def _parse_value(value: object) -> OptionValue:
     if isinstance(value, bool) or value is None:
         return value
     if isinstance(value, (int, float)):
@@ -229,10 +229,10 @@
     )
 
 
-def _decode_trouble(outcome: dict | None) -> TroubleOutcome | None:
+def _decode_disruption(outcome: dict | None) -> DisruptionOutcome | None:
     if not isinstance(outcome, dict):
         return None
-    return TroubleOutcome(
+    return DisruptionOutcome(
         outcome.get("traffic_peak_over_rest"),
         outcome.get("bytes_peak_over_rest"),
         outcome.get("seconds_until_agreed"),
@@ -247,7 +247,7 @@
     return LatencyRun(
         path=path,
         command=run.get("command", ""),
-        seed=_plain_value(run.get("seed")),
+        seed=_parse_value(run.get("seed")),
         commit=str(run.get("commit") or ""),
         load_before=str(run.get("load_average_before") or ""),
         rates=tuple(_decode_added_latency(one) for one in record.get("rates") or []),
--- a/scale/capacity_series.py
+++ b/scale/capacity_series.py
@@ -1,4 +1,4 @@
-"""Puts runs together to series along an axis, and extrapolates them to the planned fleet."""
+"""Groups runs into series along an axis and extrapolates the series to the planned fleet."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 from capacity_fit import Fit, Point, Verdict, fit_line
 from capacity_runs import FLEET_OPTIONS, OptionValue, ScaleRun
 
-# A service for so many upstreams, where a run derives one from the other.
+# Upstreams per service in runs that derive their number of services from their upstreams.
 UPSTREAMS_PER_SERVICE = 18
-SECONDS_A_DAY = 86_400
+SECONDS_PER_DAY = 86_400
 
 
 @dataclass(frozen=True)
 class Axis:
-    """An option that differs between the runs of a series, and those that grow with it."""
+    """The option that differs between the runs of a series, and the options that are scaled along with it."""
 
     name: str
     option: str
-    target: float | None  # None: not planned for, so that it stays as in the runs
-    growing: tuple[str, ...] = ()
+    target: float | None  # None: the plan gives no value, so it stays as in the runs
+    scaled_options: tuple[str, ...] = ()
 
     @property
-    def varied(self) -> tuple[str, ...]:
-        return (self.option, *self.growing)
+    def varied_options(self) -> tuple[str, ...]:
+        return (self.option, *self.scaled_options)
 
 
 FLEET_AXIS = Axis("fleet (members, as many upstreams, a service for 18)", "members", 37_000, ("upstreams", "services"))
@@ -33,34 +33,34 @@
     "members": Axis("members", "members", 37_000),
     "services": Axis("services", "services", 2_000),
     "upstreams": Axis("upstreams", "upstreams", 37_000),
-    "changes": Axis("changes a second", "changes_per_second", 110_000 / SECONDS_A_DAY),
+    "changes": Axis("changes a second", "changes_per_second", 110_000 / SECONDS_PER_DAY),
     "duties": Axis("duties", "duties", None),
     "zones": Axis("zones", "zones", 10),
-    "restarts": Axis("restarts a second", "restarts_per_second", 2_200 / SECONDS_A_DAY),
+    "restarts": Axis("restarts a second", "restarts_per_second", 2_200 / SECONDS_PER_DAY),
 }
 
 
 @dataclass(frozen=True)
 class Measure:
-    """One figure of one role."""
+    """A statistic of one figure of one role."""
 
     role: str
     figure: str
-    statistic: str  # a Spread's
+    statistic: str  # a field of Spread
 
 
 @dataclass(frozen=True)
 class Series:
-    """Runs that are equal but for one axis, by it."""
+    """Runs that differ only along one axis, in the order of that axis."""
 
     axis: Axis
     runs: tuple[ScaleRun, ...]
 
     def option(self, name: str) -> OptionValue:
-        """Of one that is the same in all runs."""
+        """Value of an option that all runs of the series share."""
         return self.runs[0].options[name]
 
-    def place(self, run: ScaleRun) -> float:
+    def position(self, run: ScaleRun) -> float:
         return float(run.options[self.axis.option])
 
     def points(self, measure: Measure) -> list[Point]:
@@ -68,11 +68,11 @@
         for run in self.runs:
             spread = run.roles.get(measure.role, {}).get(measure.figure)
             if spread is not None:
-                points.append(Point(self.place(run), getattr(spread, measure.statistic)))
+                points.append(Point(self.position(run), getattr(spread, measure.statistic)))
         return points
 
     def fit(self, measure: Measure) -> Fit | None:
-        """None where there are too few points."""
+        """Returns None for fewer than two sizes."""
         points = self.points(measure)
         if len({point.x for point in points}) < 2:
             return None
@@ -89,19 +89,19 @@
 
 
 def find_series(runs: list[ScaleRun], axis: Axis) -> list[Series]:
-    """All series along the axis with at least two sizes."""
+    """Finds all series along the axis with at least two sizes."""
     groups = defaultdict(list)
     for run in runs:
-        if run.options.get(axis.option) is None or not _grows_along(run, axis):
+        if run.options.get(axis.option) is None or not _scales_along(run, axis):
             continue
-        same = tuple(str(run.options[name]) for name in FLEET_OPTIONS if name not in axis.varied)
-        groups[same].append(run)
+        key = tuple(str(run.options[name]) for name in FLEET_OPTIONS if name not in axis.varied_options)
+        groups[key].append(run)
     series = [Series(axis, tuple(sorted(group, key=lambda run: run.options[axis.option]))) for group in groups.values()]
-    return [one for one in series if len({one.place(run) for run in one.runs}) >= 2]
+    return [item for item in series if len({item.position(run) for run in item.runs}) >= 2]
 
 
-def _grows_along(run: ScaleRun, axis: Axis) -> bool:
-    if not axis.growing:
+def _scales_along(run: ScaleRun, axis: Axis) -> bool:
+    if not axis.scaled_options:
         return True
     upstreams, services = run.options["upstreams"], run.options["services"]
     if upstreams != run.options["members"]:
@@ -111,7 +111,7 @@
 
 @dataclass(frozen=True)
 class Step:
-    """The part of a figure at the target that one axis brings."""
+    """Contribution of one axis to the value at the target."""
 
     axis: Axis
     factor: float  # target over the largest measured size
@@ -120,33 +120,33 @@
 
 @dataclass(frozen=True)
 class Extrapolation:
-    """A figure at the planned fleet."""
+    """A measure extrapolated to the planned fleet."""
 
     measure: Measure
-    steps: tuple[Step, ...]  # the first is the line itself, the others are added to it
-    value: float | None  # None: the points show no line
+    steps: tuple[Step, ...]  # the first is the base line; the others add their slopes
+    value: float | None  # None: the points are not linear
     standard_error: float | None
-    exponent: float | None  # of points that show no line
+    exponent: float | None  # of the power law, if the points are not linear
     verdict: Verdict
-    unlike_target: dict[str, OptionValue]  # options of the runs that differ from the plan and were not followed
+    unmatched_options: dict[str, OptionValue]  # differ from the plan and are not extrapolated
 
     @property
     def source(self) -> ScaleRun:
-        """The largest run of the line."""
+        """The largest run of the base line."""
         return self.steps[0].series.runs[-1]
 
 
 def extrapolate(all_series: dict[str, list[Series]], base: Series, measure: Measure) -> Extrapolation | None:
-    """Along the base series' axis to its target; then the slopes of other axes are added for what is left."""
+    """Extrapolates along the base series' axis, then adds the slopes of the other axes that are off their targets."""
     fit = base.fit(measure)
     if fit is None or base.axis.target is None:
         return None
-    steps = [Step(base.axis, base.axis.target / fit.greatest_x(), base)]
+    steps = [Step(base.axis, base.axis.target / fit.max_x(), base)]
     usable = fit.verdict is not Verdict.NOT_LINEAR
     value = fit.at(base.axis.target)
-    unlike = {}
+    unmatched = {}
     for axis in AXES.values():
-        if axis.growing or axis.target is None or axis.option in base.axis.varied:
+        if axis.scaled_options or axis.target is None or axis.option in base.axis.varied_options:
             continue
         size = base.option(axis.option)
         if size is None or size == axis.target:
@@ -154,10 +154,10 @@
         series = _best_series(all_series, axis, base, measure)
         slope_fit = series.fit(measure) if series else None
         if slope_fit is None or slope_fit.verdict is Verdict.NOT_LINEAR:
-            unlike[axis.option] = size
+            unmatched[axis.option] = size
             continue
         value += slope_fit.slope * (axis.target - size)
-        steps.append(Step(axis, axis.target / slope_fit.greatest_x(), series))
+        steps.append(Step(axis, axis.target / slope_fit.max_x(), series))
     return Extrapolation(
         measure=measure,
         steps=tuple(steps),
@@ -165,14 +165,14 @@
         standard_error=fit.standard_error_at(base.axis.target),
         exponent=fit.power_law.exponent if fit.power_law and not usable else None,
         verdict=fit.verdict,
-        unlike_target=unlike,
+        unmatched_options=unmatched,
     )
 
 
 def _best_series(
     all_series: dict[str, list[Series]], axis: Axis, base: Series, measure: Measure
 ) -> Series | None:
-    """The one most like the base, with the same mechanism for lists, both of real processes or both virtual."""
+    """Finds the series most similar to the base, with the same list mechanism, trouble and virtual flag."""
     alike = [
         series
         for series in all_series.get(_key_of(axis), [])
@@ -183,7 +183,7 @@
     ]
     if not alike:
         return None
-    compared = [name for name in FLEET_OPTIONS if name not in (*base.axis.varied, *axis.varied)]
+    compared = [name for name in FLEET_OPTIONS if name not in (*base.axis.varied_options, *axis.varied_options)]
     return max(
         alike, key=lambda series: (sum(series.option(name) == base.option(name) for name in compared), len(series.runs))
     )
@@ -194,18 +194,18 @@
 
 
 def base_series(all_series: dict[str, list[Series]]) -> list[Series]:
-    """For each mechanism for lists, of real processes and virtual: the series whose runs come nearest the plan."""
+    """For each list mechanism, real and virtual: the series whose runs come closest to the planned fleet."""
     best: dict[tuple, Series] = {}
     for series in all_series.get("fleet", []) + all_series.get("members", []):
         if series.option("trouble") != "none":
             continue
         key = (str(series.option("lists")), bool(series.option("virtual")))
-        if key not in best or _nearness(series) > _nearness(best[key]):
+        if key not in best or _closeness_to_plan(series) > _closeness_to_plan(best[key]):
             best[key] = series
     return [best[key] for key in sorted(best)]
 
 
-def _nearness(series: Series) -> tuple[bool, int, float]:
-    """Three sizes check a line; then runs that grow in all that is planned count, then the largest size."""
-    sizes = {series.place(run) for run in series.runs}
-    return len(sizes) >= 3, len(series.axis.varied), max(sizes)
+def _closeness_to_plan(series: Series) -> tuple[bool, int, float]:
+    """Ranks by at least three sizes, which check a line, then by the number of scaled options, then by size."""
+    sizes = {series.position(run) for run in series.runs}
+    return len(sizes) >= 3, len(series.axis.varied_options), max(sizes)
--- a/tests/capacity_test.py
+++ b/tests/capacity_test.py
@@ -1,4 +1,4 @@
-"""The capacity page: fits, series of runs, and the tables that are written from them."""
+"""Tests the capacity page: line fits, series of runs and the generated tables."""
 
 import contextlib
 import io
@@ -27,8 +27,8 @@
 
 
 def real_run(kb=2.0, **options):
-    """As firtide-scale writes one: options as words of its command line."""
-    words = {
+    """A run in the format of firtide-scale, whose options are text as on its command line."""
+    values = {
         "members": 50,
         "real": 5,
         "voters": 3,
@@ -41,11 +41,11 @@
         "lists": "whole",
         "trouble": "none",
     }
-    words.update({name.replace("_", "-"): value for name, value in options.items()})
+    values.update({name.replace("_", "-"): value for name, value in options.items()})
     return {
         "run": {
             "command": "firtide-scale run",
-            "options": {name: str(value) for name, value in words.items()},
+            "options": {name: str(value) for name, value in values.items()},
             "seed": 1,
             "commit": "abc1234",
         },
@@ -56,7 +56,7 @@
 
 
 def virtual_run(kb=2.0, **options):
-    """As firtide-simulation scale writes one."""
+    """A run in the format of firtide-simulation scale."""
     run = {
         "command": "firtide-simulation scale",
         "members": 50,
@@ -92,7 +92,7 @@
 
 
 class FolderTest(unittest.TestCase):
-    """A test with a folder of runs of its own."""
+    """Gives each test a temporary folder for runs."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -102,16 +102,16 @@
         (self.folder / "virtual").mkdir()
         self.page = self.folder / "PAGE.md"
 
-    def keep(self, name, record):
+    def write_run(self, name, record):
         path = self.folder / name
         path.write_text(record if isinstance(record, str) else json.dumps(record), encoding="utf-8")
         return path
 
     def read(self, *records):
-        return [read_scale_run(self.keep(f"runs/{i}.json", record)) for i, record in enumerate(records)]
+        return [read_scale_run(self.write_run(f"runs/{i}.json", record)) for i, record in enumerate(records)]
 
     def write_page(self, text):
-        """The status, the error line, and the page afterwards."""
+        """Returns the exit status, standard error and the resulting page."""
         self.page.write_text(text, encoding="utf-8")
         errors = io.StringIO()
         with contextlib.redirect_stderr(errors):
@@ -198,12 +198,12 @@
     def test_faults_name_the_file(self):
         for record in ("{", "[]", {}, {"run": {}}, {"run": {"members": "many"}}, {"run": {"members": 5}, "roles": 3}):
             with self.subTest(record=record), self.assertRaises(RunFileError) as fault:
-                read_scale_run(self.keep("runs/wrong.json", record))
+                read_scale_run(self.write_run("runs/wrong.json", record))
             self.assertIn("wrong.json: ", str(fault.exception))
             self.assertNotIn("\n", str(fault.exception))
 
     def test_latency_fault_names_the_file(self):
-        path = self.keep("runs/latency-1.json", {"run": {}, "rates": [{"calls_per_second": 154}]})
+        path = self.write_run("runs/latency-1.json", {"run": {}, "rates": [{"calls_per_second": 154}]})
         with self.assertRaisesRegex(RunFileError, "latency-1.json: is not a latency run"):
             read_latency_run(path)
 
@@ -220,7 +220,7 @@
             virtual_run(members=400),
         )
         (series,) = find_series(runs, AXES["members"])
-        self.assertEqual([series.place(run) for run in series.runs], [50, 100, 200])
+        self.assertEqual([series.position(run) for run in series.runs], [50, 100, 200])
 
     def test_seeds_and_seconds_are_no_options_of_the_fleet(self):
         one, other = real_run(members=50, seed=1, seconds=20), real_run(members=100, seed=2, seconds=60)
@@ -237,7 +237,7 @@
             real_run(members=360, upstreams=360, services=5),
         )
         (series,) = find_series(runs, AXES["fleet"])
-        self.assertEqual([series.place(run) for run in series.runs], [90, 180])
+        self.assertEqual([series.position(run) for run in series.runs], [90, 180])
 
     def extrapolated(self, *records):
         runs = self.read(*records)
@@ -250,7 +250,7 @@
         self.assertAlmostEqual(found.value, 38)
         self.assertAlmostEqual(found.steps[0].factor, 185)
         self.assertEqual(found.source.options["members"], 200)
-        self.assertEqual(found.unlike_target["upstreams"], 100)
+        self.assertEqual(found.unmatched_options["upstreams"], 100)
 
     def test_extrapolation_adds_the_slopes_of_other_axes(self):
         members = [real_run(kb=1 + 0.001 * n, members=n) for n in (50, 100, 200)]
@@ -258,7 +258,7 @@
         found = self.extrapolated(*members, *upstreams)
         self.assertAlmostEqual(found.value, 38 + 0.01 * (37_000 - 100))
         self.assertEqual([step.axis.option for step in found.steps], ["members", "upstreams"])
-        self.assertNotIn("upstreams", found.unlike_target)
+        self.assertNotIn("upstreams", found.unmatched_options)
 
     def test_what_is_not_linear_is_not_extrapolated(self):
         found = self.extrapolated(*(real_run(kb=0.01 * n**2, members=n) for n in (50, 100, 200)))
@@ -269,8 +269,8 @@
 class PageTest(FolderTest):
     def test_tables_are_replaced_and_the_rest_stays(self):
         for n in (50, 100, 200):
-            self.keep(f"runs/members-{n}.json", real_run(kb=1 + 0.001 * n, members=n))
-        self.keep("runs/latency-1.json", LATENCY_RUN)
+            self.write_run(f"runs/members-{n}.json", real_run(kb=1 + 0.001 * n, members=n))
+        self.write_run("runs/latency-1.json", LATENCY_RUN)
         marked = "<!-- table {} -->\nold\n<!-- end -->\n"
         status, errors, page = self.write_page(
             "before\n" + "between\n".join(marked.format(name) for name in ("axis-members", "target", "latency")) + "after\n"
@@ -294,20 +294,20 @@
 
         chains = [chain(1, 0.2), chain(4, 0.5), chain(11, 1.2)]
         for i, one in enumerate(chains):
-            self.keep(f"runs/latency-{i}.json", {"run": LATENCY_RUN["run"], "chain": one})
+            self.write_run(f"runs/latency-{i}.json", {"run": LATENCY_RUN["run"], "chain": one})
         _, _, page = self.write_page("<!-- table axis-depth -->\n<!-- end -->\n")
         self.assertIn("| 154 | added p50 ms | 1: 0.2 (0); 4: 0.5 (0); 11: 1.2 (0) | 0.1 | 0.1 | 1.000 | 0 % | linear |", page)
         self.assertIn("| under 4.73 |", page)  # 11 balancers, 0.43 ms at each
 
     def test_writing_again_changes_nothing(self):
-        self.keep("runs/a.json", real_run())
+        self.write_run("runs/a.json", real_run())
         _, _, first = self.write_page("<!-- table runs -->\n<!-- end -->\n")
         _, _, second = self.write_page(first)
         self.assertEqual(first, second)
 
     def test_what_is_not_linear_is_said(self):
         for n in (50, 100, 200):
-            self.keep(f"virtual/members-{n}.json", virtual_run(kb=0.01 * n**2, members=n))
+            self.write_run(f"virtual/members-{n}.json", virtual_run(kb=0.01 * n**2, members=n))
         _, _, page = self.write_page("<!-- table axis-members -->\n<!-- end -->\n<!-- table target -->\n<!-- end -->\n")
         self.assertIn("**not linear**, exponent 2.00", page)
         self.assertIn("not extrapolated: not linear (exponent 2.00)", page)
@@ -318,7 +318,7 @@
         self.assertIn("No run yet.", page)
 
     def test_bad_json_gives_one_line_and_status_2(self):
-        self.keep("runs/broken.json", "{")
+        self.write_run("runs/broken.json", "{")
         status, errors, page = self.write_page("<!-- table runs -->\nkept\n<!-- end -->\n")
         self.assertEqual(status, 2)
         self.assertEqual(errors.count("\n"), 1)
@@ -327,7 +327,7 @@
 
     def test_unknown_table_gives_one_line_and_status_2(self):
         status, errors, _ = self.write_page("<!-- table planets -->\n<!-- end -->\n")
-        self.assertEqual((status, errors), (2, f"{self.page}: there is no table 'planets'\n"))
+        self.assertEqual((status, errors), (2, f"{self.page}: unknown table 'planets'\n"))
 
 
 if __name__ == "__main__":
