--- a/scale/change_tracker.h
+++ b/scale/change_tracker.h
@@ -1,4 +1,4 @@
-// Which member used which version of the list from when on, and how long each change took to be in force.
+// Records when each member put which list version in force, and computes how long each change took.
 #pragma once
 
 #include <cstdint>
@@ -13,24 +13,25 @@
 class ChangeTracker
 {
   public:
-    explicit ChangeTracker(size_t members) : lives_(members) {}
+    explicit ChangeTracker(size_t members) : up_periods_(members) {}
 
-    // From here on a member has to follow changes, until it is down. A change made while it is down, or that
-    // it has not reached when it goes down, does not count for it.
+    // A member is expected to follow changes from member_up until member_down. A change made while it is
+    // down, or not yet in force when it goes down, does not count for it.
     void member_up(size_t member, TimePoint at);
     void member_down(size_t member, TimePoint at);
-    void changed(uint64_t version, TimePoint at);                     // at discovery
-    void in_force(size_t member, uint64_t version, TimePoint since);  // versions up to this one, too
+    void record_change(uint64_t version, TimePoint at);  // at discovery
+    void record_list_in_force(size_t member, uint64_t version,
+                              TimePoint since);  // implies all earlier versions
 
     struct Summary {
-        std::vector<double> seconds;  // for each member and change
-        uint64_t missing = 0;         // of a member and a change: never in force
-        uint64_t members_at_last = 0, members_up = 0;
+        std::vector<double> seconds;  // per member and change
+        uint64_t missing = 0;         // pairs of member and change that was never in force
+        uint64_t members_at_last_version = 0, members_up = 0;
     };
-    // Of the changes from this point of time on.
+    // Covers the changes made at or after `from`.
     Summary summary(TimePoint from) const;
     // Whether all members that are up have the last change in force.
-    bool all_at_last() const;
+    bool all_at_last_version() const;
     bool has_list(size_t member) const;
 
   private:
@@ -38,20 +39,20 @@
         uint64_t version = 0;
         TimePoint since;
     };
-    struct Life {
+    struct UpPeriod {
         TimePoint from;
         std::optional<TimePoint> until;
-        std::vector<InForce> lists;  // versions grow
+        std::vector<InForce> lists;  // by ascending version
     };
     struct Change {
         uint64_t version = 0;
         TimePoint at;
     };
 
-    const Life* life_at(size_t member, TimePoint at) const;
-    bool at_last(size_t member) const;
+    const UpPeriod* up_period_at(size_t member, TimePoint at) const;
+    bool has_last_version(size_t member) const;
 
-    std::vector<std::vector<Life>> lives_;
+    std::vector<std::vector<UpPeriod>> up_periods_;
     std::vector<Change> changes_;
 };
 
--- a/scale/child_process.cpp
+++ b/scale/child_process.cpp
@@ -30,7 +30,7 @@
     if (child > 0) return child;
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (getppid() != parent) _exit(cannot_execute);
-    // An interrupt of the terminal is for the parent, which then ends its children.
+    // Ctrl-C reaches the whole process group, but only the parent handles it and then ends its children.
     std::signal(SIGINT, SIG_IGN);
     in_child();
     _exit(cannot_execute);
@@ -64,7 +64,7 @@
             body();
             _exit(0);
         } catch (const std::exception& error) {
-            std::fprintf(stderr, "firtide-latency: a stand-in: %s\n", error.what());
+            std::fprintf(stderr, "firtide-latency: stand-in server: %s\n", error.what());
             _exit(1);
         }
     }));
--- a/scale/child_process.h
+++ b/scale/child_process.h
@@ -1,4 +1,4 @@
-// Child processes that end with their owner, and with this program however it ends.
+// Child processes that are killed by the destructor, and by the kernel if this program ends in any way.
 #pragma once
 
 #include <sys/types.h>
@@ -10,7 +10,7 @@
 namespace firtide::scale
 {
 
-// Descriptors that a child gets as its own; -1: those of this program.
+// Descriptors for the standard streams of a child; -1: inherited from this program.
 struct ChildStreams {
     int input = -1, output = -1, error = -1;
 };
@@ -21,19 +21,19 @@
     // Runs a program; its standard error goes to the file `log`.
     static ChildProcess execute(const std::vector<std::string>& arguments, const std::string& log);
     static ChildProcess execute(const std::vector<std::string>& arguments, const ChildStreams& streams);
-    // Runs a function in a fork of this process, which ends when the function returns.
+    // Runs a function in a fork of this process. The child exits when the function returns.
     static ChildProcess run(const std::function<void()>& body);
 
     ChildProcess(ChildProcess&& other) noexcept;
     ChildProcess& operator=(ChildProcess&& other) noexcept;
     ChildProcess(const ChildProcess&) = delete;
     ChildProcess& operator=(const ChildProcess&) = delete;
-    ~ChildProcess();  // ends it
+    ~ChildProcess();  // calls end()
 
     pid_t id() const { return id_; }
     bool running();
     void signal(int number) const;
-    void end();  // kills it and waits for its end
+    void end();  // kills the process and reaps it
 
   private:
     explicit ChildProcess(pid_t id) : id_(id) {}
--- a/scale/discovery_standin.h
+++ b/scale/discovery_standin.h
@@ -1,4 +1,5 @@
-// Discovery as the balancers see it: a list of upstreams by version, asked for whole or watched for changes.
+// A stand-in for the discovery service: a versioned list of upstreams that is fetched in full or watched for
+// changes.
 #pragma once
 
 #include <random>
@@ -17,13 +18,13 @@
     explicit DiscoveryStandIn(event_base* base);
     uint16_t port() const { return server_.port(); }
 
-    void list_upstreams(const Options& options, const Layout& layout);
-    // One upstream, drawn, stops being ready or is ready again. Answers whoever watches. The new version.
-    uint64_t change_one();
+    void set_upstreams(const Options& options, const Layout& layout);
+    // Toggles the readiness of a random upstream, answers all watchers and returns the new version.
+    uint64_t toggle_random_upstream();
 
-    uint64_t version() const { return changed_.size() + 1; }
-    size_t list_bytes() const { return whole_list().size(); }
-    uint64_t calls() const { return calls_; }
+    uint64_t version() const { return changed_upstreams_.size() + 1; }
+    size_t list_bytes() const { return encode_full_list().size(); }
+    uint64_t request_count() const { return request_count_; }
 
   private:
     struct Upstream {
@@ -34,9 +35,9 @@
     void serve(evhttp_request* request);
     void watch(evhttp_request* request);
     void answer_changes(evhttp_request* request, uint64_t after);
-    std::string line_of(const Upstream& upstream) const;
-    std::string list(bool all, const std::vector<size_t>& places) const;
-    std::string whole_list() const;
+    std::string encode_upstream(const Upstream& upstream) const;
+    std::string encode_list(bool all, const std::vector<size_t>& indexes) const;
+    std::string encode_full_list() const;
 
     struct Watcher {
         evhttp_request* request = nullptr;
@@ -44,11 +45,11 @@
     };
 
     event_base* base_;
-    std::mt19937 chance_;
+    std::mt19937 random_;
     std::vector<Upstream> upstreams_;
-    std::vector<size_t> changed_;  // by version: the upstream; the first version has none
-    std::vector<Watcher> watching_;
-    uint64_t calls_ = 0;
+    std::vector<size_t> changed_upstreams_;  // index of the upstream changed in version i + 2
+    std::vector<Watcher> watchers_;
+    uint64_t request_count_ = 0;
     fault_injection::Server server_;
 };
 
--- a/scale/estimate.cpp
+++ b/scale/estimate.cpp
@@ -13,83 +13,85 @@
 namespace
 {
 
-// Measured as resident memory with 50 and 200 members and 50 to 8000 upstreams, and rounded up
-// (docs/capacity/runs). In MB, or in KB where the name says so.
+// Resident memory, from runs with 50 and 200 members and 50 to 8000 upstreams (docs/capacity/runs), rounded
+// up.
 constexpr double controller_mb = 30, real_process_mb = 10, hollow_process_mb = 20;
-constexpr double real_member_kb = 8;       // at a real process, for each member of the fleet
-constexpr double hollow_base_kb = 150;     // of a hollow member by itself
-constexpr double hollow_member_kb = 0.6;   // at a hollow member, for each member of the fleet
-constexpr double list_entry_kb = 0.08;     // of an upstream in the text of a list
-constexpr double hollow_list_copies = 50;  // at a hollow member, with what waits to be sent
-constexpr double real_list_copies = 70;    // at a real process
+constexpr double real_member_kb = 8;       // in a real process, per member of the fleet
+constexpr double hollow_base_kb = 150;     // per hollow member
+constexpr double hollow_member_kb = 0.6;   // per hollow member and member of the fleet
+constexpr double list_entry_kb = 0.08;     // per upstream in the text of a list
+constexpr double hollow_list_copies = 50;  // per hollow member, including queued messages
+constexpr double real_list_copies = 70;    // per real process
 constexpr double controller_list_copies = 10;
-constexpr double sockets_kb = 120;  // of the system, for each member's connections; not measured
+constexpr double sockets_kb = 120;  // kernel memory for the connections of a member
 
-constexpr double descriptors_a_member = 130;       // of a hollow process, where the start takes no time
-constexpr double descriptors_a_start_second = 8;   // besides: of pings to members taken for gone
-constexpr double connection_seconds = 90;          // an idle connection lasts so long
-constexpr uint64_t descriptors_a_member_real = 3;  // at a leader: one way each, and questions
-constexpr uint64_t descriptors_process = 100;
+constexpr double base_descriptors_per_hollow_member = 130;  // not counting the start
+constexpr double descriptors_per_start_second = 8;          // pings to members that are considered gone
+constexpr double idle_connection_seconds = 90;              // lifetime of an idle connection
+constexpr uint64_t descriptors_per_member_real = 3;         // at a leader: a connection each way, and queries
+constexpr uint64_t base_descriptors_per_process = 100;
 
 constexpr double kb_in_mb = 1024;
 
 }  // namespace
 
-uint64_t descriptors_of_hollow_member(uint32_t members)
+uint64_t descriptors_per_hollow_member(uint32_t members)
 {
     const double start_seconds = members / starts_per_second(members);
-    return static_cast<uint64_t>(descriptors_a_member +
-                                 descriptors_a_start_second * std::min(start_seconds, connection_seconds));
+    return static_cast<uint64_t>(base_descriptors_per_hollow_member +
+                                 descriptors_per_start_second *
+                                     std::min(start_seconds, idle_connection_seconds));
 }
 
 uint32_t hollow_processes(const Options& options)
 {
     const uint32_t hollow = options.hollow();
-    // The members that are killed share a process of their own.
-    const uint32_t killed = options.trouble == Trouble::killed ? options.members / 20 : 0;
-    const auto shared = [&](uint32_t members) {
+    // The members to kill share a separate process.
+    const uint32_t killed = options.disruption == Disruption::killed ? options.members / 20 : 0;
+    const auto processes_for = [&](uint32_t members) {
         return (members + options.hollow_per_process - 1) / options.hollow_per_process;
     };
-    return shared(hollow - killed) + (killed > 0 ? 1 : 0);
+    return processes_for(hollow - killed) + (killed > 0 ? 1 : 0);
 }
 
 Estimate estimate(const Options& options)
 {
     const double members = options.members, real = options.real, hollow = options.hollow();
     const double list_mb = options.upstreams * list_entry_kb / kb_in_mb;
-    const double one_real_mb =
+    const double per_real_process_mb =
         real_process_mb + members * real_member_kb / kb_in_mb + real_list_copies * list_mb;
-    const double one_hollow_mb =
+    const double per_hollow_member_mb =
         (hollow_base_kb + members * hollow_member_kb) / kb_in_mb + hollow_list_copies * list_mb;
     Estimate needed;
     needed.processes = 1 + options.real + hollow_processes(options);
-    needed.memory_mb = controller_mb + controller_list_copies * list_mb + real * one_real_mb +
-                       hollow_processes(options) * hollow_process_mb + hollow * one_hollow_mb +
+    needed.memory_mb = controller_mb + controller_list_copies * list_mb + real * per_real_process_mb +
+                       hollow_processes(options) * hollow_process_mb + hollow * per_hollow_member_mb +
                        members * sockets_kb / kb_in_mb;
-    const uint64_t together = std::min(options.hollow(), options.hollow_per_process);
-    needed.descriptors_each =
-        descriptors_process + std::max(together * descriptors_of_hollow_member(options.members),
-                                       options.members * descriptors_a_member_real);
+    const uint64_t members_per_process = std::min(options.hollow(), options.hollow_per_process);
+    needed.descriptors_per_process =
+        base_descriptors_per_process +
+        std::max(members_per_process * descriptors_per_hollow_member(options.members),
+                 options.members * descriptors_per_member_real);
     return needed;
 }
 
-std::optional<std::string> refusal(const Estimate& needed, const MachineLimits& limits)
+std::optional<std::string> exceeded_limit(const Estimate& needed, const MachineLimits& limits)
 {
-    if (needed.processes > most_processes)
-        return "it needs " + std::to_string(needed.processes) + " processes, and " +
-               std::to_string(most_processes) + " are allowed";
-    const double allowed_mb = limits.memory_mb * most_memory_part;
+    if (needed.processes > max_processes)
+        return "the run needs " + std::to_string(needed.processes) + " processes, at most " +
+               std::to_string(max_processes) + " are allowed";
+    const double allowed_mb = limits.memory_mb * max_memory_fraction;
     if (needed.memory_mb > allowed_mb)
-        return "it needs about " + std::to_string(std::lround(needed.memory_mb)) +
-               " MB of memory, and half of the machine's are " + std::to_string(std::lround(allowed_mb)) +
+        return "the run needs about " + std::to_string(std::lround(needed.memory_mb)) +
+               " MB of memory, half of the machine's memory is " + std::to_string(std::lround(allowed_mb)) +
                " MB";
-    if (needed.descriptors_each > limits.descriptors_each)
-        return "one of its processes needs about " + std::to_string(needed.descriptors_each) +
-               " descriptors, and the system allows " + std::to_string(limits.descriptors_each);
+    if (needed.descriptors_per_process > limits.descriptors_per_process)
+        return "a process of the run needs about " + std::to_string(needed.descriptors_per_process) +
+               " file descriptors, the system allows " + std::to_string(limits.descriptors_per_process);
     return {};
 }
 
-MachineLimits claim_machine()
+MachineLimits raise_descriptor_limit()
 {
     MachineLimits limits;
     limits.memory_mb = static_cast<double>(sysconf(_SC_PHYS_PAGES)) *
@@ -98,7 +100,7 @@
     if (getrlimit(RLIMIT_NOFILE, &descriptors) != 0) return limits;
     descriptors.rlim_cur = descriptors.rlim_max;
     setrlimit(RLIMIT_NOFILE, &descriptors);
-    limits.descriptors_each = descriptors.rlim_max;
+    limits.descriptors_per_process = descriptors.rlim_max;
     return limits;
 }
 
--- a/scale/estimate.h
+++ b/scale/estimate.h
@@ -1,4 +1,4 @@
-// What a scale run will take of the machine, before it starts anything.
+// Estimates the resources that a scale run needs, before anything is started.
 #pragma once
 
 #include <optional>
@@ -10,29 +10,29 @@
 {
 
 struct Estimate {
-    uint32_t processes = 0;         // the controller too
-    double memory_mb = 0;           // of all processes and of the system's socket buffers
-    uint64_t descriptors_each = 0;  // of the process that needs the most
+    uint32_t processes = 0;                // including the controller
+    double memory_mb = 0;                  // of all processes and the kernel's socket buffers
+    uint64_t descriptors_per_process = 0;  // highest need of one process
 };
 
 struct MachineLimits {
     double memory_mb = 0;
-    uint64_t descriptors_each = 0;
+    uint64_t descriptors_per_process = 0;
 };
 
-inline constexpr uint32_t most_processes = 300;
-inline constexpr double most_memory_part = 0.5;
+inline constexpr uint32_t max_processes = 300;
+inline constexpr double max_memory_fraction = 0.5;
 
-// Most of them are connections, which last longer than the members' start takes.
-uint64_t descriptors_of_hollow_member(uint32_t members);
+// Most descriptors are connections, which stay open for longer than the start of the members takes.
+uint64_t descriptors_per_hollow_member(uint32_t members);
 
 uint32_t hollow_processes(const Options& options);
 Estimate estimate(const Options& options);
 
-// Why a run of this size is refused; nothing: it may start.
-std::optional<std::string> refusal(const Estimate& needed, const MachineLimits& limits);
+// Describes the first limit that the run would exceed; nothing if it may start.
+std::optional<std::string> exceeded_limit(const Estimate& needed, const MachineLimits& limits);
 
-// Raises this process's limit of descriptors to what the system allows, and says what there is.
-MachineLimits claim_machine();
+// Raises this process's soft limit of descriptors to the hard limit, and returns the limits of the machine.
+MachineLimits raise_descriptor_limit();
 
 }  // namespace firtide::scale
--- a/scale/fleet_view.cpp
+++ b/scale/fleet_view.cpp
@@ -15,7 +15,7 @@
     return words;
 }
 
-// The word after a name; empty where there is none.
+// The word that follows `name`; empty if there is none.
 std::string after(const std::vector<std::string>& words, std::string_view name)
 {
     for (size_t i = 0; i + 1 < words.size(); ++i)
--- a/scale/fleet_view.h
+++ b/scale/fleet_view.h
@@ -1,4 +1,4 @@
-// The answer to show-fleet, as far as a scale run needs it.
+// Decodes the parts of the answer to show-fleet that a scale run needs.
 #pragma once
 
 #include <optional>
@@ -12,14 +12,14 @@
 {
 
 struct FleetView {
-    std::string leader;  // its id; empty: none is known
+    std::string leader;  // id; empty: unknown
     uint32_t alive = 0;
     uint32_t duties = 0, duties_held = 0;
     std::vector<std::string> own_duties;
     std::optional<fleet::TrafficCounts> traffic;
 };
 
-// Nothing where the answer is not whole.
+// Returns nothing for an incomplete answer.
 std::optional<FleetView> decode_fleet_view(std::string_view answer);
 
 }  // namespace firtide::scale
--- a/scale/hollow_process.cpp
+++ b/scale/hollow_process.cpp
@@ -21,8 +21,8 @@
 namespace
 {
 
-constexpr Duration longest_delay = seconds(0.05);  // of a start: then this process has too much to do
-constexpr Duration leaves_within = seconds(0.3);   // for its last messages to go out
+constexpr Duration max_timer_delay = seconds(0.05);  // of a start; beyond it the process is overloaded
+constexpr Duration leave_timeout = seconds(0.3);     // to send the last messages
 
 class HollowMember
 {
@@ -37,19 +37,20 @@
           path_(std::move(path)),
           report_(std::move(report))
     {
-        leaving_.reset(evtimer_new(
-            base, [](evutil_socket_t, short, void* self) { static_cast<HollowMember*>(self)->end(); }, this));
+        leave_timer_.reset(evtimer_new(
+            base, [](evutil_socket_t, short, void* self) { static_cast<HollowMember*>(self)->stop(); },
+            this));
     }
     HollowMember(const HollowMember&) = delete;
 
     void join()
     {
-        if (host_) end();
+        if (host_) stop();
         fleet::Host::Hooks hooks;
         hooks.apply_endpoint_list = [this](const fleet::ApplyEndpointList& list) {
             report_(ListInForce{file_.self, list.version, fleet::fleet_now()});
         };
-        hooks.set_discovery_polling = [this](bool on) { ask_discovery(on); };
+        hooks.set_discovery_polling = [this](bool on) { set_discovery_polling(on); };
         host_.emplace(base_, file_, path_, std::move(hooks));
         host_->start();
     }
@@ -58,13 +59,16 @@
     {
         if (!host_) return;
         host_->notify(fleet::ShutdownRequested{});
-        const auto wait = to_timeval(leaves_within);
-        event_add(leaving_.get(), &wait);
+        const auto wait = to_timeval(leave_timeout);
+        event_add(leave_timer_.get(), &wait);
     }
 
-    MemberTraffic traffic() const { return {file_.self, host_ ? sum(earlier_, host_->traffic()) : earlier_}; }
+    MemberTraffic traffic() const
+    {
+        return {file_.self, host_ ? sum(previous_traffic_, host_->traffic()) : previous_traffic_};
+    }
 
-    void add_to(View& view) const
+    void add_to(HollowView& view) const
     {
         if (!host_) return;
         const auto& seen = host_->fleet();
@@ -72,24 +76,24 @@
         uint32_t held = 0;
         for (const auto& duty : file_.duties)
             held += seen.lease_client().table().entry(duty.name).holder != 0;
-        view.least_alive = view.members == 0 ? alive : std::min(view.least_alive, alive);
+        view.min_alive = view.members == 0 ? alive : std::min(view.min_alive, alive);
         view.duties_held = view.members == 0 ? held : std::min(view.duties_held, held);
         view.with_leader += seen.lease_client().leader().has_value();
         ++view.members;
     }
 
   private:
-    void end()
+    void stop()
     {
-        event_del(leaving_.get());
+        event_del(leave_timer_.get());
         if (!host_) return;
-        earlier_ = sum(earlier_, host_->traffic());
+        previous_traffic_ = sum(previous_traffic_, host_->traffic());
         discovery_.reset();
         host_.reset();
     }
 
-    // The member that holds the list asks discovery, as a balancer would.
-    void ask_discovery(bool on)
+    // The holder of the list duty polls discovery, as in a balancer.
+    void set_discovery_polling(bool on)
     {
         if (!discovery_) make_discovery();
         if (on)
@@ -117,32 +121,32 @@
     const fleet::FleetConfig file_;
     const std::string path_;
     const Report report_;
-    fleet::TrafficCounts earlier_;  // of its lives before this one
+    fleet::TrafficCounts previous_traffic_;  // before the last join
     std::optional<fleet::Host> host_;
     std::optional<net::Discovery> discovery_;
-    EventPtr leaving_;
+    EventPtr leave_timer_;
 };
 
 class HollowProcess
 {
   public:
     explicit HollowProcess(const HollowSpec& spec)
-        : first_(spec.first),
-          start_every_(spec.start_every),
+        : first_member_(spec.first_member),
+          start_interval_(spec.start_interval),
           config_(net::read_config(spec.config_path)),
           base_(event_base_new()),
           controller_(
-              base_.get(), STDIN_FILENO, [this](std::string_view line) { obey(line); },
+              base_.get(), STDIN_FILENO, [this](std::string_view line) { execute(line); },
               [this] { event_base_loopbreak(base_.get()); })
     {
-        // Read once; the members' own copies differ in who they are.
+        // Read once; the copies of the members differ only in identity, address and data directory.
         const auto file = fleet::read_fleet_config(spec.fleet_path);
-        for (size_t place = 0; place < spec.data_folders.size(); ++place) {
+        for (size_t index = 0; index < spec.data_folders.size(); ++index) {
             fleet::FleetConfig own = file;
-            own.self = spec.first + static_cast<fleet::MemberIndex>(place);
+            own.self = spec.first_member + static_cast<fleet::MemberIndex>(index);
             own.id = own.members[own.self].id;
             own.listen = own.members[own.self].address;
-            own.data = spec.data_folders[place];
+            own.data = spec.data_folders[index];
             members_.push_back(std::make_unique<HollowMember>(
                 base_.get(), config_, std::move(own), spec.fleet_path,
                 [this](const HollowReport& report) { controller_.write(encode(report)); }));
@@ -151,42 +155,42 @@
 
     void run()
     {
-        starting_.reset(event_new(
+        start_timer_.reset(event_new(
             base_.get(), -1, EV_PERSIST,
             [](evutil_socket_t, short, void* self) { static_cast<HollowProcess*>(self)->start_next(); },
             this));
-        const auto every = to_timeval(start_every_);
-        start_due_ = monotonic_now() + start_every_;
-        event_add(starting_.get(), &every);
+        const auto interval = to_timeval(start_interval_);
+        start_due_ = monotonic_now() + start_interval_;
+        event_add(start_timer_.get(), &interval);
         event_base_dispatch(base_.get());
     }
 
   private:
-    // Nobody is started while this process falls behind.
+    // Skips a start while this process falls behind.
     void start_next()
     {
         const TimePoint now = monotonic_now();
-        const bool late = now - start_due_ > longest_delay;
-        start_due_ = now + start_every_;
+        const bool late = now - start_due_ > max_timer_delay;
+        start_due_ = now + start_interval_;
         if (late) return;
-        if (started_ < members_.size()) members_[started_++]->join();
-        if (started_ < members_.size()) return;
-        event_del(starting_.get());
+        if (members_started_ < members_.size()) members_[members_started_++]->join();
+        if (members_started_ < members_.size()) return;
+        event_del(start_timer_.get());
         controller_.write(encode(Started{}));
     }
 
-    HollowMember* member(uint32_t place) const
+    HollowMember* member(uint32_t index) const
     {
-        const bool own = place >= first_ && place - first_ < members_.size();
-        return own ? members_[place - first_].get() : nullptr;
+        const bool own = index >= first_member_ && index - first_member_ < members_.size();
+        return own ? members_[index - first_member_].get() : nullptr;
     }
 
-    void obey(std::string_view line)
+    void execute(std::string_view line)
     {
         const auto command = decode_command(line);
         if (!command) return;
-        if (std::holds_alternative<SampleTraffic>(*command)) return sample();
-        if (std::holds_alternative<ShowView>(*command)) return show_view();
+        if (std::holds_alternative<SampleTraffic>(*command)) return report_traffic();
+        if (std::holds_alternative<ShowView>(*command)) return report_view();
         if (const auto* leave = std::get_if<Leave>(&*command)) {
             if (auto* one = member(leave->member)) one->leave();
         } else if (const auto* join = std::get_if<Join>(&*command)) {
@@ -194,28 +198,28 @@
         }
     }
 
-    void sample()
+    void report_traffic()
     {
         for (const auto& one : members_) controller_.write(encode(one->traffic()));
         controller_.write(encode(TrafficSampled{}));
     }
 
-    void show_view()
+    void report_view()
     {
-        View view;
+        HollowView view;
         for (const auto& one : members_) one->add_to(view);
         controller_.write(encode(view));
     }
 
-    const uint32_t first_;
-    const Duration start_every_;
+    const uint32_t first_member_;
+    const Duration start_interval_;
     const net::Config config_;
     EventBasePtr base_;
     LineStream controller_;
     std::vector<std::unique_ptr<HollowMember>> members_;
-    EventPtr starting_;
+    EventPtr start_timer_;
     TimePoint start_due_;
-    size_t started_ = 0;  // of the members
+    size_t members_started_ = 0;
 };
 
 }  // namespace
@@ -223,14 +227,15 @@
 int run_hollow_process(const std::string& spec_path)
 {
     std::signal(SIGPIPE, SIG_IGN);
-    // Ctrl-C reaches the whole group of processes; the controller alone decides when this one ends.
+    // Ctrl-C is sent to the whole process group, but only the controller decides when this process ends.
     std::signal(SIGINT, SIG_IGN);
     std::ifstream file(spec_path);
     std::stringstream text;
     text << file.rdbuf();
     const auto spec = decode_spec(text.str());
     if (!spec) {
-        std::fprintf(stderr, "firtide-scale: %s: is no description of hollow members\n", spec_path.c_str());
+        std::fprintf(stderr, "firtide-scale: %s: is not a valid specification of hollow members\n",
+                     spec_path.c_str());
         return 2;
     }
     try {
--- a/scale/hollow_process.h
+++ b/scale/hollow_process.h
@@ -1,5 +1,5 @@
-// A process of hollow members: each the fleet's own code on the wire, without a balancer round it and without
-// callers. Reports when each has a list in force.
+// A process that runs hollow members. A hollow member runs the real fleet protocol over the network, but has
+// no balancer and no callers. The process reports when each member has a list in force.
 #pragma once
 
 #include "hollow_protocol.h"
@@ -7,7 +7,8 @@
 namespace firtide::scale
 {
 
-// Until the controller closes its end. The exit status; why it could not start is on standard error.
+// Runs until the controller closes its end of the connection, and returns the exit status. An error at
+// startup is written to standard error.
 int run_hollow_process(const std::string& spec_path);
 
 }  // namespace firtide::scale
--- a/scale/hollow_protocol.cpp
+++ b/scale/hollow_protocol.cpp
@@ -9,7 +9,7 @@
 {
 
 template <class... F>
-struct Cases : F... {
+struct Overloaded : F... {
     using F::operator()...;
 };
 
@@ -21,11 +21,11 @@
     return line;
 }
 
-// Reads whole numbers, and nothing may follow them.
-class Reader
+// Parses a name followed by whole numbers. Fails if anything follows them.
+class LineParser
 {
   public:
-    explicit Reader(std::string_view line) : from_(std::string(line)) { from_ >> name_; }
+    explicit LineParser(std::string_view line) : from_(std::string(line)) { from_ >> name_; }
     const std::string& name() const { return name_; }
 
     template <class... Values>
@@ -48,9 +48,9 @@
 {
     return nlohmann::json{{"fleet_path", spec.fleet_path},
                           {"config_path", spec.config_path},
-                          {"first", spec.first},
+                          {"first", spec.first_member},
                           {"data_folders", spec.data_folders},
-                          {"start_every_us", spec.start_every.us}}
+                          {"start_every_us", spec.start_interval.us}}
         .dump();
 }
 
@@ -62,8 +62,8 @@
     try {
         spec.fleet_path = in.at("fleet_path").get<std::string>();
         spec.config_path = in.at("config_path").get<std::string>();
-        spec.first = in.at("first").get<uint32_t>();
-        spec.start_every.us = in.at("start_every_us").get<int64_t>();
+        spec.first_member = in.at("first").get<uint32_t>();
+        spec.start_interval.us = in.at("start_every_us").get<int64_t>();
         spec.data_folders = in.at("data_folders").get<std::vector<std::string>>();
     } catch (const nlohmann::json::exception&) {
         return {};
@@ -73,7 +73,7 @@
 
 std::string encode(const HollowCommand& command)
 {
-    return std::visit(Cases{
+    return std::visit(Overloaded{
                           [](const SampleTraffic&) { return std::string("sample"); },
                           [](const ShowView&) { return std::string("view"); },
                           [](const Leave& leave) { return line_of("leave", leave.member); },
@@ -84,7 +84,7 @@
 
 std::optional<HollowCommand> decode_command(std::string_view line)
 {
-    Reader in(line);
+    LineParser in(line);
     Leave leave;
     Join join;
     if (in.name() == "sample") return SampleTraffic{};
@@ -97,7 +97,7 @@
 std::string encode(const HollowReport& report)
 {
     return std::visit(
-        Cases{
+        Overloaded{
             [](const Started&) { return std::string("started"); },
             [](const ListInForce& list) { return line_of("list", list.member, list.version, list.since.us); },
             [](const MemberTraffic& traffic) {
@@ -106,8 +106,8 @@
                                counts.bytes_in, counts.bytes_out, counts.dropped);
             },
             [](const TrafficSampled&) { return std::string("sampled"); },
-            [](const View& view) {
-                return line_of("view", view.members, view.with_leader, view.least_alive, view.duties_held);
+            [](const HollowView& view) {
+                return line_of("view", view.members, view.with_leader, view.min_alive, view.duties_held);
             },
         },
         report);
@@ -115,10 +115,10 @@
 
 std::optional<HollowReport> decode_report(std::string_view line)
 {
-    Reader in(line);
+    LineParser in(line);
     ListInForce list;
     MemberTraffic traffic;
-    View view;
+    HollowView view;
     auto& counts = traffic.counts;
     if (in.name() == "started") return Started{};
     if (in.name() == "sampled") return TrafficSampled{};
@@ -126,7 +126,7 @@
     if (in.name() == "traffic" && in.read(traffic.member, counts.messages_in, counts.messages_out,
                                           counts.bytes_in, counts.bytes_out, counts.dropped))
         return traffic;
-    if (in.name() == "view" && in.read(view.members, view.with_leader, view.least_alive, view.duties_held))
+    if (in.name() == "view" && in.read(view.members, view.with_leader, view.min_alive, view.duties_held))
         return view;
     return {};
 }
--- a/scale/hollow_protocol.h
+++ b/scale/hollow_protocol.h
@@ -1,5 +1,5 @@
-// What the controller and a process of hollow members say to each other: a file that the process reads at its
-// start, and lines over its standard input and output.
+// The protocol between the controller and a process of hollow members: a specification file that the process
+// reads at startup, and lines over its standard input and output.
 #pragma once
 
 #include <optional>
@@ -16,15 +16,15 @@
 
 struct HollowSpec {
     std::string fleet_path, config_path;
-    uint32_t first = 0;  // place of the first member in the fleet file; the others follow it
-    std::vector<std::string> data_folders;  // one for each member
-    Duration start_every;                   // from the start of one member to that of the next
+    uint32_t first_member = 0;              // index in the fleet file; the others follow
+    std::vector<std::string> data_folders;  // one per member
+    Duration start_interval;                // between the starts of members
 };
 
 std::string encode_spec(const HollowSpec& spec);
 std::optional<HollowSpec> decode_spec(const std::string& text);
 
-// Commands of the controller. Members are named by their places in the fleet file.
+// Commands of the controller. Members are identified by their index in the fleet file.
 struct SampleTraffic {
 };
 struct ShowView {
@@ -49,17 +49,17 @@
     uint32_t member = 0;
     fleet::TrafficCounts counts;
 };
-struct TrafficSampled {  // after the traffic of all members
+struct TrafficSampled {  // sent after the traffic of all members
 };
-struct View {
-    uint32_t members = 0;      // that are up in this process
-    uint32_t with_leader = 0;  // of them, who know a leader
-    uint32_t least_alive = 0;  // members of the fleet that are alive, where the fewest are seen
-    uint32_t duties_held = 0;  // where the fewest are seen
+struct HollowView {
+    uint32_t members = 0;      // running in this process
+    uint32_t with_leader = 0;  // that know a leader
+    uint32_t min_alive = 0;    // lowest count of alive members that a member sees
+    uint32_t duties_held = 0;  // lowest count that a member sees
 };
-using HollowReport = std::variant<Started, ListInForce, MemberTraffic, TrafficSampled, View>;
+using HollowReport = std::variant<Started, ListInForce, MemberTraffic, TrafficSampled, HollowView>;
 
-// Lines without their end; nothing: it is no such line.
+// Lines have no line terminator. Decoding returns nothing for an invalid line.
 std::string encode(const HollowCommand& command);
 std::string encode(const HollowReport& report);
 std::optional<HollowCommand> decode_command(std::string_view line);
--- a/scale/latency.cpp
+++ b/scale/latency.cpp
@@ -26,7 +26,7 @@
 
 constexpr double nanoseconds_per_millisecond = 1e6;
 constexpr int exit_interrupted = 130;
-constexpr const char* what_added_is =
+constexpr const char* added_latency_definition =
     "difference of quantiles (through a balancer minus direct), not quantile of differences; latency is "
     "counted "
     "from the intended time to the last byte of the answer";
@@ -46,8 +46,8 @@
     return {milliseconds_at(histogram, 0.5), milliseconds_at(histogram, 0.99)};
 }
 
-// The runs of one way, direct or through.
-struct Way {
+// Results of the runs on one path: direct, or through a balancer.
+struct CallPath {
     LoadTarget target;
     Histogram latencies;
     uint64_t answered = 0, failed = 0;
@@ -83,7 +83,7 @@
     return text;
 }
 
-std::string program_beside_this_one()
+std::string default_program()
 {
     return (std::filesystem::read_symlink("/proc/self/exe").parent_path() / "firtide").string();
 }
@@ -118,7 +118,7 @@
             {"duties_of_the_measured_balancer", result.duties}};
 }
 
-ordered_json record_of_run(const LatencyOptions& options)
+ordered_json encode_run_parameters(const LatencyOptions& options)
 {
     return {{"command", options.command},
             {"seed", options.seed},
@@ -130,7 +130,7 @@
             {"service_ms", options.service_ms},
             {"fleet_members", options.members},
             {"cores", std::thread::hardware_concurrency()},
-            {"added_is", what_added_is}};
+            {"added_is", added_latency_definition}};
 }
 
 void print_summary(const char* what, const LatencyResult& result)
@@ -158,7 +158,7 @@
 
 ordered_json measure_all(const LatencyOptions& options)
 {
-    ordered_json record{{"run", record_of_run(options)}};
+    ordered_json record{{"run", encode_run_parameters(options)}};
     record["run"]["started"] = utc_now();
     record["run"]["load_average_before"] = load_average();
     record["rates"] = ordered_json::array();
@@ -180,7 +180,7 @@
     return record;
 }
 
-void end_at_signals()
+void install_signal_handlers()
 {
     for (const int number : {SIGINT, SIGTERM}) std::signal(number, [](int) { interrupted = true; });
 }
@@ -198,18 +198,18 @@
 
 LatencyResult measure_rate(const LatencyOptions& options, double calls_per_second, size_t chain)
 {
-    TestBedPlan plan;
-    plan.program = options.program.empty() ? program_beside_this_one() : options.program;
-    plan.upstreams = options.upstreams;
-    plan.changes_per_second = options.changes_per_second;
-    plan.service_time = seconds(options.service_ms / 1000);
-    plan.members = chain > 0 ? 0 : options.members;
-    plan.chain = std::max<size_t>(chain, 1);
-    plan.seed = options.seed;
-    const TestBed bed(plan);
-    Way direct, through;
+    TestBedConfig bed_config;
+    bed_config.program = options.program.empty() ? default_program() : options.program;
+    bed_config.upstreams = options.upstreams;
+    bed_config.changes_per_second = options.changes_per_second;
+    bed_config.service_time = seconds(options.service_ms / 1000);
+    bed_config.members = chain > 0 ? 0 : options.members;
+    bed_config.chain = std::max<size_t>(chain, 1);
+    bed_config.seed = options.seed;
+    const TestBed bed(bed_config);
+    CallPath direct, through;
     direct.target.ports = bed.upstream_ports();
-    through.target.ports = {bed.entry_port()};
+    through.target.ports = {bed.called_port()};
     std::vector<double> added_p50, added_p99;
     for (size_t round = 0; round < options.rounds && !interrupted; ++round) {
         const auto without = direct.run(options, calls_per_second, round);
@@ -230,13 +230,13 @@
     result.direct_answered = direct.answered;
     result.direct_failed = direct.failed;
     result.list_changes = bed.list_changes();
-    if (plan.members > 0) result.duties = bed.held_duties();
+    if (bed_config.members > 0) result.duties = bed.held_duties();
     return result;
 }
 
 int measure_latency(const LatencyOptions& options)
 {
-    end_at_signals();
+    install_signal_handlers();
     try {
         const auto record = measure_all(options);
         if (interrupted) return exit_interrupted;
@@ -251,42 +251,46 @@
 void add_latency_options(CLI::App& app, LatencyOptions& options)
 {
     constexpr double most_calls_per_second = 100'000;
-    app.add_option("--rate", options.rates, "calls a second; several are measured one after the other")
+    app.add_option("--rate", options.rates,
+                   "calls per second; several rates are measured one after the other")
         ->check(CLI::Range(1.0, most_calls_per_second))
         ->capture_default_str();
-    app.add_option("--rounds", options.rounds, "direct and through runs in alternation")
+    app.add_option("--rounds", options.rounds,
+                   "number of rounds, each with a direct run and a run through the balancer")
         ->check(CLI::Range(1, 1000))
         ->capture_default_str();
-    app.add_option("--seconds", options.seconds, "of each run")
+    app.add_option("--seconds", options.seconds, "length of each run in seconds")
         ->check(CLI::Range(0.1, 3600.0))
         ->capture_default_str();
     app.add_option("--warm-up", options.warm_up, "seconds at the start of each run that are not recorded")
         ->check(CLI::Range(0.0, 60.0))
         ->capture_default_str();
-    app.add_option("--seed", options.seed, "of the arrivals and the changes")->capture_default_str();
+    app.add_option("--seed", options.seed, "seed of the arrivals and of the list changes")
+        ->capture_default_str();
     app.add_option("--upstreams", options.upstreams)->check(CLI::Range(1, 200))->capture_default_str();
-    app.add_option("--changes-per-second", options.changes_per_second, "of the list of upstreams")
+    app.add_option("--changes-per-second", options.changes_per_second,
+                   "changes of the list of upstreams per second")
         ->check(CLI::Range(0.0, 100.0))
         ->capture_default_str();
-    app.add_option("--service-ms", options.service_ms, "until an upstream answers")
+    app.add_option("--service-ms", options.service_ms, "time until an upstream answers, in milliseconds")
         ->check(CLI::Range(0.0, 500.0))
         ->capture_default_str();
     app.add_option("--fleet", options.members, "members of the fleet; 0: a balancer without a fleet")
         ->check(CLI::IsMember({0, 3, 5, 7}))
         ->capture_default_str();
-    app.add_option("--chain", options.chain, "also measure so many balancers in a row; 0: do not")
+    app.add_option("--chain", options.chain, "length of an additional chain of balancers to measure; 0: none")
         ->check(CLI::Range(0, 32))
         ->capture_default_str();
-    app.add_option("--chain-rate", options.chain_rate, "calls a second through the chain")
+    app.add_option("--chain-rate", options.chain_rate, "calls per second through the chain")
         ->check(CLI::Range(1.0, most_calls_per_second))
         ->capture_default_str();
-    app.add_option("--program", options.program, "firtide; the one beside this program if absent");
-    app.add_option("--json", options.json, "the file to write; standard output if absent");
+    app.add_option("--program", options.program, "path of firtide; by default beside this program");
+    app.add_option("--json", options.json, "path of the result; by default standard output");
 }
 
 void add_latency_command(CLI::App& app)
 {
-    auto* command = app.add_subcommand("latency", "measure what a balancer adds to a call");
+    auto* command = app.add_subcommand("latency", "measure the latency that a balancer adds to a call");
     const auto options = std::make_shared<LatencyOptions>();
     add_latency_options(*command, *options);
     command->callback([options, command] {
--- a/scale/latency_main.cpp
+++ b/scale/latency_main.cpp
@@ -1,4 +1,4 @@
-// firtide-latency: what a balancer adds to a call.
+// firtide-latency: measures the latency that a balancer adds to a call.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 
@@ -22,7 +22,7 @@
 
 int main(int argc, char** argv)
 {
-    CLI::App app("measures what a balancer adds to a call, on loopback");
+    CLI::App app("measures the latency that a balancer adds to a call, on loopback");
     firtide::scale::LatencyOptions options;
     firtide::scale::add_latency_options(app, options);
     try {
--- a/scale/layout.cpp
+++ b/scale/layout.cpp
@@ -15,55 +15,55 @@
 namespace
 {
 
-// Below those that the system deals out to outgoing connections.
-constexpr uint16_t first_port = 12'000, last_port = 32'000, ports_each = 4;
-constexpr uint16_t serve_offset = 1, door_offset = 2, upstream_offset = 3;
+// Below the ephemeral port range of the kernel.
+constexpr uint16_t first_port = 12'000, last_port = 32'000, ports_per_run = 4;
+constexpr uint16_t serve_offset = 1, management_offset = 2, upstream_offset = 3;
 constexpr uint32_t hosts_per_byte = 250;
 constexpr int member_network = 1, upstream_network = 2;
-// Each start goes to all members over each link. Guards against more of that than the machine can carry:
-// whoever falls behind is suspected, which goes to all again.
+// The news of each start is sent to all members over each link. The limit keeps this traffic within what the
+// machine can handle: a member that falls behind is suspected, and that news is sent to all members again.
 constexpr double start_messages_per_second = 16'000;
-constexpr const char* claimed_host = "127.1.255.254";
+constexpr const char* reservation_host = "127.1.255.254";
 
-// A loopback address for each: a machine of its own, as far as ports go.
-std::string host_of(int network, uint32_t place)
+// Every member and upstream has its own loopback address, so that all can use the same ports.
+std::string host_of(int network, uint32_t index)
 {
-    return "127." + std::to_string(network) + "." + std::to_string(place / hosts_per_byte) + "." +
-           std::to_string(place % hosts_per_byte + 1);
+    return "127." + std::to_string(network) + "." + std::to_string(index / hosts_per_byte) + "." +
+           std::to_string(index % hosts_per_byte + 1);
 }
 
-std::string address_of(int network, uint32_t place, int port)
+std::string address_of(int network, uint32_t index, int port)
 {
-    return host_of(network, place) + ":" + std::to_string(port);
+    return host_of(network, index) + ":" + std::to_string(port);
 }
 
 sockaddr_in socket_address(const std::string& host, uint16_t port)
 {
-    sockaddr_in at{};
-    at.sin_family = AF_INET;
-    at.sin_port = htons(port);
-    inet_pton(AF_INET, host.c_str(), &at.sin_addr);
-    return at;
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_port = htons(port);
+    inet_pton(AF_INET, host.c_str(), &address.sin_addr);
+    return address;
 }
 
 }  // namespace
 
 double starts_per_second(uint32_t members) { return start_messages_per_second / members; }
 
-std::optional<PortClaim> PortClaim::claim()
+std::optional<PortReservation> PortReservation::reserve()
 {
-    for (uint16_t port = first_port; port < last_port; port = static_cast<uint16_t>(port + ports_each)) {
+    for (uint16_t port = first_port; port < last_port; port = static_cast<uint16_t>(port + ports_per_run)) {
         Descriptor socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-        const auto at = socket_address(claimed_host, port);
-        if (bind(socket.fd(), reinterpret_cast<const sockaddr*>(&at), sizeof at) == 0)
-            return PortClaim(std::move(socket), port);
+        const auto address = socket_address(reservation_host, port);
+        if (bind(socket.fd(), reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0)
+            return PortReservation(std::move(socket), port);
     }
     return {};
 }
 
 TemporaryFolder::TemporaryFolder() : path_(std::filesystem::temp_directory_path() / "firtide-scale-XXXXXX")
 {
-    if (!mkdtemp(path_.data())) throw std::runtime_error("no folder can be made at " + path_);
+    if (!mkdtemp(path_.data())) throw std::runtime_error("cannot create a temporary directory at " + path_);
 }
 
 TemporaryFolder::~TemporaryFolder()
@@ -76,7 +76,7 @@
     : options_(options), folder_(std::move(folder)), port_(port), discovery_port_(discovery_port)
 {
     uint32_t next = options.real;
-    if (options.trouble == Trouble::killed) {
+    if (options.disruption == Disruption::killed) {
         const uint32_t killed = options.members / 20;
         groups_.push_back({next, killed});
         next += killed;
@@ -95,9 +95,9 @@
     return address_of(member_network, member, port_ + serve_offset);
 }
 
-sockaddr_in Layout::door(uint32_t member) const
+sockaddr_in Layout::management_address(uint32_t member) const
 {
-    return socket_address(host_of(member_network, member), static_cast<uint16_t>(port_ + door_offset));
+    return socket_address(host_of(member_network, member), static_cast<uint16_t>(port_ + management_offset));
 }
 
 std::string Layout::upstream_address(uint32_t upstream) const
@@ -105,9 +105,9 @@
     return address_of(upstream_network, upstream, port_ + upstream_offset);
 }
 
-std::string Layout::data_folder(uint32_t member) const { return folder_ + "/data-" + id_of(member); }
-std::string Layout::config_path(uint32_t member) const { return folder_ + "/" + id_of(member) + ".json"; }
-std::string Layout::fleet_path(uint32_t member) const { return folder_ + "/" + id_of(member) + ".toml"; }
+std::string Layout::data_folder(uint32_t member) const { return folder_ + "/data-" + member_id(member); }
+std::string Layout::config_path(uint32_t member) const { return folder_ + "/" + member_id(member) + ".json"; }
+std::string Layout::fleet_path(uint32_t member) const { return folder_ + "/" + member_id(member) + ".toml"; }
 
 std::string Layout::spec_path(size_t group) const
 {
@@ -121,12 +121,12 @@
 
 std::string Layout::fleet_file(uint32_t member) const
 {
-    std::string text = "[fleet]\nname = \"scale\"\nid = \"" + id_of(member) + "\"\nlisten = \"" +
+    std::string text = "[fleet]\nname = \"scale\"\nid = \"" + member_id(member) + "\"\nlisten = \"" +
                        fleet_address(member) + "\"\ndata = \"" + data_folder(member) + "\"\n";
     for (uint32_t other = 0; other < options_.members; ++other) {
-        text += "[[member]]\nid = \"" + id_of(other) + "\"\naddress = \"" + fleet_address(other) +
+        text += "[[member]]\nid = \"" + member_id(other) + "\"\naddress = \"" + fleet_address(other) +
                 "\"\nzone = \"z" + std::to_string(other % options_.zones) + "\"\n";
-        if (votes(other)) text += "voter = true\n";
+        if (is_voter(other)) text += "voter = true\n";
     }
     for (uint32_t duty = 0; duty < options_.duties; ++duty)
         text += "[[duty]]\nname = \"d" + std::to_string(duty + 1) + "\"\n";
@@ -145,8 +145,8 @@
                               {"may_probe", false}};
     const ordered_json operation{{"name", "safe"}, {"repeat", "free"}, {"client_timeout_us", 1'000'000}};
     const ordered_json settings{{"operations", ordered_json::array({operation})}, {"policy_limits", limits}};
-    const auto door = host_of(member_network, member) + ":" + std::to_string(port_ + door_offset);
-    return ordered_json{{"name", id_of(member)},
+    const auto door = host_of(member_network, member) + ":" + std::to_string(port_ + management_offset);
+    return ordered_json{{"name", member_id(member)},
                         {"listen", serve_address(member)},
                         {"discovery", "127.0.0.1:" + std::to_string(discovery_port_)},
                         {"mgmt", door},
@@ -163,14 +163,15 @@
     };
     for (uint32_t member = 0; member < options_.real; ++member) write_member(member);
     for (size_t group = 0; group < groups_.size(); ++group) {
-        write_member(groups_[group].first);
+        write_member(groups_[group].first_member);
         HollowSpec spec;
-        spec.fleet_path = fleet_path(groups_[group].first);
-        spec.config_path = config_path(groups_[group].first);
-        spec.first = groups_[group].first;
-        spec.start_every = seconds(static_cast<double>(groups_.size()) / starts_per_second(options_.members));
-        for (uint32_t place = 0; place < groups_[group].count; ++place)
-            spec.data_folders.push_back(data_folder(groups_[group].first + place));
+        spec.fleet_path = fleet_path(groups_[group].first_member);
+        spec.config_path = config_path(groups_[group].first_member);
+        spec.first_member = groups_[group].first_member;
+        spec.start_interval =
+            seconds(static_cast<double>(groups_.size()) / starts_per_second(options_.members));
+        for (uint32_t index = 0; index < groups_[group].count; ++index)
+            spec.data_folders.push_back(data_folder(groups_[group].first_member + index));
         std::ofstream(spec_path(group)) << encode_spec(spec);
     }
 }
--- a/scale/layout.h
+++ b/scale/layout.h
@@ -1,4 +1,4 @@
-// Who is who in a scale run, where each listens, and the files that the processes read.
+// The members of a scale run, their roles, addresses and configuration files.
 #pragma once
 
 #include <netinet/in.h>
@@ -13,22 +13,23 @@
 namespace firtide::scale
 {
 
-// A port that this run alone uses on all its loopback addresses, for as long as this lives.
-class PortClaim
+// Reserves a range of ports on all loopback addresses of a run, so that concurrent runs do not collide.
+// Released by the destructor.
+class PortReservation
 {
   public:
-    // Nothing where all are taken.
-    static std::optional<PortClaim> claim();
+    // Nothing if all ranges are taken.
+    static std::optional<PortReservation> reserve();
     uint16_t port() const { return port_; }
 
   private:
-    PortClaim(Descriptor socket, uint16_t port) : socket_(std::move(socket)), port_(port) {}
+    PortReservation(Descriptor socket, uint16_t port) : socket_(std::move(socket)), port_(port) {}
 
     Descriptor socket_;
     uint16_t port_;
 };
 
-// A folder that goes with its owner.
+// A temporary directory that the destructor removes.
 class TemporaryFolder
 {
   public:
@@ -41,12 +42,12 @@
     std::string path_;
 };
 
-// Of hollow members, all processes together.
+// Rate at which hollow members are started, over all processes.
 double starts_per_second(uint32_t members);
 
-// The members that share a hollow process: their places in the fleet file, one after the other.
+// Members that share a hollow process: consecutive indexes in the fleet file.
 struct HollowGroup {
-    uint32_t first = 0, count = 0;
+    uint32_t first_member = 0, count = 0;
 };
 
 class Layout
@@ -56,12 +57,12 @@
 
     uint32_t members() const { return options_.members; }
     uint32_t real() const { return options_.real; }
-    bool votes(uint32_t member) const { return member < options_.voters; }
+    bool is_voter(uint32_t member) const { return member < options_.voters; }
     uint16_t port() const { return port_; }
 
-    static std::string id_of(uint32_t member) { return "b" + std::to_string(member + 1); }
+    static std::string member_id(uint32_t member) { return "b" + std::to_string(member + 1); }
     std::string fleet_address(uint32_t member) const;
-    sockaddr_in door(uint32_t member) const;
+    sockaddr_in management_address(uint32_t member) const;
     std::string upstream_address(uint32_t upstream) const;
     std::string data_folder(uint32_t member) const;
 
@@ -69,10 +70,10 @@
     std::string fleet_path(uint32_t member) const;
     std::string spec_path(size_t group) const;
     std::string log_path(size_t group) const;
-    // Where members are killed the first group is made of these.
+    // With the disruption `killed`, the first group consists of the members to kill.
     const std::vector<HollowGroup>& groups() const { return groups_; }
 
-    // Of all real members, and of the first member of each hollow group.
+    // Writes the files of all real members and of the first member of each hollow group.
     void write_files() const;
 
   private:
--- a/scale/line_stream.cpp
+++ b/scale/line_stream.cpp
@@ -9,7 +9,7 @@
 
 LineStream::LineStream(event_base* base, int descriptor, std::function<void(std::string_view)> line,
                        std::function<void()> ended)
-    : line_(std::move(line)), ended_(std::move(ended))
+    : on_line_(std::move(line)), on_closed_(std::move(ended))
 {
     evutil_make_socket_nonblocking(descriptor);
     stream_.reset(bufferevent_socket_new(base, descriptor, BEV_OPT_CLOSE_ON_FREE));
@@ -18,7 +18,7 @@
         nullptr,
         [](bufferevent*, short what, void* self) {
             const auto* stream = static_cast<LineStream*>(self);
-            if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR) && stream->ended_) stream->ended_();
+            if (what & (BEV_EVENT_EOF | BEV_EVENT_ERROR) && stream->on_closed_) stream->on_closed_();
         },
         this);
     bufferevent_enable(stream_.get(), EV_READ | EV_WRITE);
@@ -34,7 +34,7 @@
 {
     size_t length = 0;
     while (char* line = evbuffer_readln(bufferevent_get_input(stream_.get()), &length, EVBUFFER_EOL_LF)) {
-        line_({line, length});
+        on_line_({line, length});
         std::free(line);
     }
 }
--- a/scale/line_stream.h
+++ b/scale/line_stream.h
@@ -1,4 +1,4 @@
-// Lines over a descriptor, both ways.
+// Sends and receives lines over a descriptor.
 #pragma once
 
 #include <functional>
@@ -13,19 +13,20 @@
 class LineStream
 {
   public:
-    // Owns the descriptor. ended: the other side has closed, or the descriptor failed; may be empty.
+    // Takes ownership of the descriptor. `ended` is called when the peer closes or the descriptor fails; it
+    // may be empty.
     LineStream(event_base* base, int descriptor, std::function<void(std::string_view)> line,
                std::function<void()> ended = {});
     LineStream(const LineStream&) = delete;
 
-    void write(const std::string& line);  // its end is added
+    void write(const std::string& line);  // appends the line terminator
 
   private:
     void read_lines();
 
     BuffereventPtr stream_;
-    std::function<void(std::string_view)> line_;
-    std::function<void()> ended_;
+    std::function<void(std::string_view)> on_line_;
+    std::function<void()> on_closed_;
 };
 
 }  // namespace firtide::scale
--- a/scale/load_generator.cpp
+++ b/scale/load_generator.cpp
@@ -27,14 +27,14 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr size_t most_connections = 512;
-constexpr int most_events = 256;
+constexpr size_t max_connections = 512;
+constexpr int max_events = 256;
 constexpr size_t read_size = 16 * 1024;
-constexpr Nanoseconds wait_for_last_answers = std::chrono::seconds(12);
+constexpr Nanoseconds final_answer_timeout = std::chrono::seconds(12);
 constexpr int good_status = 200;
 constexpr const char* call_deadline_ms = "10000";
 
-// A connection to one of the ports, with at most one call at a time.
+// A connection to one of the ports, with at most one call in flight.
 struct Connection {
     Connection(int fd, size_t port_index, const ServiceConfig& setup)
         : socket(fd), port(port_index), reader(std::make_unique<ResponseReader>(setup))
@@ -57,7 +57,7 @@
     LoadGenerator(const LoadTarget& target, OpenLoop& loop)
         : target_(target), loop_(loop), idle_(target.ports.size()), poll_(epoll_create1(EPOLL_CLOEXEC))
     {
-        if (poll_.fd() < 0) throw std::runtime_error("no epoll descriptor");
+        if (poll_.fd() < 0) throw std::runtime_error("cannot create an epoll descriptor");
     }
 
     void run()
@@ -77,7 +77,7 @@
     {
         if (loop_.next_due()) return false;
         if (loop_.outstanding() == 0) return true;
-        if (!give_up_at_) give_up_at_ = now() + wait_for_last_answers;
+        if (!give_up_at_) give_up_at_ = now() + final_answer_timeout;
         return now() >= *give_up_at_;
     }
 
@@ -89,7 +89,7 @@
             idle_[port].pop_back();
             return send_call(connection, call);
         }
-        if (connections_.size() >= most_connections) {
+        if (connections_.size() >= max_connections) {
             waiting_.push_back(call);
             return;
         }
@@ -128,7 +128,7 @@
         send_rest(connection);
     }
 
-    // What cannot be sent now is sent when the socket becomes writable; an error shows when it is read.
+    // Bytes that cannot be sent now are sent when the socket becomes writable. Errors are detected by read().
     static void send_rest(Connection& connection)
     {
         if (connection.unsent.empty()) return;
@@ -143,13 +143,13 @@
         const auto span = std::max(Nanoseconds{}, until - now());
         const auto whole_seconds = std::chrono::duration_cast<std::chrono::seconds>(span);
         const timespec timeout{whole_seconds.count(), (span - whole_seconds).count()};
-        std::array<epoll_event, most_events> events;
-        const int count = epoll_pwait2(poll_.fd(), events.data(), most_events, &timeout, nullptr);
+        std::array<epoll_event, max_events> events;
+        const int count = epoll_pwait2(poll_.fd(), events.data(), max_events, &timeout, nullptr);
         for (int i = 0; i < count; ++i)
-            ready(*static_cast<Connection*>(events[static_cast<size_t>(i)].data.ptr));
+            handle_event(*static_cast<Connection*>(events[static_cast<size_t>(i)].data.ptr));
     }
 
-    void ready(Connection& connection)
+    void handle_event(Connection& connection)
     {
         send_rest(connection);
         switch (read(connection)) {
@@ -215,8 +215,8 @@
     Clock::time_point start_;
     std::optional<Nanoseconds> give_up_at_;
     std::list<Connection> connections_;
-    std::vector<std::vector<Connection*>> idle_;  // of each port
-    std::deque<Call> waiting_;                    // for a connection
+    std::vector<std::vector<Connection*>> idle_;  // by port index
+    std::deque<Call> waiting_;                    // for a free connection
     Descriptor poll_;
 };
 
--- a/scale/load_generator.h
+++ b/scale/load_generator.h
@@ -15,12 +15,12 @@
 extern std::atomic<bool> interrupted;
 
 struct LoadTarget {
-    std::vector<uint16_t> ports;  // called in turn
-    std::string call_id_prefix;   // keeps the ids of runs apart
+    std::vector<uint16_t> ports;  // used in rotation
+    std::string call_id_prefix;   // makes request ids unique across runs
 };
 
 // Sends until all calls of the loop are answered or have failed, or until `interrupted`. Calls that are
-// unanswered twelve seconds after the last one was due have failed.
+// unanswered twelve seconds after the last call was due count as failed.
 void generate_load(const LoadTarget& target, OpenLoop& loop);
 
 }  // namespace firtide::scale
--- a/scale/main.cpp
+++ b/scale/main.cpp
@@ -1,4 +1,5 @@
-// firtide-scale: starts a fleet of many members on this machine, measures what each spends, and ends it.
+// firtide-scale: starts a fleet of many members on this machine, measures the resource usage of each, and
+// stops it.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
@@ -39,7 +40,7 @@
            fault.message;
 }
 
-// Told before anything starts: a run takes minutes.
+// Checked before anything starts, as a run takes minutes.
 bool can_write(const std::string& path)
 {
     if (path.empty()) return true;
@@ -57,14 +58,15 @@
     return 1;
 }
 
-int run(const std::string& experiment_path, const std::vector<scale::Word>& words, const std::string& command)
+int run(const std::string& experiment_path, const std::vector<scale::NamedValue>& values,
+        const std::string& command)
 {
     std::stringstream experiment;
     if (!experiment_path.empty()) {
         std::ifstream file(experiment_path);
         if (!file || !(experiment << file.rdbuf())) return refuse(experiment_path + ": cannot be read");
     }
-    const auto decoded = scale::decode_options(experiment.str(), words);
+    const auto decoded = scale::decode_options(experiment.str(), values);
     if (const auto* fault = std::get_if<ConfigError>(&decoded))
         return refuse(to_string(*fault, experiment_path));
     const auto& options = std::get<scale::Options>(decoded);
@@ -73,7 +75,7 @@
     const auto own_program = std::filesystem::read_symlink("/proc/self/exe").string();
     const auto outcome = scale::run_scale(options, command, own_program);
     if (const auto* failed = std::get_if<scale::RunFailure>(&outcome)) {
-        std::fprintf(stderr, "firtide-scale: %s\n", failed->what.c_str());
+        std::fprintf(stderr, "firtide-scale: %s\n", failed->message.c_str());
         return failed->exit_status;
     }
     return write_result(std::get<scale::Result>(outcome));
@@ -83,18 +85,19 @@
 
 int main(int argc, char** argv)
 {
-    CLI::App app("firtide-scale, fleets of many members on one machine");
+    CLI::App app("measures fleets of many members on one machine");
     app.require_subcommand(1);
-    auto* run_command = app.add_subcommand("run", "start a fleet, measure it, end it");
+    auto* run_command = app.add_subcommand("run", "start a fleet, measure it and stop it");
     std::string experiment_path;
-    std::vector<scale::Word> words;
-    run_command->add_option("--experiment", experiment_path, "a TOML file with these options as its keys");
-    for (const auto& option : scale::option_names())
+    std::vector<scale::NamedValue> values;
+    run_command->add_option("--experiment", experiment_path,
+                            "path of a TOML file with these options as keys");
+    for (const auto& option : scale::option_help())
         run_command->add_option_function<std::string>(
             "--" + option.name,
-            [&words, name = option.name](const std::string& value) { words.emplace_back(name, value); },
+            [&values, name = option.name](const std::string& value) { values.emplace_back(name, value); },
             option.description);
-    // Started by the controller alone.
+    // Internal: only the controller runs this command.
     auto* hollow_command = app.add_subcommand("hollow", "")->group("");
     std::string spec_path;
     hollow_command->add_option("spec", spec_path)->required();
@@ -106,7 +109,7 @@
     }
     try {
         if (hollow_command->parsed()) return scale::run_hollow_process(spec_path);
-        return run(experiment_path, words, command_of(argc, argv));
+        return run(experiment_path, values, command_of(argc, argv));
     } catch (const std::exception& e) {
         std::fprintf(stderr, "firtide-scale: %s\n", e.what());
         return 1;
--- a/scale/open_loop.cpp
+++ b/scale/open_loop.cpp
@@ -15,26 +15,27 @@
 
 Nanoseconds ArrivalSchedule::next()
 {
-    // From 53 bits, in place of std::exponential_distribution, whose numbers differ between libraries.
+    // Draws 53 bits itself, as the results of std::exponential_distribution differ between standard
+    // libraries.
     const double uniform = static_cast<double>(random_() >> 11) * 0x1p-53;
     at_ns_ += -std::log1p(-uniform) * mean_gap_ns_;
     return Nanoseconds(static_cast<int64_t>(at_ns_));
 }
 
 OpenLoop::OpenLoop(ArrivalSchedule schedule, Nanoseconds length, Nanoseconds warm_up)
-    : schedule_(schedule), length_(length), warm_up_(warm_up), next_(schedule_.next())
+    : schedule_(schedule), duration_(length), warm_up_(warm_up), next_(schedule_.next())
 {
 }
 
 std::optional<Nanoseconds> OpenLoop::next_due() const
 {
-    if (next_ >= length_) return {};
+    if (next_ >= duration_) return {};
     return next_;
 }
 
 std::optional<Call> OpenLoop::take_due(Nanoseconds now)
 {
-    if (next_ >= length_ || next_ > now) return {};
+    if (next_ >= duration_ || next_ > now) return {};
     const Call call{taken_++, next_};
     next_ = schedule_.next();
     return call;
--- a/scale/open_loop.h
+++ b/scale/open_loop.h
@@ -1,6 +1,6 @@
-// An open-loop load: calls are due at intended times that no answer can delay, and each latency is counted
-// from the intended time. A sender that stalls thus adds its stall to every call that it sends late (no
-// coordinated omission). Pure: the caller supplies the clock.
+// An open-loop load: calls are due at intended times that do not depend on answers, and each latency is
+// counted from the intended time. A stall of the sender thus adds to the latency of every call that it sends
+// late, which avoids coordinated omission. The caller supplies the clock.
 #pragma once
 
 #include <chrono>
@@ -22,7 +22,7 @@
   public:
     ArrivalSchedule(double calls_per_second, uint64_t seed);
 
-    // The time of the next arrival since the start.
+    // Time of the next arrival, relative to the start.
     Nanoseconds next();
 
   private:
@@ -39,20 +39,20 @@
     Nanoseconds intended{};
 };
 
-// The calls of one run, which times count from. Calls intended before `warm_up` is over are sent but not
-// recorded.
+// The calls of one run. Times are relative to its start. Calls intended before `warm_up` is over are sent but
+// their latencies are not recorded.
 class OpenLoop
 {
   public:
     OpenLoop(ArrivalSchedule schedule, Nanoseconds length, Nanoseconds warm_up);
 
-    // When the next call is due; nothing once all have been taken.
+    // Time at which the next call is due; nothing once all have been taken.
     std::optional<Nanoseconds> next_due() const;
     // The next call, if it is due.
     std::optional<Call> take_due(Nanoseconds now);
-    // The last byte of a good answer came.
+    // Records that the last byte of a successful answer was received.
     void answered(const Call& call, Nanoseconds now);
-    // The call got another status, or none: its connection failed, or no answer came.
+    // Records a call with an error status, or with none if its connection failed or no answer was received.
     void failed(int status = no_answer);
 
     uint64_t taken() const { return taken_; }
@@ -65,7 +65,7 @@
 
   private:
     ArrivalSchedule schedule_;
-    Nanoseconds length_, warm_up_, next_;
+    Nanoseconds duration_, warm_up_, next_;
     uint64_t taken_ = 0, answered_ = 0, failed_ = 0;
     FailureCounts failures_;
     Histogram latencies_;
--- a/scale/options.cpp
+++ b/scale/options.cpp
@@ -11,49 +11,49 @@
 namespace
 {
 
-constexpr uint32_t most_members = 2000, most_upstreams = 40'000, most_duties = 400, most_zones = 64;
-constexpr uint32_t most_hollow_per_process = 150;
-constexpr uint32_t usual_hollow_per_process = 100;
-constexpr uint64_t most_hollow_descriptors =
-    19'000;  // that a process may have, on the systems that this runs on
-constexpr double most_changes_per_second = 100, most_restarts_per_second = 50, most_seconds = 3600;
-constexpr uint32_t upstreams_per_service = 18;  // as planned: 37,000 upstreams in 2,000 services
-constexpr double killed_part = 0.05;
+constexpr uint32_t max_members = 2000, max_upstreams = 40'000, max_duties = 400, max_zones = 64;
+constexpr uint32_t max_hollow_per_process = 150;
+constexpr uint32_t default_hollow_per_process = 100;
+constexpr uint64_t max_hollow_descriptors = 19'000;  // per process, on the systems that this runs on
+constexpr double max_changes_per_second = 100, max_restarts_per_second = 50, max_seconds = 3600;
+constexpr uint32_t upstreams_per_service = 18;  // the plan has 37,000 upstreams in 2,000 services
+constexpr double killed_fraction = 0.05;
 
 struct CountOption {
     const char* name;
     const char* description;
     uint32_t Options::*value;
-    uint32_t least, most;
+    uint32_t min, max;
 };
 
 constexpr CountOption count_options[] = {
-    {"members", "members of the fleet", &Options::members, 1, most_members},
-    {"real", "of them, processes of the program; the others are hollow", &Options::real, 1, 250},
-    {"voters", "of the real ones: 3, 5 or 7", &Options::voters, 3, 7},
+    {"members", "members of the fleet", &Options::members, 1, max_members},
+    {"real", "members that run the program under test; the others are hollow", &Options::real, 1, 250},
+    {"voters", "voting members, among the real ones: 3, 5 or 7", &Options::voters, 3, 7},
     {"upstreams", "entries of the discovery list; 0: as many as members", &Options::upstreams, 0,
-     most_upstreams},
-    {"services", "that the upstreams belong to; 0: one for 18 upstreams", &Options::services, 0,
-     most_upstreams},
-    {"duties", "beside the list", &Options::duties, 0, most_duties},
-    {"zones", "that the members are spread over", &Options::zones, 1, most_zones},
-    {"hollow-per-process", "hollow members that share a process; 0: by their descriptors",
-     &Options::hollow_per_process, 0, most_hollow_per_process},
-    {"seed", "of whatever is drawn", &Options::seed, 0, UINT32_MAX},
+     max_upstreams},
+    {"services", "services that the upstreams belong to; 0: one per 18 upstreams", &Options::services, 0,
+     max_upstreams},
+    {"duties", "duties besides the list duty", &Options::duties, 0, max_duties},
+    {"zones", "zones that the members are spread over", &Options::zones, 1, max_zones},
+    {"hollow-per-process", "hollow members per process; 0: as many as descriptors allow, at most 100",
+     &Options::hollow_per_process, 0, max_hollow_per_process},
+    {"seed", "seed of all random choices", &Options::seed, 0, UINT32_MAX},
 };
 
 struct NumberOption {
     const char* name;
     const char* description;
     double Options::*value;
-    double least, most;
+    double min, max;
 };
 
 constexpr NumberOption number_options[] = {
-    {"changes-per-second", "of the discovery list", &Options::changes_per_second, 0, most_changes_per_second},
-    {"restarts-per-second", "of members that leave and return", &Options::restarts_per_second, 0,
-     most_restarts_per_second},
-    {"seconds", "that are measured", &Options::seconds, 1, most_seconds},
+    {"changes-per-second", "changes of the discovery list per second", &Options::changes_per_second, 0,
+     max_changes_per_second},
+    {"restarts-per-second", "members that leave and rejoin, per second", &Options::restarts_per_second, 0,
+     max_restarts_per_second},
+    {"seconds", "length of the measurement in seconds", &Options::seconds, 1, max_seconds},
 };
 
 struct TextOption {
@@ -63,33 +63,33 @@
 };
 
 constexpr TextOption text_options[] = {
-    {"program", "the program under test", &Options::program},
-    {"json", "the file of the result; absent: standard output", &Options::json},
-    {"commit", "of the program, for the result", &Options::commit},
+    {"program", "path of the program under test", &Options::program},
+    {"json", "path of the result; by default standard output", &Options::json},
+    {"commit", "commit of the program under test, for the result", &Options::commit},
 };
 
-constexpr const char* trouble_name = "trouble";
-constexpr const char* lists_name = "lists";
+constexpr const char* disruption_key = "trouble";
+constexpr const char* lists_key = "lists";
 
-constexpr std::pair<const char*, Trouble> trouble_names[] = {
-    {"none", Trouble::none}, {"killed", Trouble::killed}, {"restart", Trouble::restart}};
+constexpr std::pair<const char*, Disruption> disruption_names[] = {
+    {"none", Disruption::none}, {"killed", Disruption::killed}, {"restart", Disruption::restart}};
 constexpr std::pair<const char*, ListMechanism> list_names[] = {{"whole", ListMechanism::whole},
                                                                 {"deltas", ListMechanism::deltas}};
 
 template <class Choices, class Value>
-void choose(const Choices& choices, const std::string& key, uint32_t line, const std::string& said,
-            Value& value)
+void decode_choice(const Choices& choices, const std::string& key, uint32_t line, const std::string& text,
+                   Value& value)
 {
     std::string known;
     for (const auto& [name, meaning] : choices) {
-        if (said == name) return void(value = meaning);
+        if (text == name) return void(value = meaning);
         known += (known.empty() ? "" : ", ") + std::string(name);
     }
-    throw_config_error(key, line, "one of " + known + " is expected, not '" + said + "'");
+    throw_config_error(key, line, "one of " + known + " is expected, not '" + text + "'");
 }
 
-// Where an option's value stands, for faults that only show among several.
-class Lines
+// The line that set each option, for errors that concern several options.
+class LineNumbers
 {
   public:
     void at(const std::string& name, uint32_t line) { lines_.emplace_back(name, line); }
@@ -104,27 +104,28 @@
     std::vector<std::pair<std::string, uint32_t>> lines_;
 };
 
-// The one value that the table has.
+// Reads the only value of a table.
 void read_value(const toml::table& from, const std::string& name, Options& options)
 {
     const TomlTable table(from, "", {name});
     for (const auto& o : count_options)
-        if (name == o.name) options.*o.value = table.integer(name, 0, o.least, o.most);
+        if (name == o.name) options.*o.value = table.integer(name, 0, o.min, o.max);
     for (const auto& o : number_options)
-        if (name == o.name) options.*o.value = table.number(name, 0, o.least, o.most);
+        if (name == o.name) options.*o.value = table.number(name, 0, o.min, o.max);
     for (const auto& o : text_options)
         if (name == o.name) options.*o.value = table.string(name);
-    if (name == trouble_name) choose(trouble_names, name, 0, table.string(name), options.trouble);
-    if (name == lists_name) choose(list_names, name, 0, table.string(name), options.lists);
+    if (name == disruption_key)
+        decode_choice(disruption_names, name, 0, table.string(name), options.disruption);
+    if (name == lists_key) decode_choice(list_names, name, 0, table.string(name), options.lists);
 }
 
 bool is_known(std::string_view name)
 {
-    return std::any_of(option_names().begin(), option_names().end(),
-                       [&](const OptionName& option) { return name == option.name; });
+    return std::any_of(option_help().begin(), option_help().end(),
+                       [&](const OptionHelp& option) { return name == option.name; });
 }
 
-void read_values(const toml::table& from, Options& options, Lines& lines, bool has_lines)
+void read_values(const toml::table& from, Options& options, LineNumbers& lines, bool has_lines)
 {
     for (const auto& [key, node] : from) {
         const std::string name(key.str());
@@ -142,25 +143,25 @@
     }
 }
 
-// A value of the command line as TOML, so that both are checked by the same code.
-std::string toml_value(const Word& word)
+// Converts a command-line value to TOML, so that it is validated by the same code as the experiment file.
+std::string toml_value(const NamedValue& option)
 {
     for (const auto& o : text_options)
-        if (word.first == o.name) return "'''" + word.second + "'''";
-    if (word.first == trouble_name || word.first == lists_name) return "'''" + word.second + "'''";
-    return word.second;
+        if (option.first == o.name) return "'''" + option.second + "'''";
+    if (option.first == disruption_key || option.first == lists_key) return "'''" + option.second + "'''";
+    return option.second;
 }
 
-toml::table parse_word(const Word& word)
+toml::table parse_command_line_value(const NamedValue& option)
 {
     try {
-        return toml::parse(word.first + " = " + toml_value(word));
+        return toml::parse(option.first + " = " + toml_value(option));
     } catch (const toml::parse_error&) {
-        throw_config_error(word.first, 0, "'" + word.second + "' cannot be read");
+        throw_config_error(option.first, 0, "'" + option.second + "' cannot be read");
     }
 }
 
-void check_together(const Options& options, const Lines& lines)
+void check_consistency(const Options& options, const LineNumbers& lines)
 {
     const auto require = [&](bool holds, const char* key, const std::string& what) {
         if (!holds) throw_config_error(key, lines.of(key), what);
@@ -175,39 +176,40 @@
     require(options.services <= options.upstreams, "services",
             std::to_string(options.services) + " are more than the " + std::to_string(options.upstreams) +
                 " upstreams");
-    const auto killed = static_cast<uint32_t>(killed_part * options.members);
-    require(options.trouble != Trouble::killed || (killed > 0 && killed <= options.hollow()), trouble_name,
-            "a twentieth of the members is killed: that many, and one at least, have to be hollow");
+    const auto killed = static_cast<uint32_t>(killed_fraction * options.members);
+    require(options.disruption != Disruption::killed || (killed > 0 && killed <= options.hollow()),
+            disruption_key, "a twentieth of the members is killed: they must be hollow, and at least one");
 }
 
-void fill_in(Options& options)
+void apply_defaults(Options& options)
 {
     if (options.upstreams == 0) options.upstreams = options.members;
-    const auto room = most_hollow_descriptors / descriptors_of_hollow_member(options.members);
+    const auto room = max_hollow_descriptors / descriptors_per_hollow_member(options.members);
     if (options.hollow_per_process == 0)
-        options.hollow_per_process = std::min(usual_hollow_per_process, static_cast<uint32_t>(room));
+        options.hollow_per_process = std::min(default_hollow_per_process, static_cast<uint32_t>(room));
     if (options.services == 0) options.services = std::max(1U, options.upstreams / upstreams_per_service);
 }
 
-std::vector<OptionName> make_names()
+std::vector<OptionHelp> make_option_help()
 {
-    std::vector<OptionName> names;
+    std::vector<OptionHelp> names;
     for (const auto& o : count_options) names.push_back({o.name, o.description});
     for (const auto& o : number_options) names.push_back({o.name, o.description});
-    names.push_back({trouble_name, "none, killed (a twentieth of the members) or restart (everything)"});
-    names.push_back({lists_name, "whole or deltas: how changes of the list go to all"});
+    names.push_back({disruption_key, "none, killed (a twentieth of the members) or restart (all processes)"});
+    names.push_back({lists_key, "how list changes are sent to all members: whole or deltas"});
     for (const auto& o : text_options) names.push_back({o.name, o.description});
     return names;
 }
 
-Options read_options(std::string_view experiment, const std::vector<Word>& over)
+Options read_options(std::string_view experiment, const std::vector<NamedValue>& overrides)
 {
     Options options;
-    Lines lines;
+    LineNumbers lines;
     read_values(toml::parse(experiment), options, lines, true);
-    for (const Word& word : over) read_values(parse_word(word), options, lines, false);
-    fill_in(options);
-    check_together(options, lines);
+    for (const NamedValue& option : overrides)
+        read_values(parse_command_line_value(option), options, lines, false);
+    apply_defaults(options);
+    check_consistency(options, lines);
     return options;
 }
 
@@ -219,9 +221,9 @@
 
 }  // namespace
 
-std::string to_string(Trouble trouble)
+std::string to_string(Disruption trouble)
 {
-    for (const auto& [name, meaning] : trouble_names)
+    for (const auto& [name, meaning] : disruption_names)
         if (meaning == trouble) return name;
     return "";
 }
@@ -233,33 +235,34 @@
     return "";
 }
 
-const std::vector<OptionName>& option_names()
+const std::vector<OptionHelp>& option_help()
 {
-    static const auto names = make_names();
+    static const auto names = make_option_help();
     return names;
 }
 
-std::variant<Options, ConfigError> decode_options(std::string_view experiment, const std::vector<Word>& over)
+std::variant<Options, ConfigError> decode_options(std::string_view experiment,
+                                                  const std::vector<NamedValue>& overrides)
 {
     try {
-        return read_options(experiment, over);
+        return read_options(experiment, overrides);
     } catch (const toml::parse_error& e) {
         return ConfigError{{"TOML", static_cast<uint32_t>(e.source().begin.line)},
                            std::string(e.description())};
-    } catch (const TomlConfigError& w) {
-        return w.error;
+    } catch (const TomlConfigError& error) {
+        return error.error;
     }
 }
 
-std::vector<Word> words_of(const Options& options)
+std::vector<NamedValue> option_values(const Options& options)
 {
-    std::vector<Word> words;
-    for (const auto& o : count_options) words.emplace_back(o.name, std::to_string(options.*o.value));
-    for (const auto& o : number_options) words.emplace_back(o.name, number_text(options.*o.value));
-    words.emplace_back(trouble_name, to_string(options.trouble));
-    words.emplace_back(lists_name, to_string(options.lists));
-    for (const auto& o : text_options) words.emplace_back(o.name, options.*o.value);
-    return words;
+    std::vector<NamedValue> values;
+    for (const auto& o : count_options) values.emplace_back(o.name, std::to_string(options.*o.value));
+    for (const auto& o : number_options) values.emplace_back(o.name, number_text(options.*o.value));
+    values.emplace_back(disruption_key, to_string(options.disruption));
+    values.emplace_back(lists_key, to_string(options.lists));
+    for (const auto& o : text_options) values.emplace_back(o.name, options.*o.value);
+    return values;
 }
 
 }  // namespace firtide::scale
--- a/scale/options.h
+++ b/scale/options.h
@@ -1,5 +1,4 @@
-// What a scale run is to do: read from the command line and from an experiment file, checked in this one
-// place.
+// Options of a scale run. Decodes and validates both the command line and the experiment file.
 #pragma once
 
 #include <cstdint>
@@ -14,21 +13,21 @@
 namespace firtide::scale
 {
 
-enum class Trouble : uint8_t {
+enum class Disruption : uint8_t {
     none,
-    killed,   // a twentieth of the members at once, by SIGKILL
-    restart,  // every process, one after the other, over some seconds
+    killed,   // kills a twentieth of the members at once by SIGKILL
+    restart,  // restarts all processes one after the other, over some seconds
 };
 
 enum class ListMechanism : uint8_t {
-    whole,   // each change goes to all members as the whole list
-    deltas,  // the fleet file has [deltas]
+    whole,   // each change is sent to all members as the whole list
+    deltas,  // changes are sent as deltas: the fleet file has [deltas]
 };
 
 struct Options {
     uint32_t members = 50;
-    uint32_t real = 5;    // processes of the program under test; the other members are hollow
-    uint32_t voters = 3;  // the first of the real ones
+    uint32_t real = 5;    // members that are processes of the program under test; the others are hollow
+    uint32_t voters = 3;  // the first of the real members
     uint32_t upstreams = 0;
     uint32_t services = 0;
     uint32_t duties = 3;
@@ -38,32 +37,33 @@
     double restarts_per_second = 0;
     double seconds = 20;
     uint32_t seed = 1;
-    Trouble trouble = Trouble::none;
+    Disruption disruption = Disruption::none;
     ListMechanism lists = ListMechanism::whole;
     std::string program = "build/firtide";
-    std::string json;    // the file of the result; empty: standard output
-    std::string commit;  // of the program, for the result
+    std::string json;    // path of the result; empty: standard output
+    std::string commit;  // of the program under test, for the result
 
     uint32_t hollow() const { return members - real; }
 };
 
-std::string to_string(Trouble trouble);
+std::string to_string(Disruption trouble);
 std::string to_string(ListMechanism lists);
 
-// One option as it was written: its name without dashes before it, and its value.
-using Word = std::pair<std::string, std::string>;
+// An option as text: its name without leading dashes, and its value.
+using NamedValue = std::pair<std::string, std::string>;
 
-// The names of all options, in the order of the help, each with what it says.
-struct OptionName {
+// Names and descriptions of all options, in the order of the help text.
+struct OptionHelp {
     std::string name, description;
 };
-const std::vector<OptionName>& option_names();
+const std::vector<OptionHelp>& option_help();
 
-// The values of an experiment file, a flat TOML table with the options' names as keys. `over`: what the
-// command line says, which counts for more. The fault's line is zero where it is of the command line.
-std::variant<Options, ConfigError> decode_options(std::string_view experiment, const std::vector<Word>& over);
+// Decodes an experiment file, a flat TOML table with the option names as keys. `overrides` holds the command
+// line's options, which take precedence. The line of an error is 0 if it comes from the command line.
+std::variant<Options, ConfigError> decode_options(std::string_view experiment,
+                                                  const std::vector<NamedValue>& overrides);
 
-// Each option with its value as it is in force, in the order of the help.
-std::vector<Word> words_of(const Options& options);
+// All options with their effective values, in the order of the help text.
+std::vector<NamedValue> option_values(const Options& options);
 
 }  // namespace firtide::scale
--- a/scale/process_usage.cpp
+++ b/scale/process_usage.cpp
@@ -13,7 +13,7 @@
 {
 
 constexpr double bytes_in_mb = 1024 * 1024;
-constexpr int fields_before_utime = 11;  // after the name, from the state on
+constexpr int fields_before_utime = 11;  // counted from the state, the first field after the name
 
 }  // namespace
 
@@ -24,7 +24,7 @@
     std::string stat;
     long total_pages = 0, resident_pages = 0;
     if (!std::getline(stat_file, stat) || !(statm_file >> total_pages >> resident_pages)) return {};
-    // The name stands in parentheses and may have any of these in it.
+    // The name is in parentheses and may itself contain spaces and parentheses.
     std::istringstream fields(stat.substr(stat.rfind(')') + 1));
     std::string skipped;
     for (int field = 0; field < fields_before_utime; ++field) fields >> skipped;
@@ -37,14 +37,14 @@
     return usage;
 }
 
-void UsageMeter::take(pid_t pid)
+void UsageMeter::sample(pid_t pid)
 {
     const auto usage = usage_of(pid);
     if (!usage) return;
-    if (pid != pid_) earlier_cpu_ += now_.cpu_seconds;
+    if (pid != pid_) previous_processes_cpu_ += current_.cpu_seconds;
     pid_ = pid;
-    now_ = *usage;
-    greatest_rss_ = std::max(greatest_rss_, now_.rss_mb);
+    current_ = *usage;
+    peak_rss_ = std::max(peak_rss_, current_.rss_mb);
 }
 
 }  // namespace firtide::scale
--- a/scale/process_usage.h
+++ b/scale/process_usage.h
@@ -1,4 +1,4 @@
-// What a process has used so far, as the system counts it.
+// CPU time and memory of a process, as reported by the kernel.
 #pragma once
 
 #include <sys/types.h>
@@ -13,23 +13,23 @@
     double rss_mb = 0;
 };
 
-// Nothing where there is no such process.
+// Returns nothing if there is no such process.
 std::optional<ProcessUsage> usage_of(pid_t pid);
 
-// One process and those that took its place after restarts.
+// Adds up the usage of a process and of its successors after restarts.
 class UsageMeter
 {
   public:
-    void take(pid_t pid);  // a reading; a pid other than the last one's begins at zero
-    double cpu_seconds() const { return earlier_cpu_ + now_.cpu_seconds; }
-    double rss_mb() const { return now_.rss_mb; }
-    double greatest_rss_mb() const { return greatest_rss_; }
-    void forget_greatest() { greatest_rss_ = now_.rss_mb; }
+    void sample(pid_t pid);  // a new pid starts from zero
+    double cpu_seconds() const { return previous_processes_cpu_ + current_.cpu_seconds; }
+    double rss_mb() const { return current_.rss_mb; }
+    double peak_rss_mb() const { return peak_rss_; }
+    void reset_peak_rss() { peak_rss_ = current_.rss_mb; }
 
   private:
     pid_t pid_ = 0;
-    ProcessUsage now_;
-    double earlier_cpu_ = 0, greatest_rss_ = 0;
+    ProcessUsage current_;
+    double previous_processes_cpu_ = 0, peak_rss_ = 0;
 };
 
 }  // namespace firtide::scale
--- a/scale/result.cpp
+++ b/scale/result.cpp
@@ -17,10 +17,10 @@
 
 ordered_json json_of(const Spread& spread)
 {
-    return {{"median", rounded(spread.median)}, {"greatest", rounded(spread.greatest)}};
+    return {{"median", rounded(spread.median)}, {"greatest", rounded(spread.max)}};
 }
 
-ordered_json json_of(const RoleFigures& role)
+ordered_json json_of(const RoleMetrics& role)
 {
     return {{"members", role.members},
             {"cpu_percent", json_of(role.cpu_percent)},
@@ -40,7 +40,7 @@
             {"dropped", counts.dropped}};
 }
 
-ordered_json json_of(const MachineFigures& machine)
+ordered_json json_of(const MachineMetrics& machine)
 {
     return {{"peak_memory_mb", rounded(machine.peak_memory_mb)},
             {"processes", machine.processes},
@@ -53,7 +53,7 @@
 ordered_json json_of_run(const Result& result)
 {
     ordered_json options;
-    for (const auto& [name, value] : words_of(result.options)) options[name] = value;
+    for (const auto& [name, value] : option_values(result.options)) options[name] = value;
     ordered_json run{{"command", result.command},
                      {"options", options},
                      {"seed", result.options.seed},
@@ -67,8 +67,8 @@
     return run;
 }
 
-Spread spread_over(const std::vector<MemberFigures>& members,
-                   const std::function<double(const MemberFigures&)>& figure)
+Spread summarize(const std::vector<MemberMetrics>& members,
+                 const std::function<double(const MemberMetrics&)>& figure)
 {
     std::vector<double> values;
     for (const auto& member : members) values.push_back(figure(member));
@@ -77,18 +77,18 @@
 
 }  // namespace
 
-RoleFigures figures_of(const std::vector<MemberFigures>& members)
+RoleMetrics summarize_role(const std::vector<MemberMetrics>& members)
 {
-    using Figures = MemberFigures;
-    RoleFigures role;
+    using Figures = MemberMetrics;
+    RoleMetrics role;
     role.members = members.size();
-    role.cpu_percent = spread_over(members, [](const Figures& f) { return f.cpu_percent; });
-    role.rss_mb = spread_over(members, [](const Figures& f) { return f.rss_mb; });
-    role.kb_in_per_second = spread_over(members, [](const Figures& f) { return f.kb_in_per_second; });
-    role.kb_out_per_second = spread_over(members, [](const Figures& f) { return f.kb_out_per_second; });
+    role.cpu_percent = summarize(members, [](const Figures& f) { return f.cpu_percent; });
+    role.rss_mb = summarize(members, [](const Figures& f) { return f.rss_mb; });
+    role.kb_in_per_second = summarize(members, [](const Figures& f) { return f.kb_in_per_second; });
+    role.kb_out_per_second = summarize(members, [](const Figures& f) { return f.kb_out_per_second; });
     role.kb_per_second =
-        spread_over(members, [](const Figures& f) { return f.kb_in_per_second + f.kb_out_per_second; });
-    role.messages_per_second = spread_over(
+        summarize(members, [](const Figures& f) { return f.kb_in_per_second + f.kb_out_per_second; });
+    role.messages_per_second = summarize(
         members, [](const Figures& f) { return f.messages_in_per_second + f.messages_out_per_second; });
     return role;
 }
@@ -118,7 +118,7 @@
                     {"list_holder", result.list_holder_id},
                     {"leader_sees_alive", result.leader_sees_alive},
                     {"members_up", changes.members_up},
-                    {"members_at_last_version", changes.members_at_last}};
+                    {"members_at_last_version", changes.members_at_last_version}};
     out["machine"] = json_of(result.machine);
     return out.dump(2) + "\n";
 }
--- a/scale/run.h
+++ b/scale/run.h
@@ -1,4 +1,5 @@
-// One scale run: starts the fleet, waits until it is whole, measures it while the list changes, and ends it.
+// One scale run: starts the fleet, waits until it is complete, measures it while the list changes, and stops
+// it.
 #pragma once
 
 #include <string>
@@ -11,10 +12,11 @@
 
 struct RunFailure {
     int exit_status = 1;
-    std::string what;
+    std::string message;
 };
 
-// command: as it was given, for the result. own_program: the path of this program.
+// command: the command line, recorded in the result. own_program: the path of this program, which is also run
+// for hollow members.
 std::variant<Result, RunFailure> run_scale(const Options& options, const std::string& command,
                                            const std::string& own_program);
 
--- a/scale/socket_segments.cpp
+++ b/scale/socket_segments.cpp
@@ -40,12 +40,12 @@
     return send(socket, &request, sizeof request, 0) == sizeof request;
 }
 
-// Segments both ways; nothing where the answer does not tell.
+// Segments sent and received; nothing if the message does not contain them.
 std::optional<uint64_t> segments_of(const inet_diag_msg& message, size_t length)
 {
     const auto* attribute = reinterpret_cast<const rtattr*>(&message + 1);
-    auto left = static_cast<int>(length - sizeof message);
-    for (; RTA_OK(attribute, left); attribute = RTA_NEXT(attribute, left)) {
+    auto remaining = static_cast<int>(length - sizeof message);
+    for (; RTA_OK(attribute, remaining); attribute = RTA_NEXT(attribute, remaining)) {
         if (attribute->rta_type != INET_DIAG_INFO) continue;
         if (RTA_PAYLOAD(attribute) < offsetof(tcp_info, tcpi_notsent_bytes)) return {};
         tcp_info info{};
@@ -71,9 +71,9 @@
     for (;;) {
         const auto size = recv(socket.fd(), bytes.data(), bytes.size(), 0);
         if (size <= 0) return {};
-        auto left = static_cast<unsigned>(size);
+        auto remaining = static_cast<unsigned>(size);
         const auto* head = reinterpret_cast<const nlmsghdr*>(bytes.data());
-        for (; NLMSG_OK(head, left); head = NLMSG_NEXT(head, left)) {
+        for (; NLMSG_OK(head, remaining); head = NLMSG_NEXT(head, remaining)) {
             if (head->nlmsg_type == NLMSG_DONE) return found;
             if (head->nlmsg_type == NLMSG_ERROR) return {};
             const auto* message = static_cast<const inet_diag_msg*>(NLMSG_DATA(head));
--- a/scale/socket_segments.h
+++ b/scale/socket_segments.h
@@ -1,5 +1,5 @@
-// TCP segments that connections of one port have carried, as the system counts them for each socket. Other
-// traffic of the machine does not count.
+// Counts the TCP segments of all connections on one port from the kernel's per-socket counters, so that other
+// traffic of the machine is excluded.
 #pragma once
 
 #include <cstdint>
@@ -9,16 +9,17 @@
 namespace firtide::scale
 {
 
-// IPv4, TCP and the timestamps option, which Linux uses by default; nothing of the layer below.
+// IPv4 and TCP headers with the timestamps option, which Linux uses by default; excludes the link layer.
 inline constexpr uint32_t header_bytes = 20 + 20 + 12;
 
-// By socket: segments sent and received since the connection began.
+// By socket cookie: segments sent and received since the connection was opened.
 using SocketSegments = std::map<uint64_t, uint64_t>;
 
-// Of all sockets with this port at either end; nothing where the system does not tell.
+// Covers all sockets with this port at either end. Returns nothing if the kernel does not report the
+// counters.
 std::optional<SocketSegments> segments_at(uint16_t port);
 
-// Of sockets that were closed since, nothing is known.
+// Sockets that were closed in between are not counted.
 uint64_t segments_between(const SocketSegments& before, const SocketSegments& after);
 
 }  // namespace firtide::scale
--- a/scale/stand_ins.cpp
+++ b/scale/stand_ins.cpp
@@ -23,46 +23,46 @@
 
 constexpr const char* probe_answer = "depth=1";
 constexpr const char* call_answer = "ok\n";
-constexpr size_t draining_at_most_one_in = 4;
+constexpr size_t max_draining_divisor = 4;
 
 using Ports = std::vector<uint16_t>;
 
 struct Pipe {
     Pipe()
     {
-        int ends[2];
-        if (pipe2(ends, O_CLOEXEC) != 0) throw std::runtime_error("no pipe");
-        reader = Descriptor(ends[0]);
-        writer = Descriptor(ends[1]);
+        int fds[2];
+        if (pipe2(fds, O_CLOEXEC) != 0) throw std::runtime_error("cannot create a pipe");
+        reader = Descriptor(fds[0]);
+        writer = Descriptor(fds[1]);
     }
 
     Descriptor reader, writer;
 };
 
-void tell_ports(const Pipe& pipe, const Ports& ports)
+void send_ports(const Pipe& pipe, const Ports& ports)
 {
     std::string line;
     for (const auto port : ports) line += std::to_string(port) + " ";
     line += "\n";
     if (write(pipe.writer.fd(), line.data(), line.size()) != static_cast<ssize_t>(line.size()))
-        throw std::runtime_error("the parent is gone");
+        throw std::runtime_error("cannot send the ports to the parent process");
 }
 
-// Waits until the child has told them.
+// Waits for the child to send its ports.
 Ports read_ports(Pipe& pipe)
 {
     pipe.writer = Descriptor();
     std::string line;
     char byte = 0;
     while (read(pipe.reader.fd(), &byte, 1) == 1 && byte != '\n') line += byte;
-    if (byte != '\n') throw std::runtime_error("a stand-in did not start");
+    if (byte != '\n') throw std::runtime_error("a stand-in server did not start");
     std::istringstream in(line);
     Ports ports;
     for (uint16_t port = 0; in >> port;) ports.push_back(port);
     return ports;
 }
 
-EventBasePtr precise_base()
+EventBasePtr make_precise_event_base()
 {
     event_config* config = event_config_new();
     event_config_set_flag(config, EVENT_BASE_FLAG_PRECISE_TIMER);
@@ -73,7 +73,7 @@
 
 void serve_upstreams(size_t upstreams, Duration service_time, const Pipe& pipe)
 {
-    const auto base = precise_base();
+    const auto base = make_precise_event_base();
     const auto serve = [&](evhttp_request* request) {
         const std::string path = evhttp_request_get_uri(request);
         if (path.starts_with("/-/")) return fault_injection::answer(request, HTTP_OK, probe_answer);
@@ -87,7 +87,7 @@
         servers.push_back(std::make_unique<fault_injection::Server>(base.get(), serve));
         ports.push_back(servers.back()->port());
     }
-    tell_ports(pipe, ports);
+    send_ports(pipe, ports);
     event_base_dispatch(base.get());
 }
 
@@ -103,7 +103,7 @@
     }
 }
 
-// Changes a list at random moments for as long as the loop runs.
+// Changes a list at random times while the event loop runs.
 class ListChanger
 {
   public:
@@ -153,7 +153,7 @@
         changer = std::make_unique<ListChanger>(base.get(), *servers.back(),
                                                 EndpointChanges(lists.back().size(), seed),
                                                 changes_per_second, changes);
-    tell_ports(pipe, ports);
+    send_ports(pipe, ports);
     event_base_dispatch(base.get());
 }
 
@@ -170,7 +170,7 @@
 {
     void* memory = mmap(nullptr, sizeof(std::atomic<uint64_t>), PROT_READ | PROT_WRITE,
                         MAP_SHARED | MAP_ANONYMOUS, -1, 0);
-    if (memory == MAP_FAILED) throw std::runtime_error("no shared memory");
+    if (memory == MAP_FAILED) throw std::runtime_error("cannot map shared memory");
     return new (memory) std::atomic<uint64_t>(0);
 }
 
@@ -182,15 +182,15 @@
 {
     const size_t upstream = random_() % upstreams_;
     if (random_() % 2 == 0) return {upstream, ListChange::Kind::restarted};
-    const bool drains = std::find(draining_.begin(), draining_.end(), upstream) != draining_.end();
-    if (!drains && draining_.size() < upstreams_ / draining_at_most_one_in) {
+    const bool is_draining = std::find(draining_.begin(), draining_.end(), upstream) != draining_.end();
+    if (!is_draining && draining_.size() < upstreams_ / max_draining_divisor) {
         draining_.push_back(upstream);
         return {upstream, ListChange::Kind::draining};
     }
     if (draining_.empty()) return {upstream, ListChange::Kind::restarted};
-    const size_t back = draining_.front();
+    const size_t resumed = draining_.front();
     draining_.erase(draining_.begin());
-    return {back, ListChange::Kind::ready};
+    return {resumed, ListChange::Kind::ready};
 }
 
 Duration EndpointChanges::next_gap(double changes_per_second)
--- a/scale/stand_ins.h
+++ b/scale/stand_ins.h
@@ -1,5 +1,5 @@
-// Child processes that stand in for what balancers talk to: the upstreams of a service, and discovery, whose
-// lists change while calls go on.
+// Child processes that stand in for the upstreams of a service and for discovery, whose list changes during
+// the load.
 #pragma once
 
 #include <atomic>
@@ -14,7 +14,7 @@
 namespace firtide::scale
 {
 
-// One change of the list of upstreams.
+// A change of the list of upstreams.
 struct ListChange {
     enum class Kind { restarted, draining, ready };
 
@@ -24,23 +24,24 @@
     bool operator==(const ListChange&) const = default;
 };
 
-// Half of the changes restart an upstream, which then is cold; the others drain one or take it back. No more
-// than a quarter drain at a time. The same seed gives the same changes.
+// Generates list changes. Half of them restart an upstream, which then is cold; the others start or end the
+// draining of an upstream. At most a quarter of the upstreams drain at a time. The same seed gives the same
+// changes.
 class EndpointChanges
 {
   public:
     EndpointChanges(size_t upstreams, uint64_t seed);
     ListChange next();
-    // Until the next change; the mean is one second through the rate.
+    // Time until the next change, exponentially distributed with the mean 1 / changes_per_second.
     Duration next_gap(double changes_per_second);
 
   private:
     std::mt19937_64 random_;
     size_t upstreams_;
-    std::vector<size_t> draining_;  // the longest-draining first
+    std::vector<size_t> draining_;  // in the order in which draining began
 };
 
-// HTTP servers in one process, each of which answers at once or after a service time.
+// A process of HTTP servers that answer immediately or after a service time.
 class UpstreamProcess
 {
   public:
@@ -52,7 +53,7 @@
     ChildProcess process_;
 };
 
-// A list of upstreams for each service, and a server for each list, in one process. The last list changes.
+// A process with a discovery server for each list of upstreams. Only the last list changes.
 class DiscoveryProcess
 {
   public:
@@ -62,11 +63,11 @@
     DiscoveryProcess(const DiscoveryProcess&) = delete;
 
     uint16_t port(size_t list) const { return ports_.at(list); }
-    // So far.
+    // Number of changes so far.
     uint64_t changes() const { return changes_->load(); }
 
   private:
-    std::atomic<uint64_t>* changes_;  // in memory shared with the child
+    std::atomic<uint64_t>* changes_;  // in memory that is shared with the child
     std::vector<uint16_t> ports_;
     ChildProcess process_;
 };
--- a/scale/statistics.cpp
+++ b/scale/statistics.cpp
@@ -16,13 +16,13 @@
     return {(lower + upper) / 2, values.back()};
 }
 
-double percentile(std::vector<double> values, double part)
+double percentile(std::vector<double> values, double fraction)
 {
     if (values.empty()) return 0;
     std::sort(values.begin(), values.end());
-    const double rank = std::ceil(part * static_cast<double>(values.size()));
-    const auto place = static_cast<size_t>(std::max(1.0, rank)) - 1;
-    return values[std::min(place, values.size() - 1)];
+    const double rank = std::ceil(fraction * static_cast<double>(values.size()));
+    const auto index = static_cast<size_t>(std::max(1.0, rank)) - 1;
+    return values[std::min(index, values.size() - 1)];
 }
 
 }  // namespace firtide::scale
--- a/scale/statistics.h
+++ b/scale/statistics.h
@@ -7,13 +7,13 @@
 {
 
 struct Spread {
-    double median = 0, greatest = 0;
+    double median = 0, max = 0;
 };
 
-// Zeros where there are no values. The median of an even number of values is the mean of the middle two.
+// Returns zeros if there are no values. The median of an even number of values is the mean of the middle two.
 Spread spread_of(std::vector<double> values);
 
-// The smallest value that at least this part (0 to 1) of all values do not exceed; zero where there are none.
-double percentile(std::vector<double> values, double part);
+// The smallest value that at least this fraction (0 to 1) of all values do not exceed; 0 if there are none.
+double percentile(std::vector<double> values, double fraction);
 
 }  // namespace firtide::scale
--- a/scale/test_bed.cpp
+++ b/scale/test_bed.cpp
@@ -26,12 +26,12 @@
 
 using nlohmann::json;
 
-constexpr auto start_within = std::chrono::seconds(20);
-constexpr auto look_again_after = std::chrono::milliseconds(20);
-constexpr time_t answer_within_seconds = 2;
+constexpr auto start_timeout = std::chrono::seconds(20);
+constexpr auto poll_interval = std::chrono::milliseconds(20);
+constexpr time_t receive_timeout_seconds = 2;
 constexpr uint16_t first_port =
-    29200;  // above the test cluster's, below those that the kernel gives to connections
-constexpr uint16_t port_ranges = 8, ports_each = 400;
+    29200;  // above the ports of the test cluster, below the ephemeral port range of the kernel
+constexpr uint16_t port_ranges = 8, ports_per_run = 400;
 constexpr int64_t cold_window_us = 5'000'000;
 constexpr size_t voters = 3;
 
@@ -48,11 +48,11 @@
 
 std::string endpoint(uint16_t port) { return "127.0.0.1:" + std::to_string(port); }
 
-// Sends a request and reads until the other side closes; empty where nobody answers.
+// Sends a request and reads until the peer closes. Returns an empty string if there is no answer.
 std::string send_and_read_all(uint16_t port, const std::string& request)
 {
     const auto socket = stream_socket();
-    const timeval limit{answer_within_seconds, 0};
+    const timeval limit{receive_timeout_seconds, 0};
     setsockopt(socket.fd(), SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit);
     const auto address = loopback(port);
     if (connect(socket.fd(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) return {};
@@ -66,11 +66,11 @@
 
 void wait_until(const std::function<bool()>& condition, const std::string& what)
 {
-    const auto give_up_at = std::chrono::steady_clock::now() + start_within;
+    const auto give_up_at = std::chrono::steady_clock::now() + start_timeout;
     while (!condition()) {
         if (interrupted) throw std::runtime_error("interrupted");
         if (std::chrono::steady_clock::now() > give_up_at) throw std::runtime_error(what);
-        std::this_thread::sleep_for(look_again_after);
+        std::this_thread::sleep_for(poll_interval);
     }
 }
 
@@ -82,7 +82,7 @@
     if (!(file << text).flush()) throw std::runtime_error("cannot write " + path);
 }
 
-// Of the lines `duty NAME ... mine`.
+// Parses the lines `duty NAME ... mine`.
 std::vector<std::string> duties_of_this_member(const std::string& status)
 {
     std::vector<std::string> names;
@@ -101,7 +101,7 @@
 TemporaryFolder::TemporaryFolder()
 {
     std::string pattern = std::filesystem::temp_directory_path().string() + "/firtide-latency-XXXXXX";
-    if (!mkdtemp(pattern.data())) throw std::runtime_error("no temporary folder");
+    if (!mkdtemp(pattern.data())) throw std::runtime_error("cannot create a temporary directory");
     path_ = pattern;
 }
 
@@ -111,19 +111,20 @@
     std::filesystem::remove_all(path_, ignored);
 }
 
-TestBed::TestBed(const TestBedPlan& plan) : upstreams_(plan.upstreams, plan.service_time)
+TestBed::TestBed(const TestBedConfig& bed_config) : upstreams_(bed_config.upstreams, bed_config.service_time)
 {
-    const size_t count = plan.members > 0 ? plan.members : plan.chain;
+    const size_t count = bed_config.members > 0 ? bed_config.members : bed_config.chain;
     choose_ports(count);
-    discovery_ = std::make_unique<DiscoveryProcess>(lists(plan), plan.changes_per_second, plan.seed);
-    for (size_t i = 0; i < count; ++i) start(plan, i);
+    discovery_ = std::make_unique<DiscoveryProcess>(upstream_lists(bed_config), bed_config.changes_per_second,
+                                                    bed_config.seed);
+    for (size_t i = 0; i < count; ++i) start_balancer(bed_config, i);
     wait_until_ready();
-    if (plan.members > 0) wait_until_duties_are_held();
+    if (bed_config.members > 0) wait_until_duties_are_held();
 }
 
 void TestBed::choose_ports(size_t balancers)
 {
-    static uint16_t next = static_cast<uint16_t>(first_port + getpid() % port_ranges * ports_each);
+    static uint16_t next = static_cast<uint16_t>(first_port + getpid() % port_ranges * ports_per_run);
     const auto free_port = [] {
         for (;;) {
             const uint16_t port = next++;
@@ -136,20 +137,20 @@
     for (size_t i = 0; i < balancers; ++i) balancers_.push_back({free_port(), free_port(), free_port()});
 }
 
-std::vector<std::vector<uint16_t>> TestBed::lists(const TestBedPlan& plan) const
+std::vector<std::vector<uint16_t>> TestBed::upstream_lists(const TestBedConfig& bed_config) const
 {
     std::vector<std::vector<uint16_t>> all;
-    if (plan.members == 0)
+    if (bed_config.members == 0)
         for (size_t i = 1; i < balancers_.size(); ++i) all.push_back({balancers_[i].serve_port});
     all.push_back(upstreams_.ports());
     return all;
 }
 
-std::string TestBed::write_config(const TestBedPlan& plan, size_t balancer) const
+std::string TestBed::write_config(const TestBedConfig& bed_config, size_t balancer) const
 {
     const Balancer& of = balancers_[balancer];
-    const size_t list = plan.members > 0 ? 0 : balancer;
-    const bool calls_upstreams = plan.members > 0 || balancer + 1 == balancers_.size();
+    const size_t list = bed_config.members > 0 ? 0 : balancer;
+    const bool calls_upstreams = bed_config.members > 0 || balancer + 1 == balancers_.size();
     const json operation = {{"name", "lookup"}, {"repeat", "free"}, {"client_timeout_us", 10'000'000}};
     const json limits = {{"max_forwards", 3},
                          {"cancel", true},
@@ -158,8 +159,8 @@
                          {"may_probe", calls_upstreams}};
     const json settings = {
         {"tier", list},
-        {"balancers", std::max<size_t>(plan.members, 1)},
-        {"self_index", plan.members > 0 ? balancer : 0},
+        {"balancers", std::max<size_t>(bed_config.members, 1)},
+        {"self_index", bed_config.members > 0 ? balancer : 0},
         {"operations", json::array({operation})},
         {"policy_limits", limits},
         {"contract", {{"cold_us", cold_window_us}}},
@@ -193,10 +194,10 @@
     return path;
 }
 
-void TestBed::start(const TestBedPlan& plan, size_t balancer)
+void TestBed::start_balancer(const TestBedConfig& bed_config, size_t balancer)
 {
-    std::vector<std::string> arguments{plan.program, "serve", write_config(plan, balancer)};
-    if (plan.members > 0) {
+    std::vector<std::string> arguments{bed_config.program, "serve", write_config(bed_config, balancer)};
+    if (bed_config.members > 0) {
         arguments.push_back("--fleet");
         arguments.push_back(write_fleet_file(balancer));
     }
@@ -209,12 +210,12 @@
     for (size_t i = 0; i < balancers_.size(); ++i) {
         const auto name = "balancer " + member_id(i);
         const auto ready = [&] {
-            if (!processes_[i].running()) throw std::runtime_error(name + " ended at its start");
+            if (!processes_[i].running()) throw std::runtime_error(name + " exited during startup");
             const auto answer = send_and_read_all(
                 balancers_[i].serve_port, "GET /-/ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
             return answer.starts_with("HTTP/1.1 200");
         };
-        wait_until(ready, name + " is not ready");
+        wait_until(ready, "timed out waiting for " + name + " to become ready");
     }
 }
 
@@ -225,7 +226,7 @@
             if (!duties_of_this_member(management_answer(i, "show-fleet")).empty()) return true;
         return false;
     };
-    wait_until(held, "nobody holds a duty");
+    wait_until(held, "timed out waiting for a member to hold a duty");
 }
 
 std::string TestBed::management_answer(size_t balancer, const std::string& line) const
--- a/scale/test_bed.h
+++ b/scale/test_bed.h
@@ -1,5 +1,5 @@
-// Everything that a measurement runs against: upstreams, discovery, and balancers as processes of their own
-// on loopback. All of them end with the object.
+// The processes that a latency measurement runs against, on loopback: upstreams, discovery and balancers. The
+// destructor stops them.
 #pragma once
 
 #include <cstdint>
@@ -14,18 +14,17 @@
 namespace firtide::scale
 {
 
-struct TestBedPlan {
-    std::string program;  // firtide
+struct TestBedConfig {
+    std::string program;  // path of firtide
     size_t upstreams = 20;
     double changes_per_second = 1.27;  // of the list of upstreams
     Duration service_time;
-    size_t members = 0;  // of the fleet, of which the first is called; 0: a balancer without a fleet
-    size_t chain =
-        1;  // balancers in a row, where there is no fleet: each is the only upstream of the one before
+    size_t members = 0;  // of the fleet; calls go to the first. 0: no fleet
+    size_t chain = 1;    // balancers in a row, without a fleet: each is the only upstream of the previous one
     uint64_t seed = 1;
 };
 
-// A folder that is removed with its owner.
+// A temporary directory that the destructor removes.
 class TemporaryFolder
 {
   public:
@@ -41,14 +40,14 @@
 class TestBed
 {
   public:
-    // Returns once all balancers are ready and, in a fleet, duties are held.
-    explicit TestBed(const TestBedPlan& plan);
+    // Returns once all balancers are ready and, in a fleet, a duty is held.
+    explicit TestBed(const TestBedConfig& bed_config);
 
-    // The balancer that callers call.
-    uint16_t entry_port() const { return balancers_.front().serve_port; }
+    // Port of the balancer under test.
+    uint16_t called_port() const { return balancers_.front().serve_port; }
     const std::vector<uint16_t>& upstream_ports() const { return upstreams_.ports(); }
     uint64_t list_changes() const { return discovery_->changes(); }
-    // The names of duties that the called balancer holds now.
+    // Names of the duties that the balancer under test holds.
     std::vector<std::string> held_duties() const;
 
   private:
@@ -57,10 +56,10 @@
     };
 
     void choose_ports(size_t balancers);
-    std::vector<std::vector<uint16_t>> lists(const TestBedPlan& plan) const;
-    std::string write_config(const TestBedPlan& plan, size_t balancer) const;
+    std::vector<std::vector<uint16_t>> upstream_lists(const TestBedConfig& bed_config) const;
+    std::string write_config(const TestBedConfig& bed_config, size_t balancer) const;
     std::string write_fleet_file(size_t member) const;
-    void start(const TestBedPlan& plan, size_t balancer);
+    void start_balancer(const TestBedConfig& bed_config, size_t balancer);
     void wait_until_ready();
     void wait_until_duties_are_held();
     std::string management_answer(size_t balancer, const std::string& line) const;
--- a/scale/traffic_meter.h
+++ b/scale/traffic_meter.h
@@ -1,4 +1,4 @@
-// What one member has carried over several lives of its process, whose own counts begin at zero each time.
+// Adds up the traffic of a member over restarts of its process, each of which resets the counters to zero.
 #pragma once
 
 #include "src/base/time.h"
@@ -18,13 +18,13 @@
         fleet::TrafficCounts counts;
     };
 
-    void take(TimePoint at, const fleet::TrafficCounts& counts) { at_ = at, now_ = counts; }
-    void life_ended() { earlier_ = sum(earlier_, now_), now_ = {}; }
-    Reading reading() const { return {at_, sum(earlier_, now_)}; }
+    void sample(TimePoint at, const fleet::TrafficCounts& counts) { sampled_at_ = at, current_ = counts; }
+    void process_ended() { previous_processes_ = sum(previous_processes_, current_), current_ = {}; }
+    Reading reading() const { return {sampled_at_, sum(previous_processes_, current_)}; }
 
   private:
-    TimePoint at_;
-    fleet::TrafficCounts earlier_, now_;
+    TimePoint sampled_at_;
+    fleet::TrafficCounts previous_processes_, current_;
 };
 
 }  // namespace firtide::scale
--- a/tests/latency.cpp
+++ b/tests/latency.cpp
@@ -1,5 +1,5 @@
-// The measurement of what a balancer adds to a call: its histogram, its open loop on scripted times, and a
-// short run against real processes.
+// Tests the measurement of added latency: the histogram, the open loop on scripted times, and short runs
+// against real processes.
 #include "scale/latency.h"
 
 #include <gtest/gtest.h>
@@ -24,7 +24,7 @@
 
 using std::chrono::milliseconds;
 
-// Exact, of the same rank as the histogram's.
+// Exact quantile, with the same rank as in the histogram.
 uint64_t quantile_of_sorted(const std::vector<uint64_t>& sorted, double quantile)
 {
     const auto rank = static_cast<size_t>(std::ceil(quantile * static_cast<double>(sorted.size())));
@@ -134,7 +134,7 @@
 TEST(OpenLoop, CountsAStallOfTheSenderInEveryCallThatItDelays)
 {
     OpenLoop loop(ArrivalSchedule(1000, 6), milliseconds(200), {});
-    // The sender stands still until 200 ms, then sends all at once, and each answer takes no time.
+    // The sender stalls until 200 ms, then sends everything at once, and each answer takes no time.
     std::vector<Nanoseconds> expected;
     while (const auto call = loop.take_due(milliseconds(200))) {
         loop.answered(*call, milliseconds(200));
@@ -211,7 +211,7 @@
     EXPECT_EQ(spread_of({}).median, 0);
 }
 
-// A port that nobody listens at, and nobody else can take.
+// A port without a listener that no other process can bind.
 class BoundPort
 {
   public:
@@ -253,7 +253,7 @@
     return options;
 }
 
-// What the seed gives for each way.
+// Number of calls that the seed generates on each path.
 uint64_t calls_of(const LatencyOptions& options, double calls_per_second)
 {
     const auto length =
@@ -266,7 +266,7 @@
     return count;
 }
 
-// Every call, direct and through balancers, gets a good answer.
+// Every call, direct and through balancers, gets a successful answer.
 void expect_all_answered(const LatencyOptions& options, const LatencyResult& result)
 {
     const uint64_t calls = calls_of(options, result.calls_per_second);
--- a/tests/scale.cpp
+++ b/tests/scale.cpp
@@ -1,5 +1,5 @@
-// Scale runs: options, estimate, statistics and the account of changes by themselves; then whole runs of a
-// few real and many hollow members, judged by what was counted and by their state, never by time.
+// Tests scale runs: first options, estimate, statistics and change tracking as units, then complete runs of a
+// few real and many hollow members. The runs are checked by counts and state, never by time.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -25,17 +25,17 @@
 namespace
 {
 
-Options options_of(std::string_view experiment, const std::vector<Word>& over = {})
+Options options_of(std::string_view experiment, const std::vector<NamedValue>& overrides = {})
 {
-    const auto decoded = decode_options(experiment, over);
+    const auto decoded = decode_options(experiment, overrides);
     if (const auto* fault = std::get_if<ConfigError>(&decoded)) ADD_FAILURE() << to_string(*fault);
     const auto* options = std::get_if<Options>(&decoded);
     return options ? *options : Options{};
 }
 
-std::string fault_of(std::string_view experiment, const std::vector<Word>& over = {})
+std::string fault_of(std::string_view experiment, const std::vector<NamedValue>& overrides = {})
 {
-    const auto decoded = decode_options(experiment, over);
+    const auto decoded = decode_options(experiment, overrides);
     const auto* fault = std::get_if<ConfigError>(&decoded);
     return fault ? to_string(*fault) : "";
 }
@@ -53,17 +53,17 @@
     const auto options = options_of("members = 100\nseed = 7\n", {{"members", "200"}, {"trouble", "killed"}});
     EXPECT_EQ(options.members, 200U);
     EXPECT_EQ(options.seed, 7U);
-    EXPECT_EQ(options.trouble, Trouble::killed);
+    EXPECT_EQ(options.disruption, Disruption::killed);
 }
 
 TEST(ScaleOptions, WordsSayWhatIsInForce)
 {
     const auto options = options_of("members = 30\nchanges-per-second = 0.5\nlists = \"deltas\"\n");
-    std::string words;
-    for (const auto& [name, value] : words_of(options)) words += name + "=" + value + " ";
-    EXPECT_NE(words.find("members=30 "), std::string::npos) << words;
-    EXPECT_NE(words.find("changes-per-second=0.5 "), std::string::npos) << words;
-    EXPECT_NE(words.find("lists=deltas "), std::string::npos) << words;
+    std::string listed;
+    for (const auto& [name, value] : option_values(options)) listed += name + "=" + value + " ";
+    EXPECT_NE(listed.find("members=30 "), std::string::npos) << listed;
+    EXPECT_NE(listed.find("changes-per-second=0.5 "), std::string::npos) << listed;
+    EXPECT_NE(listed.find("lists=deltas "), std::string::npos) << listed;
 }
 
 TEST(ScaleOptions, FaultsNameLineAndKey)
@@ -98,7 +98,7 @@
     options.members = 400, options.real = 10, options.hollow_per_process = 100, options.upstreams = 400;
     EXPECT_EQ(hollow_processes(options), 4U);
     EXPECT_EQ(estimate(options).processes, 15U);
-    options.trouble = Trouble::killed;
+    options.disruption = Disruption::killed;
     EXPECT_EQ(hollow_processes(options), 5U);
 }
 
@@ -110,24 +110,24 @@
     large.members = 1000, listed.upstreams = 10'000;
     EXPECT_GT(estimate(large).memory_mb, estimate(small).memory_mb);
     EXPECT_GT(estimate(listed).memory_mb, estimate(small).memory_mb);
-    EXPECT_GT(estimate(large).descriptors_each, estimate(small).descriptors_each);
+    EXPECT_GT(estimate(large).descriptors_per_process, estimate(small).descriptors_per_process);
 }
 
 TEST(ScaleEstimate, RefusesWhatIsOverALimit)
 {
     const MachineLimits limits{1000, 5000};
-    EXPECT_FALSE(refusal({300, 500, 5000}, limits));
-    EXPECT_TRUE(refusal({301, 500, 5000}, limits));
-    EXPECT_TRUE(refusal({300, 501, 5000}, limits));
-    EXPECT_TRUE(refusal({300, 500, 5001}, limits));
+    EXPECT_FALSE(exceeded_limit({300, 500, 5000}, limits));
+    EXPECT_TRUE(exceeded_limit({301, 500, 5000}, limits));
+    EXPECT_TRUE(exceeded_limit({300, 501, 5000}, limits));
+    EXPECT_TRUE(exceeded_limit({300, 500, 5001}, limits));
 }
 
 TEST(ScaleStatistics, SpreadIsMedianAndGreatest)
 {
-    EXPECT_EQ(spread_of({}).greatest, 0);
+    EXPECT_EQ(spread_of({}).max, 0);
     EXPECT_EQ(spread_of({3, 1, 2}).median, 2);
     EXPECT_EQ(spread_of({4, 1, 2, 3}).median, 2.5);
-    EXPECT_EQ(spread_of({4, 1, 2, 3}).greatest, 4);
+    EXPECT_EQ(spread_of({4, 1, 2, 3}).max, 4);
 }
 
 TEST(ScaleStatistics, PercentileIsAValueThatWasThere)
@@ -144,15 +144,15 @@
 {
     ChangeTracker tracker(1);
     tracker.member_up(0, {});
-    tracker.changed(2, {1000});
-    tracker.changed(3, {2000});
-    tracker.in_force(0, 3, {5000});
+    tracker.record_change(2, {1000});
+    tracker.record_change(3, {2000});
+    tracker.record_list_in_force(0, 3, {5000});
     const auto summary = tracker.summary({});
     ASSERT_EQ(summary.seconds.size(), 2U);
     EXPECT_DOUBLE_EQ(summary.seconds[0], 0.004);
     EXPECT_DOUBLE_EQ(summary.seconds[1], 0.003);
     EXPECT_EQ(summary.missing, 0U);
-    EXPECT_TRUE(tracker.all_at_last());
+    EXPECT_TRUE(tracker.all_at_last_version());
 }
 
 TEST(ScaleChanges, WhoNeverReachesAChangeIsMissing)
@@ -160,24 +160,24 @@
     ChangeTracker tracker(2);
     tracker.member_up(0, {});
     tracker.member_up(1, {});
-    tracker.changed(2, {1000});
-    tracker.in_force(0, 2, {1500});
-    tracker.in_force(1, 1, {1500});
+    tracker.record_change(2, {1000});
+    tracker.record_list_in_force(0, 2, {1500});
+    tracker.record_list_in_force(1, 1, {1500});
     EXPECT_EQ(tracker.summary({}).missing, 1U);
-    EXPECT_EQ(tracker.summary({}).members_at_last, 1U);
-    EXPECT_FALSE(tracker.all_at_last());
+    EXPECT_EQ(tracker.summary({}).members_at_last_version, 1U);
+    EXPECT_FALSE(tracker.all_at_last_version());
 }
 
 TEST(ScaleChanges, WhoIsDownIsNotAsked)
 {
     ChangeTracker tracker(1);
     tracker.member_up(0, {});
-    tracker.changed(2, {1000});  // not reached before its end
+    tracker.record_change(2, {1000});  // not reached before its end
     tracker.member_down(0, {1100});
-    tracker.changed(3, {1200});  // while it is down
+    tracker.record_change(3, {1200});  // while it is down
     tracker.member_up(0, {1300});
-    tracker.changed(4, {1400});
-    tracker.in_force(0, 4, {1500});
+    tracker.record_change(4, {1400});
+    tracker.record_list_in_force(0, 4, {1500});
     const auto summary = tracker.summary({});
     EXPECT_EQ(summary.missing, 0U);
     ASSERT_EQ(summary.seconds.size(), 1U);
@@ -222,7 +222,7 @@
     EXPECT_FALSE(decode_fleet_view(whole.substr(0, whole.size() - 4)));
 }
 
-// ---- whole runs ----
+// ---- complete runs ----
 
 class ScaleRun : public testing::Test
 {
@@ -231,7 +231,7 @@
     {
         char path[] = "/tmp/firtide-scale-test-XXXXXX";
         folder_ = mkdtemp(path);
-        // Also for what a controller leaves that is killed.
+        // A killed controller leaves its temporary directory here, so that it is removed too.
         setenv("TMPDIR", folder_.c_str(), 1);
     }
     ~ScaleRun() override
@@ -250,7 +250,7 @@
         return ChildProcess::execute(all, path("errors"));
     }
 
-    // The exit status.
+    // Returns the exit status, or 128 plus the number of the signal.
     static int wait_for(ChildProcess& process)
     {
         int status = 0;
@@ -278,8 +278,8 @@
         return nlohmann::json::parse(file, nullptr, false);
     }
 
-    // Every member is heard by the leader, and has the last version; no change is missing.
-    void expect_whole(const nlohmann::json& result, uint64_t members)
+    // The leader sees every member alive, all members have the last version, and no change is missing.
+    void expect_complete(const nlohmann::json& result, uint64_t members)
     {
         EXPECT_EQ(result["state"]["leader_sees_alive"], members);
         EXPECT_EQ(result["state"]["members_up"], members);
@@ -296,14 +296,14 @@
     ASSERT_EQ(run({"--members", "250", "--real", "4", "--seconds", "3", "--changes-per-second", "2"}), 0)
         << errors();
     const auto got = result();
-    expect_whole(got, 250);
+    expect_complete(got, 250);
     ASSERT_GE(got["changes_made"], 5);
     EXPECT_EQ(got["change_in_force_seconds"]["counted"], got["changes_made"].get<uint64_t>() * 250);
     EXPECT_EQ(got["hollow"]["members"], 246);
     EXPECT_EQ(got["balancer"]["members"], 4);
     EXPECT_EQ(got["state"]["list_holder"], "b4");
-    // Each member passes each change on as the whole list to three others at the most, and to one at the
-    // least; whatever else it says is short.
+    // Each member forwards each change as the whole list to between one and three others. All other messages
+    // are short.
     const auto bytes = got["totals"]["bytes_out"].get<double>();
     const auto lists = got["changes_made"].get<double>() * 250 * got["run"]["list_bytes"].get<double>();
     const auto messages = got["totals"]["messages_out"].get<double>();
@@ -318,7 +318,7 @@
               0)
         << errors();
     const auto got = result();
-    expect_whole(got, 150);
+    expect_complete(got, 150);
     const auto lists = got["changes_made"].get<double>() * 150 * got["run"]["list_bytes"].get<double>();
     EXPECT_LT(got["totals"]["bytes_out"].get<double>(), lists);
 }
@@ -372,7 +372,7 @@
               std::string::npos);
 }
 
-// Of all processes that are still there, those that one of these started.
+// All running processes whose parent is `parent`.
 std::vector<pid_t> children_of(pid_t parent)
 {
     std::vector<pid_t> found;
@@ -389,7 +389,7 @@
     return found;
 }
 
-// Waits for the processes' end, however long it takes: ctest has a limit for the test as a whole.
+// Waits without a timeout for the processes to end; ctest limits the time of the whole test.
 void wait_until_gone(const std::vector<pid_t>& processes)
 {
     for (const pid_t pid : processes)
