--- a/scale/change_tracker.cpp
+++ b/scale/change_tracker.cpp
@@ -9,24 +9,24 @@
 
 void ChangeTracker::member_down(size_t member, TimePoint at)
 {
-    auto& lives = up_periods_[member];
-    if (!lives.empty() && !lives.back().until) lives.back().until = at;
+    auto& periods = up_periods_[member];
+    if (!periods.empty() && !periods.back().until) periods.back().until = at;
 }
 
 void ChangeTracker::record_change(uint64_t version, TimePoint at) { changes_.push_back({version, at}); }
 
 void ChangeTracker::record_list_in_force(size_t member, uint64_t version, TimePoint since)
 {
-    auto& lives = up_periods_[member];
-    if (lives.empty() || lives.back().until) return;
-    auto& lists = lives.back().lists;
+    auto& periods = up_periods_[member];
+    if (periods.empty() || periods.back().until) return;
+    auto& lists = periods.back().lists;
     if (lists.empty() || lists.back().version < version) lists.push_back({version, since});
 }
 
 const ChangeTracker::UpPeriod* ChangeTracker::up_period_at(size_t member, TimePoint at) const
 {
-    for (const UpPeriod& life : up_periods_[member])
-        if (life.from <= at && (!life.until || at < *life.until)) return &life;
+    for (const UpPeriod& period : up_periods_[member])
+        if (period.from <= at && (!period.until || at < *period.until)) return &period;
     return nullptr;
 }
 
@@ -38,8 +38,8 @@
 
 bool ChangeTracker::has_list(size_t member) const
 {
-    const auto& lives = up_periods_[member];
-    return !lives.empty() && !lives.back().until && !lives.back().lists.empty();
+    const auto& periods = up_periods_[member];
+    return !periods.empty() && !periods.back().until && !periods.back().lists.empty();
 }
 
 bool ChangeTracker::all_at_last_version() const
@@ -62,14 +62,14 @@
     for (const Change& change : changes_) {
         if (change.at < from) continue;
         for (size_t member = 0; member < up_periods_.size(); ++member) {
-            const UpPeriod* life = up_period_at(member, change.at);
-            if (!life) continue;
+            const UpPeriod* period = up_period_at(member, change.at);
+            if (!period) continue;
             const auto reached = std::lower_bound(
-                life->lists.begin(), life->lists.end(), change.version,
+                period->lists.begin(), period->lists.end(), change.version,
                 [](const InForce& list, uint64_t version) { return list.version < version; });
-            if (reached != life->lists.end())
+            if (reached != period->lists.end())
                 out.seconds.push_back(std::max(0.0, (reached->since - change.at).seconds()));
-            else if (!life->until)
+            else if (!period->until)
                 ++out.missing;
         }
     }
--- a/scale/change_tracker.h
+++ b/scale/change_tracker.h
@@ -20,12 +20,12 @@
     void member_up(size_t member, TimePoint at);
     void member_down(size_t member, TimePoint at);
     void record_change(uint64_t version, TimePoint at);  // at discovery
-    void record_list_in_force(size_t member, uint64_t version,
-                              TimePoint since);  // implies all earlier versions
+    // Putting a version in force implies all earlier versions.
+    void record_list_in_force(size_t member, uint64_t version, TimePoint since);
 
     struct Summary {
         std::vector<double> seconds;  // per member and change
-        uint64_t missing = 0;         // pairs of member and change that was never in force
+        uint64_t missing = 0;         // member-change pairs where the change was never in force
         uint64_t members_at_last_version = 0, members_up = 0;
     };
     // Covers the changes made at or after `from`.
--- a/scale/child_process.h
+++ b/scale/child_process.h
@@ -1,4 +1,4 @@
-// Child processes that are killed by the destructor, and by the kernel if this program ends in any way.
+// Child processes that are killed by the destructor, and by the kernel when this program ends for any reason.
 #pragma once
 
 #include <sys/types.h>
--- a/scale/discovery_standin.h
+++ b/scale/discovery_standin.h
@@ -47,7 +47,8 @@
     event_base* base_;
     std::mt19937 random_;
     std::vector<Upstream> upstreams_;
-    std::vector<size_t> changed_upstreams_;  // index of the upstream changed in version i + 2
+    // Element i is the index of the upstream that changed in version i + 2; version 1 has no change.
+    std::vector<size_t> changed_upstreams_;
     std::vector<Watcher> watchers_;
     uint64_t request_count_ = 0;
     fault_injection::Server server_;
--- a/scale/estimate.cpp
+++ b/scale/estimate.cpp
@@ -23,12 +23,13 @@
 constexpr double hollow_list_copies = 50;  // per hollow member, including queued messages
 constexpr double real_list_copies = 70;    // per real process
 constexpr double controller_list_copies = 10;
-constexpr double sockets_kb = 120;  // kernel memory for the connections of a member
+constexpr double sockets_kb = 120;  // kernel memory for the connections of a member; not from those runs
 
-constexpr double base_descriptors_per_hollow_member = 130;  // not counting the start
-constexpr double descriptors_per_start_second = 8;          // pings to members that are considered gone
-constexpr double idle_connection_seconds = 90;              // lifetime of an idle connection
-constexpr uint64_t descriptors_per_member_real = 3;         // at a leader: a connection each way, and queries
+constexpr double base_descriptors_per_hollow_member = 130;  // in a hollow process, if the start took no time
+constexpr double descriptors_per_start_second =
+    8;                                          // additional, for pings to members that are considered gone
+constexpr double idle_connection_seconds = 90;  // lifetime of an idle connection
+constexpr uint64_t descriptors_per_member_real = 3;  // at a leader: a connection each way, and queries
 constexpr uint64_t base_descriptors_per_process = 100;
 
 constexpr double kb_in_mb = 1024;
--- a/scale/fleet_view.cpp
+++ b/scale/fleet_view.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-std::vector<std::string> words_of(const std::string& line)
+std::vector<std::string> split_words(const std::string& line)
 {
     std::istringstream in(line);
     std::vector<std::string> words;
@@ -16,7 +16,7 @@
 }
 
 // The word that follows `name`; empty if there is none.
-std::string after(const std::vector<std::string>& words, std::string_view name)
+std::string word_after(const std::vector<std::string>& words, std::string_view name)
 {
     for (size_t i = 0; i + 1 < words.size(); ++i)
         if (words[i] == name) return words[i + 1];
@@ -25,7 +25,7 @@
 
 uint64_t number_after(const std::vector<std::string>& words, std::string_view name)
 {
-    return std::strtoull(after(words, name).c_str(), nullptr, 10);
+    return std::strtoull(word_after(words, name).c_str(), nullptr, 10);
 }
 
 fleet::TrafficCounts traffic_of(const std::vector<std::string>& words)
@@ -47,16 +47,16 @@
     FleetView view;
     std::istringstream lines{std::string(answer)};
     for (std::string line; std::getline(lines, line);) {
-        const auto words = words_of(line);
+        const auto words = split_words(line);
         if (words.size() < 3) continue;
         if (words[0] == "me") {
-            const auto leader = after(words, "leader");
+            const auto leader = word_after(words, "leader");
             if (leader != "none") view.leader = leader;
         } else if (words[0] == "member") {
             view.alive += words[2] == "alive";
         } else if (words[0] == "duty") {
             ++view.duties;
-            view.duties_held += after(words, "holder") != "none";
+            view.duties_held += word_after(words, "holder") != "none";
             if (words.back() == "mine") view.own_duties.push_back(words[1]);
         } else if (words[0] == "traffic") {
             view.traffic = traffic_of(words);
--- a/scale/hollow_process.cpp
+++ b/scale/hollow_process.cpp
@@ -192,22 +192,22 @@
         if (std::holds_alternative<SampleTraffic>(*command)) return report_traffic();
         if (std::holds_alternative<ShowView>(*command)) return report_view();
         if (const auto* leave = std::get_if<Leave>(&*command)) {
-            if (auto* one = member(leave->member)) one->leave();
+            if (auto* target = member(leave->member)) target->leave();
         } else if (const auto* join = std::get_if<Join>(&*command)) {
-            if (auto* one = member(join->member)) one->join();
+            if (auto* target = member(join->member)) target->join();
         }
     }
 
     void report_traffic()
     {
-        for (const auto& one : members_) controller_.write(encode(one->traffic()));
+        for (const auto& hollow : members_) controller_.write(encode(hollow->traffic()));
         controller_.write(encode(TrafficSampled{}));
     }
 
     void report_view()
     {
         HollowView view;
-        for (const auto& one : members_) one->add_to(view);
+        for (const auto& hollow : members_) hollow->add_to(view);
         controller_.write(encode(view));
     }
 
--- a/scale/hollow_protocol.h
+++ b/scale/hollow_protocol.h
@@ -53,7 +53,7 @@
 };
 struct HollowView {
     uint32_t members = 0;      // running in this process
-    uint32_t with_leader = 0;  // that know a leader
+    uint32_t with_leader = 0;  // of them, that know a leader
     uint32_t min_alive = 0;    // lowest count of alive members that a member sees
     uint32_t duties_held = 0;  // lowest count that a member sees
 };
--- a/scale/layout.cpp
+++ b/scale/layout.cpp
@@ -145,11 +145,11 @@
                               {"may_probe", false}};
     const ordered_json operation{{"name", "safe"}, {"repeat", "free"}, {"client_timeout_us", 1'000'000}};
     const ordered_json settings{{"operations", ordered_json::array({operation})}, {"policy_limits", limits}};
-    const auto door = host_of(member_network, member) + ":" + std::to_string(port_ + management_offset);
+    const auto management = host_of(member_network, member) + ":" + std::to_string(port_ + management_offset);
     return ordered_json{{"name", member_id(member)},
                         {"listen", serve_address(member)},
                         {"discovery", "127.0.0.1:" + std::to_string(discovery_port_)},
-                        {"mgmt", door},
+                        {"mgmt", management},
                         {"seed", std::to_string(options_.seed % 1000 + member)},
                         {"settings", settings}}
         .dump();
--- a/scale/main.cpp
+++ b/scale/main.cpp
@@ -33,11 +33,11 @@
     return command;
 }
 
-std::string to_string(const ConfigError& fault, const std::string& experiment_path)
+std::string to_string(const ConfigError& error, const std::string& experiment_path)
 {
-    if (fault.location.line == 0) return "--" + fault.location.key + ": " + fault.message;
-    return experiment_path + ":" + std::to_string(fault.location.line) + ": " + fault.location.key + ": " +
-           fault.message;
+    if (error.location.line == 0) return "--" + error.location.key + ": " + error.message;
+    return experiment_path + ":" + std::to_string(error.location.line) + ": " + error.location.key + ": " +
+           error.message;
 }
 
 // Checked before anything starts, as a run takes minutes.
@@ -67,8 +67,8 @@
         if (!file || !(experiment << file.rdbuf())) return refuse(experiment_path + ": cannot be read");
     }
     const auto decoded = scale::decode_options(experiment.str(), values);
-    if (const auto* fault = std::get_if<ConfigError>(&decoded))
-        return refuse(to_string(*fault, experiment_path));
+    if (const auto* error = std::get_if<ConfigError>(&decoded))
+        return refuse(to_string(*error, experiment_path));
     const auto& options = std::get<scale::Options>(decoded);
     if (!can_write(options.json)) return refuse("--json: '" + options.json + "' cannot be written");
     std::signal(SIGPIPE, SIG_IGN);
--- a/scale/open_loop.cpp
+++ b/scale/open_loop.cpp
@@ -22,8 +22,8 @@
     return Nanoseconds(static_cast<int64_t>(at_ns_));
 }
 
-OpenLoop::OpenLoop(ArrivalSchedule schedule, Nanoseconds length, Nanoseconds warm_up)
-    : schedule_(schedule), duration_(length), warm_up_(warm_up), next_(schedule_.next())
+OpenLoop::OpenLoop(ArrivalSchedule schedule, Nanoseconds duration, Nanoseconds warm_up)
+    : schedule_(schedule), duration_(duration), warm_up_(warm_up), next_(schedule_.next())
 {
 }
 
--- a/scale/open_loop.h
+++ b/scale/open_loop.h
@@ -44,7 +44,7 @@
 class OpenLoop
 {
   public:
-    OpenLoop(ArrivalSchedule schedule, Nanoseconds length, Nanoseconds warm_up);
+    OpenLoop(ArrivalSchedule schedule, Nanoseconds duration, Nanoseconds warm_up);
 
     // Time at which the next call is due; nothing once all have been taken.
     std::optional<Nanoseconds> next_due() const;
--- a/scale/options.cpp
+++ b/scale/options.cpp
@@ -14,7 +14,7 @@
 constexpr uint32_t max_members = 2000, max_upstreams = 40'000, max_duties = 400, max_zones = 64;
 constexpr uint32_t max_hollow_per_process = 150;
 constexpr uint32_t default_hollow_per_process = 100;
-constexpr uint64_t max_hollow_descriptors = 19'000;  // per process, on the systems that this runs on
+constexpr uint64_t max_hollow_descriptors = 19'000;  // limit of a process on the systems that this runs on
 constexpr double max_changes_per_second = 100, max_restarts_per_second = 50, max_seconds = 3600;
 constexpr uint32_t upstreams_per_service = 18;  // the plan has 37,000 upstreams in 2,000 services
 constexpr double killed_fraction = 0.05;
@@ -92,11 +92,11 @@
 class LineNumbers
 {
   public:
-    void at(const std::string& name, uint32_t line) { lines_.emplace_back(name, line); }
-    uint32_t of(const std::string& name) const
+    void record(const std::string& name, uint32_t line) { lines_.emplace_back(name, line); }
+    uint32_t find(const std::string& name) const
     {
-        for (auto one = lines_.rbegin(); one != lines_.rend(); ++one)
-            if (one->first == name) return one->second;
+        for (auto entry = lines_.rbegin(); entry != lines_.rend(); ++entry)
+            if (entry->first == name) return entry->second;
         return 0;
     }
 
@@ -131,13 +131,13 @@
         const std::string name(key.str());
         const uint32_t line = has_lines ? line_of(node) : 0;
         if (!is_known(name)) throw_config_error(name, line, "unknown key");
-        lines.at(name, line);
-        toml::table one;
-        one.insert(name, node);
+        lines.record(name, line);
+        toml::table single_value;
+        single_value.insert(name, node);
         try {
-            read_value(one, name, options);
-        } catch (TomlConfigError& fault) {
-            fault.error.location.line = line;
+            read_value(single_value, name, options);
+        } catch (TomlConfigError& error) {
+            error.error.location.line = line;
             throw;
         }
     }
@@ -164,7 +164,7 @@
 void check_consistency(const Options& options, const LineNumbers& lines)
 {
     const auto require = [&](bool holds, const char* key, const std::string& what) {
-        if (!holds) throw_config_error(key, lines.of(key), what);
+        if (!holds) throw_config_error(key, lines.find(key), what);
     };
     require(
         options.real <= options.members, "real",
@@ -178,27 +178,29 @@
                 " upstreams");
     const auto killed = static_cast<uint32_t>(killed_fraction * options.members);
     require(options.disruption != Disruption::killed || (killed > 0 && killed <= options.hollow()),
-            disruption_key, "a twentieth of the members is killed: they must be hollow, and at least one");
+            disruption_key,
+            "a twentieth of the members is killed: this must be at least one, and all of them hollow");
 }
 
 void apply_defaults(Options& options)
 {
     if (options.upstreams == 0) options.upstreams = options.members;
-    const auto room = max_hollow_descriptors / descriptors_per_hollow_member(options.members);
+    const auto members_that_fit = max_hollow_descriptors / descriptors_per_hollow_member(options.members);
     if (options.hollow_per_process == 0)
-        options.hollow_per_process = std::min(default_hollow_per_process, static_cast<uint32_t>(room));
+        options.hollow_per_process =
+            std::min(default_hollow_per_process, static_cast<uint32_t>(members_that_fit));
     if (options.services == 0) options.services = std::max(1U, options.upstreams / upstreams_per_service);
 }
 
 std::vector<OptionHelp> make_option_help()
 {
-    std::vector<OptionHelp> names;
-    for (const auto& o : count_options) names.push_back({o.name, o.description});
-    for (const auto& o : number_options) names.push_back({o.name, o.description});
-    names.push_back({disruption_key, "none, killed (a twentieth of the members) or restart (all processes)"});
-    names.push_back({lists_key, "how list changes are sent to all members: whole or deltas"});
-    for (const auto& o : text_options) names.push_back({o.name, o.description});
-    return names;
+    std::vector<OptionHelp> help;
+    for (const auto& o : count_options) help.push_back({o.name, o.description});
+    for (const auto& o : number_options) help.push_back({o.name, o.description});
+    help.push_back({disruption_key, "none, killed (a twentieth of the members) or restart (all processes)"});
+    help.push_back({lists_key, "how list changes are sent to all members: whole or deltas"});
+    for (const auto& o : text_options) help.push_back({o.name, o.description});
+    return help;
 }
 
 Options read_options(std::string_view experiment, const std::vector<NamedValue>& overrides)
@@ -221,10 +223,10 @@
 
 }  // namespace
 
-std::string to_string(Disruption trouble)
+std::string to_string(Disruption disruption)
 {
     for (const auto& [name, meaning] : disruption_names)
-        if (meaning == trouble) return name;
+        if (meaning == disruption) return name;
     return "";
 }
 
@@ -237,8 +239,8 @@
 
 const std::vector<OptionHelp>& option_help()
 {
-    static const auto names = make_option_help();
-    return names;
+    static const auto help = make_option_help();
+    return help;
 }
 
 std::variant<Options, ConfigError> decode_options(std::string_view experiment,
--- a/scale/options.h
+++ b/scale/options.h
@@ -46,7 +46,7 @@
     uint32_t hollow() const { return members - real; }
 };
 
-std::string to_string(Disruption trouble);
+std::string to_string(Disruption disruption);
 std::string to_string(ListMechanism lists);
 
 // An option as text: its name without leading dashes, and its value.
--- a/scale/run.cpp
+++ b/scale/run.cpp
@@ -26,12 +26,12 @@
 using fleet::fleet_now;
 
 constexpr Duration poll_interval = seconds(0.02), view_interval = seconds(0.5), usage_interval = seconds(1);
-constexpr Duration warm_up_timeout = seconds(180);         // the fleet must be complete by then
+constexpr Duration warm_up_timeout = seconds(180);         // per phase; slow hollow starts extend the first
 constexpr Duration answer_timeout = seconds(30);           // for all members to answer
 constexpr Duration convergence_timeout = seconds(20);      // for the last change, after the measured time
 constexpr Duration rejoin_delay = seconds(1);              // after a member has left
 constexpr Duration rolling_restart_duration = seconds(5);  // all processes, at an even rate
-constexpr double disruption_start_fraction = 0.4;          // fraction of the measured time
+constexpr double disruption_start_fraction = 0.4;          // of the measured time
 constexpr double kb = 1024;
 constexpr int status_failed = 1, status_refused = 2, status_signal_base = 128;
 
@@ -260,7 +260,7 @@
     return failed;
 }
 
-// Prefers a real member without another role, so that the cost of the list duty can be told apart.
+// Prefers a real member without another role, so that the cost of the list duty is measured separately.
 uint32_t Run::preferred_list_holder() const
 {
     if (options_.real > options_.voters) return options_.voters;
@@ -359,8 +359,9 @@
     if (options_.hollow() > 0) {
         const auto member =
             std::uniform_int_distribution<uint32_t>(options_.real, options_.members - 1)(random_);
-        const bool already_left = std::any_of(pending_rejoins_.begin(), pending_rejoins_.end(),
-                                              [&](const PendingRejoin& one) { return one.member == member; });
+        const bool already_left =
+            std::any_of(pending_rejoins_.begin(), pending_rejoins_.end(),
+                        [&](const PendingRejoin& rejoin) { return rejoin.member == member; });
         if (already_left) return;
         cluster_.leave(member);
         pending_rejoins_.push_back({member, monotonic_now() + rejoin_delay});
@@ -376,9 +377,9 @@
         ++restarts_made_;
         restart_random_member();
     }
-    std::erase_if(pending_rejoins_, [&](const PendingRejoin& one) {
-        if (now < one.at) return false;
-        cluster_.join(one.member);
+    std::erase_if(pending_rejoins_, [&](const PendingRejoin& rejoin) {
+        if (now < rejoin.at) return false;
+        cluster_.join(rejoin.member);
         return true;
     });
 }
@@ -472,9 +473,9 @@
         if (auto failed =
                 wait_until(answered, answer_timeout, "timed out waiting for the views of all members"))
             return failed;
-        const auto leads = leader();
+        const auto leader_index = leader();
         const uint32_t expected_alive = options_.members - killed_members_;
-        if (leads && cluster_.real_view(*leads)->alive == expected_alive) return {};
+        if (leader_index && cluster_.real_view(*leader_index)->alive == expected_alive) return {};
         if (monotonic_now() > end) return {};
     }
 }
@@ -490,7 +491,8 @@
     result.list_holder_id = list_holder_id_;
     result.restarts = restarts_made_;
     result.killed_members = killed_members_;
-    if (const auto leads = leader()) result.leader_sees_alive = cluster_.real_view(*leads)->alive;
+    if (const auto leader_index = leader())
+        result.leader_sees_alive = cluster_.real_view(*leader_index)->alive;
     return {};
 }
 
@@ -515,9 +517,9 @@
         const auto& members = layout_.groups()[group];
         const double cpu = 100 * (after_.hollow_cpu[group] - before_.hollow_cpu[group]) / span;
         for (uint32_t offset = 0; offset < members.count; ++offset) {
-            auto& one = all[members.first_member + offset];
-            one.cpu_percent = cpu / members.count;
-            one.rss_mb = cluster_.hollow_usage(group).peak_rss_mb() / members.count;
+            auto& metrics = all[members.first_member + offset];
+            metrics.cpu_percent = cpu / members.count;
+            metrics.rss_mb = cluster_.hollow_usage(group).peak_rss_mb() / members.count;
         }
     }
     return all;
--- a/scale/socket_segments.cpp
+++ b/scale/socket_segments.cpp
@@ -27,7 +27,7 @@
     inet_diag_req_v2 body;
 };
 
-bool ask(int socket)
+bool send_request(int socket)
 {
     Request request{};
     request.head.nlmsg_len = sizeof request;
@@ -65,7 +65,7 @@
 std::optional<SocketSegments> segments_at(uint16_t port)
 {
     const Descriptor socket(::socket(AF_NETLINK, SOCK_RAW | SOCK_CLOEXEC, NETLINK_SOCK_DIAG));
-    if (socket.fd() < 0 || !ask(socket.fd())) return {};
+    if (socket.fd() < 0 || !send_request(socket.fd())) return {};
     SocketSegments found;
     std::vector<char> bytes(answer_bytes);
     for (;;) {
--- a/scale/stand_ins.cpp
+++ b/scale/stand_ins.cpp
@@ -23,7 +23,7 @@
 
 constexpr const char* probe_answer = "depth=1";
 constexpr const char* call_answer = "ok\n";
-constexpr size_t max_draining_divisor = 4;
+constexpr size_t max_draining_divisor = 4;  // at most a quarter of the upstreams
 
 using Ports = std::vector<uint16_t>;
 
--- a/scale/statistics.h
+++ b/scale/statistics.h
@@ -1,4 +1,4 @@
-// Summaries of measured figures.
+// Summaries of measured values.
 #pragma once
 
 #include <vector>
--- a/scale/test_bed.cpp
+++ b/scale/test_bed.cpp
@@ -31,7 +31,7 @@
 constexpr time_t receive_timeout_seconds = 2;
 constexpr uint16_t first_port =
     29200;  // above the ports of the test cluster, below the ephemeral port range of the kernel
-constexpr uint16_t port_ranges = 8, ports_per_run = 400;
+constexpr uint16_t port_ranges = 8, ports_per_range = 400;
 constexpr int64_t cold_window_us = 5'000'000;
 constexpr size_t voters = 3;
 
@@ -124,7 +124,7 @@
 
 void TestBed::choose_ports(size_t balancers)
 {
-    static uint16_t next = static_cast<uint16_t>(first_port + getpid() % port_ranges * ports_per_run);
+    static uint16_t next = static_cast<uint16_t>(first_port + getpid() % port_ranges * ports_per_range);
     const auto free_port = [] {
         for (;;) {
             const uint16_t port = next++;
