--- a/tests/capacity_test.py
+++ b/tests/capacity_test.py
@@ -195,21 +195,21 @@
         self.assertIsNone(run.options["services"])
         self.assertEqual(run.roles["member"]["kb_per_second"].median, 1.5)
 
-    def test_faults_name_the_file(self):
+    def test_errors_name_the_file(self):
         for record in ("{", "[]", {}, {"run": {}}, {"run": {"members": "many"}}, {"run": {"members": 5}, "roles": 3}):
             with self.subTest(record=record), self.assertRaises(RunFileError) as fault:
                 read_scale_run(self.write_run("runs/wrong.json", record))
             self.assertIn("wrong.json: ", str(fault.exception))
             self.assertNotIn("\n", str(fault.exception))
 
-    def test_latency_fault_names_the_file(self):
+    def test_latency_error_names_the_file(self):
         path = self.write_run("runs/latency-1.json", {"run": {}, "rates": [{"calls_per_second": 154}]})
         with self.assertRaisesRegex(RunFileError, "latency-1.json: is not a latency run"):
             read_latency_run(path)
 
 
 class SeriesTest(FolderTest):
-    def test_runs_belong_to_an_axis_if_all_else_is_equal(self):
+    def test_runs_belong_to_an_axis_if_all_other_options_are_equal(self):
         runs = self.read(
             real_run(members=200),
             real_run(members=50),
@@ -222,14 +222,14 @@
         (series,) = find_series(runs, AXES["members"])
         self.assertEqual([series.position(run) for run in series.runs], [50, 100, 200])
 
-    def test_seeds_and_seconds_are_no_options_of_the_fleet(self):
+    def test_seeds_and_seconds_are_not_fleet_options(self):
         one, other = real_run(members=50, seed=1, seconds=20), real_run(members=100, seed=2, seconds=60)
         self.assertEqual(len(find_series(self.read(one, other), AXES["members"])), 1)
 
-    def test_one_size_is_no_series(self):
+    def test_one_size_is_not_a_series(self):
         self.assertEqual(find_series(self.read(real_run(), real_run()), AXES["members"]), [])
 
-    def test_fleet_axis_takes_what_grows_together(self):
+    def test_fleet_axis_takes_options_scaled_together(self):
         runs = self.read(
             real_run(members=90, upstreams=90, services=5),
             real_run(members=180, upstreams=180, services=10),
@@ -260,7 +260,7 @@
         self.assertEqual([step.axis.option for step in found.steps], ["members", "upstreams"])
         self.assertNotIn("upstreams", found.unmatched_options)
 
-    def test_what_is_not_linear_is_not_extrapolated(self):
+    def test_nonlinear_fit_is_not_extrapolated(self):
         found = self.extrapolated(*(real_run(kb=0.01 * n**2, members=n) for n in (50, 100, 200)))
         self.assertIsNone(found.value)
         self.assertAlmostEqual(found.exponent, 2)
@@ -305,7 +305,7 @@
         _, _, second = self.write_page(first)
         self.assertEqual(first, second)
 
-    def test_what_is_not_linear_is_said(self):
+    def test_nonlinear_fit_is_reported(self):
         for n in (50, 100, 200):
             self.write_run(f"virtual/members-{n}.json", virtual_run(kb=0.01 * n**2, members=n))
         _, _, page = self.write_page("<!-- table axis-members -->\n<!-- end -->\n<!-- table target -->\n<!-- end -->\n")
--- a/tests/latency.cpp
+++ b/tests/latency.cpp
@@ -67,7 +67,7 @@
     }
 }
 
-TEST(Histogram, CountsWhatIsAboveItsRangeAsTheHighest)
+TEST(Histogram, CountsValuesAboveItsRangeAsTheHighest)
 {
     Histogram histogram(1'000'000);
     histogram.record(UINT64_MAX);
@@ -75,7 +75,7 @@
     EXPECT_EQ(histogram.value_at_quantile(1), 1'000'000u);
 }
 
-TEST(Histogram, MergedEqualsOneThatSawAllValues)
+TEST(Histogram, MergedEqualsHistogramOfAllValues)
 {
     std::mt19937_64 random(8);
     Histogram all, odd, even;
@@ -90,7 +90,7 @@
         EXPECT_EQ(even.value_at_quantile(percent / 100.0), all.value_at_quantile(percent / 100.0)) << percent;
 }
 
-TEST(Histogram, MergesOneOfAWiderRange)
+TEST(Histogram, MergesHistogramOfAWiderRange)
 {
     Histogram narrow(1000), wide;
     wide.record(5);
@@ -148,7 +148,7 @@
     EXPECT_NEAR(static_cast<double>(loop.latencies().value_at_quantile(0.5)), middle, middle * 0.001);
 }
 
-TEST(OpenLoop, SendsAtIntendedTimesWhateverIsUnanswered)
+TEST(OpenLoop, SendsAtIntendedTimesDespiteUnansweredCalls)
 {
     OpenLoop loop(ArrivalSchedule(1000, 6), milliseconds(100), {});
     ArrivalSchedule same(1000, 6);
@@ -230,11 +230,11 @@
     sockaddr_in address_{};
 };
 
-TEST(LoadGenerator, FailsCallsToNobody)
+TEST(LoadGenerator, FailsCallsToAPortWithoutListener)
 {
-    const BoundPort nobody;
+    const BoundPort unused_port;
     LoadTarget target;
-    target.ports = {nobody.port()};
+    target.ports = {unused_port.port()};
     OpenLoop loop(ArrivalSchedule(1000, 2), milliseconds(50), {});
     generate_load(target, loop);
     EXPECT_GT(loop.taken(), 0u);
--- a/tests/scale.cpp
+++ b/tests/scale.cpp
@@ -28,16 +28,16 @@
 Options options_of(std::string_view experiment, const std::vector<NamedValue>& overrides = {})
 {
     const auto decoded = decode_options(experiment, overrides);
-    if (const auto* fault = std::get_if<ConfigError>(&decoded)) ADD_FAILURE() << to_string(*fault);
+    if (const auto* error = std::get_if<ConfigError>(&decoded)) ADD_FAILURE() << to_string(*error);
     const auto* options = std::get_if<Options>(&decoded);
     return options ? *options : Options{};
 }
 
-std::string fault_of(std::string_view experiment, const std::vector<NamedValue>& overrides = {})
+std::string error_of(std::string_view experiment, const std::vector<NamedValue>& overrides = {})
 {
     const auto decoded = decode_options(experiment, overrides);
-    const auto* fault = std::get_if<ConfigError>(&decoded);
-    return fault ? to_string(*fault) : "";
+    const auto* error = std::get_if<ConfigError>(&decoded);
+    return error ? to_string(*error) : "";
 }
 
 TEST(ScaleOptions, UpstreamsAndServicesFollowTheMembers)
@@ -48,7 +48,7 @@
     EXPECT_EQ(options.hollow(), 715U);
 }
 
-TEST(ScaleOptions, TheCommandLineCountsForMoreThanTheExperiment)
+TEST(ScaleOptions, CommandLineOverridesTheExperiment)
 {
     const auto options = options_of("members = 100\nseed = 7\n", {{"members", "200"}, {"trouble", "killed"}});
     EXPECT_EQ(options.members, 200U);
@@ -56,7 +56,7 @@
     EXPECT_EQ(options.disruption, Disruption::killed);
 }
 
-TEST(ScaleOptions, WordsSayWhatIsInForce)
+TEST(ScaleOptions, OptionValuesAreTheEffectiveValues)
 {
     const auto options = options_of("members = 30\nchanges-per-second = 0.5\nlists = \"deltas\"\n");
     std::string listed;
@@ -66,30 +66,30 @@
     EXPECT_NE(listed.find("lists=deltas "), std::string::npos) << listed;
 }
 
-TEST(ScaleOptions, FaultsNameLineAndKey)
+TEST(ScaleOptions, ErrorsNameLineAndKey)
 {
-    EXPECT_EQ(fault_of("members = 20\nmembrs = 30\n"), "line 2: membrs: unknown key");
-    EXPECT_EQ(fault_of("members = 20\n\nreal = 30\n"), "line 3: real: 30 are more than the 20 members");
-    EXPECT_EQ(fault_of("real = 2\n"), "line 1: real: 2 are fewer than the 3 voters, who are all real");
-    EXPECT_EQ(fault_of("voters = 4\nreal = 8\n"), "line 1: voters: 3, 5 or 7 are expected");
-    EXPECT_EQ(fault_of("members = 0\n"), "line 1: members: a whole number from 1 to 2000 is expected");
-    EXPECT_EQ(fault_of("seconds = \"long\"\n"), "line 1: seconds: a number from 1 to 3600 is expected");
-    EXPECT_EQ(fault_of("trouble = \"fire\"\n"),
+    EXPECT_EQ(error_of("members = 20\nmembrs = 30\n"), "line 2: membrs: unknown key");
+    EXPECT_EQ(error_of("members = 20\n\nreal = 30\n"), "line 3: real: 30 are more than the 20 members");
+    EXPECT_EQ(error_of("real = 2\n"), "line 1: real: 2 are fewer than the 3 voters, who are all real");
+    EXPECT_EQ(error_of("voters = 4\nreal = 8\n"), "line 1: voters: 3, 5 or 7 are expected");
+    EXPECT_EQ(error_of("members = 0\n"), "line 1: members: a whole number from 1 to 2000 is expected");
+    EXPECT_EQ(error_of("seconds = \"long\"\n"), "line 1: seconds: a number from 1 to 3600 is expected");
+    EXPECT_EQ(error_of("trouble = \"fire\"\n"),
               "line 1: trouble: one of none, killed, restart is expected, not 'fire'");
 }
 
-TEST(ScaleOptions, FaultsOfTheCommandLineHaveNoLine)
+TEST(ScaleOptions, CommandLineErrorsHaveNoLine)
 {
-    EXPECT_EQ(fault_of("", {{"members", "0"}}), "line 0: members: a whole number from 1 to 2000 is expected");
-    EXPECT_EQ(fault_of("", {{"members", "x"}}), "line 0: members: 'x' cannot be read");
-    EXPECT_EQ(fault_of("", {{"nope", "1"}}), "line 0: nope: unknown key");
+    EXPECT_EQ(error_of("", {{"members", "0"}}), "line 0: members: a whole number from 1 to 2000 is expected");
+    EXPECT_EQ(error_of("", {{"members", "x"}}), "line 0: members: 'x' cannot be read");
+    EXPECT_EQ(error_of("", {{"nope", "1"}}), "line 0: nope: unknown key");
 }
 
 TEST(ScaleOptions, TooFewHollowMembersCannotBeKilled)
 {
-    EXPECT_NE(fault_of("members = 40\nreal = 40\ntrouble = \"killed\"\n"), "");
-    EXPECT_NE(fault_of("members = 10\ntrouble = \"killed\"\n"), "");
-    EXPECT_EQ(fault_of("members = 40\ntrouble = \"killed\"\n"), "");
+    EXPECT_NE(error_of("members = 40\nreal = 40\ntrouble = \"killed\"\n"), "");
+    EXPECT_NE(error_of("members = 10\ntrouble = \"killed\"\n"), "");
+    EXPECT_EQ(error_of("members = 40\ntrouble = \"killed\"\n"), "");
 }
 
 TEST(ScaleEstimate, CountsProcesses)
@@ -113,7 +113,7 @@
     EXPECT_GT(estimate(large).descriptors_per_process, estimate(small).descriptors_per_process);
 }
 
-TEST(ScaleEstimate, RefusesWhatIsOverALimit)
+TEST(ScaleEstimate, RefusesRunsThatExceedALimit)
 {
     const MachineLimits limits{1000, 5000};
     EXPECT_FALSE(exceeded_limit({300, 500, 5000}, limits));
@@ -122,7 +122,7 @@
     EXPECT_TRUE(exceeded_limit({300, 500, 5001}, limits));
 }
 
-TEST(ScaleStatistics, SpreadIsMedianAndGreatest)
+TEST(ScaleStatistics, SpreadIsMedianAndMax)
 {
     EXPECT_EQ(spread_of({}).max, 0);
     EXPECT_EQ(spread_of({3, 1, 2}).median, 2);
@@ -130,7 +130,7 @@
     EXPECT_EQ(spread_of({4, 1, 2, 3}).max, 4);
 }
 
-TEST(ScaleStatistics, PercentileIsAValueThatWasThere)
+TEST(ScaleStatistics, PercentileIsOneOfTheValues)
 {
     std::vector<double> values;
     for (int i = 100; i >= 1; --i) values.push_back(i);
@@ -155,7 +155,7 @@
     EXPECT_TRUE(tracker.all_at_last_version());
 }
 
-TEST(ScaleChanges, WhoNeverReachesAChangeIsMissing)
+TEST(ScaleChanges, ChangeThatAMemberNeverReachesIsMissing)
 {
     ChangeTracker tracker(2);
     tracker.member_up(0, {});
@@ -168,7 +168,7 @@
     EXPECT_FALSE(tracker.all_at_last_version());
 }
 
-TEST(ScaleChanges, WhoIsDownIsNotAsked)
+TEST(ScaleChanges, ChangesDoNotCountForMembersThatAreDown)
 {
     ChangeTracker tracker(1);
     tracker.member_up(0, {});
@@ -184,7 +184,7 @@
     EXPECT_DOUBLE_EQ(summary.seconds[0], 0.0001);
 }
 
-TEST(ScaleProtocol, ReportsAndCommandsComeBackAsTheyWere)
+TEST(ScaleProtocol, ReportsAndCommandsRoundTrip)
 {
     const auto list = decode_report(encode(HollowReport{ListInForce{7, 12, {345}}}));
     ASSERT_TRUE(list && std::holds_alternative<ListInForce>(*list));
@@ -203,14 +203,14 @@
     EXPECT_FALSE(decode_command("leave"));
 }
 
-TEST(ScaleFleetView, ReadsShowFleetAndNothingThatIsCutShort)
+TEST(ScaleFleetView, DecodesShowFleetAndRejectsTruncatedAnswers)
 {
-    const std::string whole =
+    const std::string answer =
         "me b1 incarnation 1 term 3 leader b2 majority yes voter voting\n"
         "traffic messages_in 1 messages_out 2 bytes_in 3 bytes_out 4 dropped 5\n"
         "member b1 alive zone z0 incarnation 1 votes\nmember b2 gone zone z1 incarnation 0\n"
         "duty list holder b1 epoch 1 left_ms 3 mine\nduty d1 holder none epoch 0 left_ms 0\nEOT\n";
-    const auto view = decode_fleet_view(whole);
+    const auto view = decode_fleet_view(answer);
     ASSERT_TRUE(view);
     EXPECT_EQ(view->leader, "b2");
     EXPECT_EQ(view->alive, 1U);
@@ -219,7 +219,7 @@
     EXPECT_EQ(view->own_duties, std::vector<std::string>{"list"});
     ASSERT_TRUE(view->traffic);
     EXPECT_EQ(view->traffic->bytes_out, 4U);
-    EXPECT_FALSE(decode_fleet_view(whole.substr(0, whole.size() - 4)));
+    EXPECT_FALSE(decode_fleet_view(answer.substr(0, answer.size() - 4)));
 }
 
 // ---- complete runs ----
@@ -344,7 +344,7 @@
     EXPECT_EQ(got["changes_missing"], 0);
 }
 
-TEST_F(ScaleRun, BadInputsAreRefusedInOneLine)
+TEST_F(ScaleRun, InvalidInputsAreRefusedInOneLine)
 {
     const auto refused = [this](std::vector<std::string> arguments) {
         std::filesystem::remove(path("errors"));
