--- a/scale/estimate.cpp
+++ b/scale/estimate.cpp
@@ -26,9 +26,9 @@
 constexpr double sockets_kb = 120;  // kernel memory for the connections of a member; not from those runs
 
 constexpr double base_descriptors_per_hollow_member = 130;  // in a hollow process, if the start took no time
-constexpr double descriptors_per_start_second =
-    8;                                          // additional, for pings to members that are considered gone
-constexpr double idle_connection_seconds = 90;  // lifetime of an idle connection
+// Additional, for pings to members that are considered gone.
+constexpr double descriptors_per_start_second = 8;
+constexpr double idle_connection_seconds = 90;       // lifetime of an idle connection
 constexpr uint64_t descriptors_per_member_real = 3;  // at a leader: a connection each way, and queries
 constexpr uint64_t base_descriptors_per_process = 100;
 
--- a/scale/load_generator.h
+++ b/scale/load_generator.h
@@ -16,7 +16,7 @@
 
 struct LoadTarget {
     std::vector<uint16_t> ports;  // used in rotation
-    std::string call_id_prefix;   // makes request ids unique across runs
+    std::string call_id_prefix;   // distinguishes the request ids of runs
 };
 
 // Sends until all calls of the loop are answered or have failed, or until `interrupted`. Calls that are
--- a/scale/run.cpp
+++ b/scale/run.cpp
@@ -26,7 +26,7 @@
 using fleet::fleet_now;
 
 constexpr Duration poll_interval = seconds(0.02), view_interval = seconds(0.5), usage_interval = seconds(1);
-constexpr Duration warm_up_timeout = seconds(180);         // per phase; slow hollow starts extend the first
+constexpr Duration warm_up_timeout = seconds(180);         // per phase; the first adds time for hollow starts
 constexpr Duration answer_timeout = seconds(30);           // for all members to answer
 constexpr Duration convergence_timeout = seconds(20);      // for the last change, after the measured time
 constexpr Duration rejoin_delay = seconds(1);              // after a member has left
--- a/scale/test_bed.cpp
+++ b/scale/test_bed.cpp
@@ -29,8 +29,8 @@
 constexpr auto start_timeout = std::chrono::seconds(20);
 constexpr auto poll_interval = std::chrono::milliseconds(20);
 constexpr time_t receive_timeout_seconds = 2;
-constexpr uint16_t first_port =
-    29200;  // above the ports of the test cluster, below the ephemeral port range of the kernel
+// Above the ports of the test cluster, below the ephemeral port range of the kernel.
+constexpr uint16_t first_port = 29200;
 constexpr uint16_t port_ranges = 8, ports_per_range = 400;
 constexpr int64_t cold_window_us = 5'000'000;
 constexpr size_t voters = 3;
