--- a/tests/scale.cpp
+++ b/tests/scale.cpp
@@ -1,5 +1,5 @@
-// Scale runs: options, estimate, statistics and the account of changes by themselves; then whole runs of a
-// few real and many hollow members, judged by what was counted and by their state, never by time.
+// Tests scale runs: first options, estimate, statistics and change tracking as units, then complete runs of a
+// few real and many hollow members. The runs are checked by counts and state, never by time.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -25,19 +25,19 @@
 namespace
 {
 
-Options options_of(std::string_view experiment, const std::vector<Word>& over = {})
+Options options_of(std::string_view experiment, const std::vector<NamedValue>& overrides = {})
 {
-    const auto decoded = decode_options(experiment, over);
-    if (const auto* fault = std::get_if<ConfigError>(&decoded)) ADD_FAILURE() << to_string(*fault);
+    const auto decoded = decode_options(experiment, overrides);
+    if (const auto* error = std::get_if<ConfigError>(&decoded)) ADD_FAILURE() << to_string(*error);
     const auto* options = std::get_if<Options>(&decoded);
     return options ? *options : Options{};
 }
 
-std::string fault_of(std::string_view experiment, const std::vector<Word>& over = {})
+std::string error_of(std::string_view experiment, const std::vector<NamedValue>& overrides = {})
 {
-    const auto decoded = decode_options(experiment, over);
-    const auto* fault = std::get_if<ConfigError>(&decoded);
-    return fault ? to_string(*fault) : "";
+    const auto decoded = decode_options(experiment, overrides);
+    const auto* error = std::get_if<ConfigError>(&decoded);
+    return error ? to_string(*error) : "";
 }
 
 TEST(ScaleOptions, UpstreamsAndServicesFollowTheMembers)
@@ -48,48 +48,48 @@
     EXPECT_EQ(options.hollow(), 715U);
 }
 
-TEST(ScaleOptions, TheCommandLineCountsForMoreThanTheExperiment)
+TEST(ScaleOptions, CommandLineOverridesTheExperiment)
 {
     const auto options = options_of("members = 100\nseed = 7\n", {{"members", "200"}, {"trouble", "killed"}});
     EXPECT_EQ(options.members, 200U);
     EXPECT_EQ(options.seed, 7U);
-    EXPECT_EQ(options.trouble, Trouble::killed);
+    EXPECT_EQ(options.disruption, Disruption::killed);
 }
 
-TEST(ScaleOptions, WordsSayWhatIsInForce)
+TEST(ScaleOptions, OptionValuesAreTheEffectiveValues)
 {
     const auto options = options_of("members = 30\nchanges-per-second = 0.5\nlists = \"deltas\"\n");
-    std::string words;
-    for (const auto& [name, value] : words_of(options)) words += name + "=" + value + " ";
-    EXPECT_NE(words.find("members=30 "), std::string::npos) << words;
-    EXPECT_NE(words.find("changes-per-second=0.5 "), std::string::npos) << words;
-    EXPECT_NE(words.find("lists=deltas "), std::string::npos) << words;
+    std::string listed;
+    for (const auto& [name, value] : option_values(options)) listed += name + "=" + value + " ";
+    EXPECT_NE(listed.find("members=30 "), std::string::npos) << listed;
+    EXPECT_NE(listed.find("changes-per-second=0.5 "), std::string::npos) << listed;
+    EXPECT_NE(listed.find("lists=deltas "), std::string::npos) << listed;
 }
 
-TEST(ScaleOptions, FaultsNameLineAndKey)
+TEST(ScaleOptions, ErrorsNameLineAndKey)
 {
-    EXPECT_EQ(fault_of("members = 20\nmembrs = 30\n"), "line 2: membrs: unknown key");
-    EXPECT_EQ(fault_of("members = 20\n\nreal = 30\n"), "line 3: real: 30 are more than the 20 members");
-    EXPECT_EQ(fault_of("real = 2\n"), "line 1: real: 2 are fewer than the 3 voters, who are all real");
-    EXPECT_EQ(fault_of("voters = 4\nreal = 8\n"), "line 1: voters: 3, 5 or 7 are expected");
-    EXPECT_EQ(fault_of("members = 0\n"), "line 1: members: a whole number from 1 to 2000 is expected");
-    EXPECT_EQ(fault_of("seconds = \"long\"\n"), "line 1: seconds: a number from 1 to 3600 is expected");
-    EXPECT_EQ(fault_of("trouble = \"fire\"\n"),
+    EXPECT_EQ(error_of("members = 20\nmembrs = 30\n"), "line 2: membrs: unknown key");
+    EXPECT_EQ(error_of("members = 20\n\nreal = 30\n"), "line 3: real: 30 are more than the 20 members");
+    EXPECT_EQ(error_of("real = 2\n"), "line 1: real: 2 are fewer than the 3 voters, who are all real");
+    EXPECT_EQ(error_of("voters = 4\nreal = 8\n"), "line 1: voters: 3, 5 or 7 are expected");
+    EXPECT_EQ(error_of("members = 0\n"), "line 1: members: a whole number from 1 to 2000 is expected");
+    EXPECT_EQ(error_of("seconds = \"long\"\n"), "line 1: seconds: a number from 1 to 3600 is expected");
+    EXPECT_EQ(error_of("trouble = \"fire\"\n"),
               "line 1: trouble: one of none, killed, restart is expected, not 'fire'");
 }
 
-TEST(ScaleOptions, FaultsOfTheCommandLineHaveNoLine)
+TEST(ScaleOptions, CommandLineErrorsHaveNoLine)
 {
-    EXPECT_EQ(fault_of("", {{"members", "0"}}), "line 0: members: a whole number from 1 to 2000 is expected");
-    EXPECT_EQ(fault_of("", {{"members", "x"}}), "line 0: members: 'x' cannot be read");
-    EXPECT_EQ(fault_of("", {{"nope", "1"}}), "line 0: nope: unknown key");
+    EXPECT_EQ(error_of("", {{"members", "0"}}), "line 0: members: a whole number from 1 to 2000 is expected");
+    EXPECT_EQ(error_of("", {{"members", "x"}}), "line 0: members: 'x' cannot be read");
+    EXPECT_EQ(error_of("", {{"nope", "1"}}), "line 0: nope: unknown key");
 }
 
 TEST(ScaleOptions, TooFewHollowMembersCannotBeKilled)
 {
-    EXPECT_NE(fault_of("members = 40\nreal = 40\ntrouble = \"killed\"\n"), "");
-    EXPECT_NE(fault_of("members = 10\ntrouble = \"killed\"\n"), "");
-    EXPECT_EQ(fault_of("members = 40\ntrouble = \"killed\"\n"), "");
+    EXPECT_NE(error_of("members = 40\nreal = 40\ntrouble = \"killed\"\n"), "");
+    EXPECT_NE(error_of("members = 10\ntrouble = \"killed\"\n"), "");
+    EXPECT_EQ(error_of("members = 40\ntrouble = \"killed\"\n"), "");
 }
 
 TEST(ScaleEstimate, CountsProcesses)
@@ -98,7 +98,7 @@
     options.members = 400, options.real = 10, options.hollow_per_process = 100, options.upstreams = 400;
     EXPECT_EQ(hollow_processes(options), 4U);
     EXPECT_EQ(estimate(options).processes, 15U);
-    options.trouble = Trouble::killed;
+    options.disruption = Disruption::killed;
     EXPECT_EQ(hollow_processes(options), 5U);
 }
 
@@ -110,27 +110,27 @@
     large.members = 1000, listed.upstreams = 10'000;
     EXPECT_GT(estimate(large).memory_mb, estimate(small).memory_mb);
     EXPECT_GT(estimate(listed).memory_mb, estimate(small).memory_mb);
-    EXPECT_GT(estimate(large).descriptors_each, estimate(small).descriptors_each);
+    EXPECT_GT(estimate(large).descriptors_per_process, estimate(small).descriptors_per_process);
 }
 
-TEST(ScaleEstimate, RefusesWhatIsOverALimit)
+TEST(ScaleEstimate, RefusesRunsThatExceedALimit)
 {
     const MachineLimits limits{1000, 5000};
-    EXPECT_FALSE(refusal({300, 500, 5000}, limits));
-    EXPECT_TRUE(refusal({301, 500, 5000}, limits));
-    EXPECT_TRUE(refusal({300, 501, 5000}, limits));
-    EXPECT_TRUE(refusal({300, 500, 5001}, limits));
+    EXPECT_FALSE(exceeded_limit({300, 500, 5000}, limits));
+    EXPECT_TRUE(exceeded_limit({301, 500, 5000}, limits));
+    EXPECT_TRUE(exceeded_limit({300, 501, 5000}, limits));
+    EXPECT_TRUE(exceeded_limit({300, 500, 5001}, limits));
 }
 
-TEST(ScaleStatistics, SpreadIsMedianAndGreatest)
+TEST(ScaleStatistics, SpreadIsMedianAndMax)
 {
-    EXPECT_EQ(spread_of({}).greatest, 0);
+    EXPECT_EQ(spread_of({}).max, 0);
     EXPECT_EQ(spread_of({3, 1, 2}).median, 2);
     EXPECT_EQ(spread_of({4, 1, 2, 3}).median, 2.5);
-    EXPECT_EQ(spread_of({4, 1, 2, 3}).greatest, 4);
+    EXPECT_EQ(spread_of({4, 1, 2, 3}).max, 4);
 }
 
-TEST(ScaleStatistics, PercentileIsAValueThatWasThere)
+TEST(ScaleStatistics, PercentileIsOneOfTheValues)
 {
     std::vector<double> values;
     for (int i = 100; i >= 1; --i) values.push_back(i);
@@ -144,47 +144,47 @@
 {
     ChangeTracker tracker(1);
     tracker.member_up(0, {});
-    tracker.changed(2, {1000});
-    tracker.changed(3, {2000});
-    tracker.in_force(0, 3, {5000});
+    tracker.record_change(2, {1000});
+    tracker.record_change(3, {2000});
+    tracker.record_list_in_force(0, 3, {5000});
     const auto summary = tracker.summary({});
     ASSERT_EQ(summary.seconds.size(), 2U);
     EXPECT_DOUBLE_EQ(summary.seconds[0], 0.004);
     EXPECT_DOUBLE_EQ(summary.seconds[1], 0.003);
     EXPECT_EQ(summary.missing, 0U);
-    EXPECT_TRUE(tracker.all_at_last());
+    EXPECT_TRUE(tracker.all_at_last_version());
 }
 
-TEST(ScaleChanges, WhoNeverReachesAChangeIsMissing)
+TEST(ScaleChanges, ChangeThatAMemberNeverReachesIsMissing)
 {
     ChangeTracker tracker(2);
     tracker.member_up(0, {});
     tracker.member_up(1, {});
-    tracker.changed(2, {1000});
-    tracker.in_force(0, 2, {1500});
-    tracker.in_force(1, 1, {1500});
+    tracker.record_change(2, {1000});
+    tracker.record_list_in_force(0, 2, {1500});
+    tracker.record_list_in_force(1, 1, {1500});
     EXPECT_EQ(tracker.summary({}).missing, 1U);
-    EXPECT_EQ(tracker.summary({}).members_at_last, 1U);
-    EXPECT_FALSE(tracker.all_at_last());
+    EXPECT_EQ(tracker.summary({}).members_at_last_version, 1U);
+    EXPECT_FALSE(tracker.all_at_last_version());
 }
 
-TEST(ScaleChanges, WhoIsDownIsNotAsked)
+TEST(ScaleChanges, ChangesDoNotCountForMembersThatAreDown)
 {
     ChangeTracker tracker(1);
     tracker.member_up(0, {});
-    tracker.changed(2, {1000});  // not reached before its end
+    tracker.record_change(2, {1000});  // not reached before its end
     tracker.member_down(0, {1100});
-    tracker.changed(3, {1200});  // while it is down
+    tracker.record_change(3, {1200});  // while it is down
     tracker.member_up(0, {1300});
-    tracker.changed(4, {1400});
-    tracker.in_force(0, 4, {1500});
+    tracker.record_change(4, {1400});
+    tracker.record_list_in_force(0, 4, {1500});
     const auto summary = tracker.summary({});
     EXPECT_EQ(summary.missing, 0U);
     ASSERT_EQ(summary.seconds.size(), 1U);
     EXPECT_DOUBLE_EQ(summary.seconds[0], 0.0001);
 }
 
-TEST(ScaleProtocol, ReportsAndCommandsComeBackAsTheyWere)
+TEST(ScaleProtocol, ReportsAndCommandsRoundTrip)
 {
     const auto list = decode_report(encode(HollowReport{ListInForce{7, 12, {345}}}));
     ASSERT_TRUE(list && std::holds_alternative<ListInForce>(*list));
@@ -203,14 +203,14 @@
     EXPECT_FALSE(decode_command("leave"));
 }
 
-TEST(ScaleFleetView, ReadsShowFleetAndNothingThatIsCutShort)
+TEST(ScaleFleetView, DecodesShowFleetAndRejectsTruncatedAnswers)
 {
-    const std::string whole =
+    const std::string answer =
         "me b1 incarnation 1 term 3 leader b2 majority yes voter voting\n"
         "traffic messages_in 1 messages_out 2 bytes_in 3 bytes_out 4 dropped 5\n"
         "member b1 alive zone z0 incarnation 1 votes\nmember b2 gone zone z1 incarnation 0\n"
         "duty list holder b1 epoch 1 left_ms 3 mine\nduty d1 holder none epoch 0 left_ms 0\nEOT\n";
-    const auto view = decode_fleet_view(whole);
+    const auto view = decode_fleet_view(answer);
     ASSERT_TRUE(view);
     EXPECT_EQ(view->leader, "b2");
     EXPECT_EQ(view->alive, 1U);
@@ -219,10 +219,10 @@
     EXPECT_EQ(view->own_duties, std::vector<std::string>{"list"});
     ASSERT_TRUE(view->traffic);
     EXPECT_EQ(view->traffic->bytes_out, 4U);
-    EXPECT_FALSE(decode_fleet_view(whole.substr(0, whole.size() - 4)));
+    EXPECT_FALSE(decode_fleet_view(answer.substr(0, answer.size() - 4)));
 }
 
-// ---- whole runs ----
+// ---- complete runs ----
 
 class ScaleRun : public testing::Test
 {
@@ -231,7 +231,7 @@
     {
         char path[] = "/tmp/firtide-scale-test-XXXXXX";
         folder_ = mkdtemp(path);
-        // Also for what a controller leaves that is killed.
+        // A killed controller leaves its temporary directory here, so that it is removed too.
         setenv("TMPDIR", folder_.c_str(), 1);
     }
     ~ScaleRun() override
@@ -250,7 +250,7 @@
         return ChildProcess::execute(all, path("errors"));
     }
 
-    // The exit status.
+    // Returns the exit status, or 128 plus the number of the signal.
     static int wait_for(ChildProcess& process)
     {
         int status = 0;
@@ -278,8 +278,8 @@
         return nlohmann::json::parse(file, nullptr, false);
     }
 
-    // Every member is heard by the leader, and has the last version; no change is missing.
-    void expect_whole(const nlohmann::json& result, uint64_t members)
+    // The leader sees every member alive, all members have the last version, and no change is missing.
+    void expect_complete(const nlohmann::json& result, uint64_t members)
     {
         EXPECT_EQ(result["state"]["leader_sees_alive"], members);
         EXPECT_EQ(result["state"]["members_up"], members);
@@ -296,14 +296,14 @@
     ASSERT_EQ(run({"--members", "250", "--real", "4", "--seconds", "3", "--changes-per-second", "2"}), 0)
         << errors();
     const auto got = result();
-    expect_whole(got, 250);
+    expect_complete(got, 250);
     ASSERT_GE(got["changes_made"], 5);
     EXPECT_EQ(got["change_in_force_seconds"]["counted"], got["changes_made"].get<uint64_t>() * 250);
     EXPECT_EQ(got["hollow"]["members"], 246);
     EXPECT_EQ(got["balancer"]["members"], 4);
     EXPECT_EQ(got["state"]["list_holder"], "b4");
-    // Each member passes each change on as the whole list to three others at the most, and to one at the
-    // least; whatever else it says is short.
+    // Each member forwards each change as the whole list to between one and three others. All other messages
+    // are short.
     const auto bytes = got["totals"]["bytes_out"].get<double>();
     const auto lists = got["changes_made"].get<double>() * 250 * got["run"]["list_bytes"].get<double>();
     const auto messages = got["totals"]["messages_out"].get<double>();
@@ -318,7 +318,7 @@
               0)
         << errors();
     const auto got = result();
-    expect_whole(got, 150);
+    expect_complete(got, 150);
     const auto lists = got["changes_made"].get<double>() * 150 * got["run"]["list_bytes"].get<double>();
     EXPECT_LT(got["totals"]["bytes_out"].get<double>(), lists);
 }
@@ -344,7 +344,7 @@
     EXPECT_EQ(got["changes_missing"], 0);
 }
 
-TEST_F(ScaleRun, BadInputsAreRefusedInOneLine)
+TEST_F(ScaleRun, InvalidInputsAreRefusedInOneLine)
 {
     const auto refused = [this](std::vector<std::string> arguments) {
         std::filesystem::remove(path("errors"));
@@ -372,7 +372,7 @@
               std::string::npos);
 }
 
-// Of all processes that are still there, those that one of these started.
+// All running processes whose parent is `parent`.
 std::vector<pid_t> children_of(pid_t parent)
 {
     std::vector<pid_t> found;
@@ -389,7 +389,7 @@
     return found;
 }
 
-// Waits for the processes' end, however long it takes: ctest has a limit for the test as a whole.
+// Waits without a timeout for the processes to end; ctest limits the time of the whole test.
 void wait_until_gone(const std::vector<pid_t>& processes)
 {
     for (const pid_t pid : processes)
