--- a/src/fleet/outlier/outlier_gossip.cpp
+++ b/src/fleet/outlier/outlier_gossip.cpp
@@ -213,8 +213,8 @@
 }
 
 // Two reporters agree on at least the second-highest reduction; the highest one alone counts up to the
-// `alone` share. Own good responses since then lower both: a path that works from here is stronger evidence
-// than reports from paths that may not work.
+// `single_reporter_limit`. Own good responses since then lower both: a path that works from here is stronger
+// evidence than reports from paths that may not work.
 OutlierGossip::Verdict OutlierGossip::verdict(TimePoint now, uint64_t upstream, const Reports& reports) const
 {
     const PeerSummary others = summarize_peers(now, reports);
@@ -229,8 +229,8 @@
         else if (discounted < 1)
             verdict.reduction = std::min(verdict.reduction, config_.single_reporter_limit) * discounted;
     }
-    // A start is accepted if two reporters name it. If only one does, the upstream gets at least the `alone`
-    // reduction.
+    // A start is accepted if two reporters name it. If only one does, the upstream gets at least the
+    // `single_reporter_limit` reduction.
     const bool knows_itself = own != evidence_.end() && own->second.time_since_start;
     if (knows_itself || !others.shortest_uptime_s) return verdict;
     if (others.second_shortest_uptime_s)
--- a/src/fleet/startup/startup_sequencer.cpp
+++ b/src/fleet/startup/startup_sequencer.cpp
@@ -13,7 +13,7 @@
 constexpr double min_admitted_share = 0.05;   // some traffic is needed to see what can be handled
 constexpr double max_takeover_factor = 3;     // of the baseline, if other balancers have not come back
 constexpr double reserved_token_share = 0.5;  // of the tokens, for the most valuable operations
-constexpr double empty_list_wait_factor = 4;  // in units of `wait`
+constexpr double empty_list_wait_factor = 4;  // in units of `stage_timeout`
 constexpr Duration admission_burst_window = seconds(0.25);
 constexpr Duration settling_time = seconds(30);
 
